--- a/core/src/main/java/tallyweir/Crowd.java
+++ b/core/src/main/java/tallyweir/Crowd.java
@@ -1,9 +1,11 @@
 package tallyweir;
 
-/** Counts what was begun and not ended, and of that what is on the cores, with its age there. */
+/**
+ * Counts the queries that were started and have not ended, and of these the ones on the cores, with their age there.
+ */
 final class Crowd {
-    int all;
-    int on;
+    int all; // started and not ended, including those blocked on a call
+    int on; // of these, running on the cores
     private double sinceSum;
 
     void onCores(long now, Query q) {
@@ -18,6 +20,7 @@
         sinceSum -= q.onSince;
     }
 
+    /** Mean time that the queries on the cores have spent there so far; 0 when there are none. */
     long meanAge(long now) {
         return on == 0 ? 0 : (long) (now - sinceSum / on);
     }
--- a/core/src/main/java/tallyweir/Due.java
+++ b/core/src/main/java/tallyweir/Due.java
@@ -1,9 +1,9 @@
 package tallyweir;
 
-/** A moment at which a query wants to be looked at; equal moments in the order they were asked for. */
+/** A time, in tenths of a millisecond, at which a query must be checked; equal times are ordered by sequence. */
 record Due(long at, long order, Query query) implements Comparable<Due> {
     @Override
-    public int compareTo(Due o) {
-        return at != o.at ? Long.compare(at, o.at) : Long.compare(order, o.order);
+    public int compareTo(Due other) {
+        return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
     }
 }
--- a/core/src/main/java/tallyweir/Effect.java
+++ b/core/src/main/java/tallyweir/Effect.java
@@ -1,6 +1,9 @@
 package tallyweir;
 
-/** What a repeat of a query does: no harm, nothing within its window if it has the same key, or damage. */
+/**
+ * What carrying out a query twice does. HARMLESS: nothing bad. STAMPED: nothing, if the repeat bears the same key and
+ * comes within the workload's repeat window. ONE_SHOT: damage.
+ */
 public enum Effect {
     HARMLESS,
     STAMPED,
--- a/core/src/main/java/tallyweir/Halt.java
+++ b/core/src/main/java/tallyweir/Halt.java
@@ -1,6 +1,6 @@
 package tallyweir;
 
-/** What the machine can do with a query that is running: nothing, end it, or pause it and go on later. */
+/** How a run can be cancelled on this machine: not at all, by aborting it, or by suspending it to resume later. */
 public enum Halt {
     OFF,
     ABORT,
--- a/core/src/main/java/tallyweir/Memory.java
+++ b/core/src/main/java/tallyweir/Memory.java
@@ -2,19 +2,19 @@
 
 import java.util.PriorityQueue;
 
-/** Counts the kilobytes of what is held, what runs and what is kept. */
+/** Counts the memory, in kilobytes, of held queries, runs and retained results. */
 final class Memory {
     final double limit;
-    final double runFactor;
-    final double entry;
+    final double runFactor; // memory of a run over the size of its query
+    final double entry; // memory of one retained result
     double held;
     double running;
-    private final PriorityQueue<Long> entries = new PriorityQueue<>();
+    private final PriorityQueue<Long> entries = new PriorityQueue<>(); // times at which retained results expire
 
-    Memory(double limit, double runFactor, double entry) {
-        this.limit = limit;
-        this.runFactor = runFactor;
-        this.entry = entry;
+    Memory(double limitKb, double runMemoryFactor, double entryKb) {
+        this.limit = limitKb;
+        this.runFactor = runMemoryFactor;
+        this.entry = entryKb;
     }
 
     double used(long now) {
@@ -28,7 +28,7 @@
         return entries.size() * entry;
     }
 
-    void keep(long now, long span) {
-        entries.add(now + span);
+    void keep(long now, long duration) {
+        entries.add(now + duration);
     }
 }
--- a/core/src/main/java/tallyweir/Outgoing.java
+++ b/core/src/main/java/tallyweir/Outgoing.java
@@ -4,37 +4,63 @@
 import tallyweir.ids.QueryId;
 import tallyweir.ids.TimerId;
 
-/** What the decisions ask for: one method an action. Times are tenths of a millisecond. */
+/**
+ * The actions that a {@link Choice} asks for, one method each. Called on the thread that calls the Choice, before
+ * that call returns. Times are tenths of a millisecond.
+ */
 public interface Outgoing {
-    /** Asks nobody: for decisions that lead nowhere. */
+    /** Returns an implementation that ignores every action, for decisions that are only compared. */
     static Outgoing nowhere() {
         return (Outgoing) Proxy.newProxyInstance(
                 Outgoing.class.getClassLoader(), new Class<?>[] {Outgoing.class}, (proxy, method, arguments) -> null);
     }
 
+    /** Starts or resumes the run of the query on the cores. */
     void run(QueryId query);
 
-    void defer(QueryId query, long keepOff, boolean nowhereElse);
+    /**
+     * Answers that the query was not carried out.
+     *
+     * @param retryAfter how long the caller should wait before it sends again; 0 for no advice
+     * @param finalRefusal whether to advise against a retry on another server
+     */
+    void defer(QueryId query, long retryAfter, boolean finalRefusal);
 
+    /** Answers that the query ended in an error and may have had an effect. */
     void fail(QueryId query);
 
+    /** Cancels or suspends a run, as {@link Halt} allows. */
     void stop(QueryId query);
 
-    void call(QueryId query, long timeOut);
+    /** Makes the query's call to the store, with this timeout. */
+    void call(QueryId query, long timeout);
 
+    /** Continues the run without its call, for a degraded answer. */
     void poorer(QueryId query);
 
-    void keep(QueryId query, long span);
+    /** Retains the query's key and result for this long, so that repeats can be recognized and answered from it. */
+    void keep(QueryId query, long duration);
 
+    /** Discards what was retained for a query that never ran. */
     void forget(QueryId query);
 
+    /** Answers the query with the result of the earlier query that it repeats. */
     void reuse(QueryId query);
 
-    void health(boolean good, boolean stored);
+    /**
+     * Sets the answer to health checks.
+     *
+     * @param healthy whether new connections are welcome
+     * @param stored passed on as it is by the front; always true today
+     */
+    void health(boolean healthy, boolean stored);
 
-    void say(double value);
+    /** Advertises the load to callers: 0 for none, 1 if queries of every revenue are refused. */
+    void say(double load);
 
-    void closeIdle(long span);
+    /** Sets how long a connection may be idle before it is closed. */
+    void closeIdle(long timeout);
 
+    /** Sets a timer; {@link Choice#onTimer} is to be called at that time. */
     void wake(long at, TimerId timer);
 }
--- a/core/src/main/java/tallyweir/Said.java
+++ b/core/src/main/java/tallyweir/Said.java
@@ -1,6 +1,6 @@
 package tallyweir;
 
-/** What callers may be told of the load here: a level, under which they send nothing, or nothing. */
+/** What is advertised to callers about the load: nothing, or a threshold below which they should send nothing. */
 public enum Said {
     OFF,
     THRESHOLD
--- a/core/src/main/java/tallyweir/Tenant.java
+++ b/core/src/main/java/tallyweir/Tenant.java
@@ -2,5 +2,8 @@
 
 import tallyweir.ring.Ring;
 
-/** A tenant's share for this server and its reads here. */
+/**
+ * This server's part of a tenant's quota, in queries per second, and the tenant's queries read here, retries
+ * excluded.
+ */
 record Tenant(double perSecond, Ring reads) {}
--- a/core/src/main/java/tallyweir/ids/CallerId.java
+++ b/core/src/main/java/tallyweir/ids/CallerId.java
@@ -1,4 +1,4 @@
 package tallyweir.ids;
 
-/** A caller, as far as a connection tells. */
+/** A caller, as far as its connection identifies it. */
 public record CallerId(long value) {}
--- a/core/src/main/java/tallyweir/ids/ConnectionId.java
+++ b/core/src/main/java/tallyweir/ids/ConnectionId.java
@@ -1,4 +1,4 @@
 package tallyweir.ids;
 
-/** The slot of a connection. */
+/** Index of a connection's slot in the connection table. */
 public record ConnectionId(int value) {}
--- a/core/src/main/java/tallyweir/ids/JobId.java
+++ b/core/src/main/java/tallyweir/ids/JobId.java
@@ -1,4 +1,4 @@
 package tallyweir.ids;
 
-/** The name by which kernel and store know a query. */
+/** The name under which the kernel and the store know a query. */
 public record JobId(String value) {}
--- a/core/src/main/java/tallyweir/ids/LinkId.java
+++ b/core/src/main/java/tallyweir/ids/LinkId.java
@@ -1,4 +1,4 @@
 package tallyweir.ids;
 
-/** One opening of a connection to the kernel or the store; a number is never used again. */
+/** One connection to the kernel or the store. A reconnect gets a new number; numbers are never reused. */
 public record LinkId(long value) {}
--- a/core/src/main/java/tallyweir/ids/QueryId.java
+++ b/core/src/main/java/tallyweir/ids/QueryId.java
@@ -1,4 +1,4 @@
 package tallyweir.ids;
 
-/** The number of a query in this server, never used again. */
+/** The number of a query in this server; never reused. */
 public record QueryId(long value) {}
--- a/core/src/main/java/tallyweir/ids/SubjectId.java
+++ b/core/src/main/java/tallyweir/ids/SubjectId.java
@@ -1,4 +1,4 @@
 package tallyweir.ids;
 
-/** What a query is about; equal ones may share a result. */
+/** The resource a query asks for; queries with equal subjects may share a result. */
 public record SubjectId(String value) {}
--- a/core/src/main/java/tallyweir/ids/TenantId.java
+++ b/core/src/main/java/tallyweir/ids/TenantId.java
@@ -1,4 +1,4 @@
 package tallyweir.ids;
 
-/** The account that a query is counted for. */
+/** The account whose quota a query counts against. */
 public record TenantId(String value) {}
--- a/core/src/main/java/tallyweir/ids/TimerId.java
+++ b/core/src/main/java/tallyweir/ids/TimerId.java
@@ -1,4 +1,4 @@
 package tallyweir.ids;
 
-/** A timer that the decisions asked for. */
+/** A timer set by {@link tallyweir.Choice}. */
 public record TimerId(long value) {}
--- a/core/src/main/java/tallyweir/ids/WorkloadId.java
+++ b/core/src/main/java/tallyweir/ids/WorkloadId.java
@@ -1,4 +1,4 @@
 package tallyweir.ids;
 
-/** The name of a kind of query. */
+/** The name of a workload. */
 public record WorkloadId(String value) {}
--- a/core/src/main/java/tallyweir/ring/Ring.java
+++ b/core/src/main/java/tallyweir/ring/Ring.java
@@ -1,6 +1,6 @@
 package tallyweir.ring;
 
-/** Counts and sums over the last span, in fixed buckets of time that are used again. */
+/** Count and sum of values over a sliding time window, kept in a fixed number of reused buckets. Not thread-safe. */
 public final class Ring {
     private final long width;
     private final long[] counts;
@@ -9,17 +9,21 @@
     private long count;
     private double sum;
 
-    public Ring(long span, int buckets) {
-        width = Math.max(1, (span + buckets - 1) / buckets);
+    /**
+     * @param window length of the window, in the unit of the times passed to the other methods
+     * @param buckets into which the window is divided, its resolution
+     */
+    public Ring(long window, int buckets) {
+        width = Math.max(1, (window + buckets - 1) / buckets);
         counts = new long[buckets + 1];
         sums = new double[buckets + 1];
     }
 
     public void add(long now, double value) {
         turn(now);
-        int at = (int) (head % counts.length);
-        counts[at]++;
-        sums[at] += value;
+        int index = (int) (head % counts.length);
+        counts[index]++;
+        sums[index] += value;
         count++;
         sum += value;
     }
@@ -29,14 +33,14 @@
         return count;
     }
 
-    /** How many since a moment within the span, to the bucket: those of its whole bucket count. */
+    /** Number of values since a time within the window. The whole bucket that holds that time is counted. */
     public long countSince(long now, long from) {
         turn(now);
-        long since = 0;
+        long total = 0;
         for (long b = Math.max(Math.max(0, from / width), head - counts.length + 1); b <= head; b++) {
-            since += counts[(int) (b % counts.length)];
+            total += counts[(int) (b % counts.length)];
         }
-        return since;
+        return total;
     }
 
     public double sum(long now) {
@@ -44,7 +48,7 @@
         return sum;
     }
 
-    /** The mean over the span, 0 when it is empty. */
+    /** Mean over the window; 0 when it is empty. */
     public double mean(long now) {
         turn(now);
         return count > 0 ? sum / count : 0;
--- a/core/src/main/java/tallyweir/rules/Rules.java
+++ b/core/src/main/java/tallyweir/rules/Rules.java
@@ -4,17 +4,18 @@
 import java.util.List;
 import java.util.function.BooleanSupplier;
 
-/** An ordered list of short rules, condition and effect, gone through after each input until none fires. */
+/** An ordered list of rules, each a condition and an action. */
 public final class Rules {
     private record Rule(BooleanSupplier when, Runnable then) {}
 
     private final List<Rule> all = new ArrayList<>();
 
-    public void add(BooleanSupplier when, Runnable then) {
-        all.add(new Rule(when, then));
+    /** Adds a rule after those added before. */
+    public void add(BooleanSupplier condition, Runnable action) {
+        all.add(new Rule(condition, action));
     }
 
-    /** The first whose condition holds takes effect, then from the first again. */
+    /** Runs the first rule whose condition holds and starts again from the first, until no condition holds. */
     public void settle() {
         for (int i = 0; i < all.size(); ) {
             if (all.get(i).when.getAsBoolean()) {
--- a/core/src/main/java/tallyweir/search/Search.java
+++ b/core/src/main/java/tallyweir/search/Search.java
@@ -8,57 +8,69 @@
 import java.util.function.Supplier;
 
 /**
- * Plays every order of events that a world can bring about and looks in each state at what must never be. Every state is
- * reached by playing its events anew, so nothing need be copied; states that look the same are gone on from once
- * (Holzmann's and others' explicit search).
+ * Explicit-state search in the manner of Holzmann and others: tries every order of events that the system allows and
+ * checks the rules in each state. Each state is reached by replaying its events from the start, so no state has to be
+ * copied; states with equal descriptions are expanded once.
  */
 public final class Search {
-    /** What was seen. */
+    /**
+     * The result of a search.
+     *
+     * @param states distinct states reached
+     * @param steps actions carried out, replays not counted
+     * @param quiescentStates in which the system was quiescent
+     * @param violations each with the actions that lead to it; empty if there is none
+     */
     public record Seen(long states, long steps, long ends, List<String> wrong) {}
 
     private Search() {}
 
-    /** @param most states at the most, after which it gives up and says so */
-    public static Seen explore(Supplier<? extends World> start, long most) {
-        Set<String> known = new HashSet<>();
-        ArrayDeque<List<String>> open = new ArrayDeque<>();
-        List<String> wrong = new ArrayList<>();
-        open.add(List.of());
-        known.add(start.get().describe());
+    /**
+     * Explores all states breadth first, until the first state with a violation has been expanded.
+     *
+     * @param initial creates the system in its initial state
+     * @param maxStates after which the search ends with a violation that says so
+     */
+    public static Seen explore(Supplier<? extends World> initial, long maxStates) {
+        Set<String> visited = new HashSet<>();
+        ArrayDeque<List<String>> frontier = new ArrayDeque<>();
+        List<String> violations = new ArrayList<>();
+        frontier.add(List.of());
+        visited.add(initial.get().describe());
         long steps = 0;
-        long ends = 0;
-        while (!open.isEmpty() && wrong.isEmpty()) {
-            List<String> path = open.poll();
-            World before = played(start, path);
-            List<String> next = before.enabled();
-            if (before.rests(next)) {
-                ends++;
-                String rest = before.wrongAtRest();
-                if (rest != null) {
-                    wrong.add(rest + ": " + path);
+        long quiescentStates = 0;
+        while (!frontier.isEmpty() && violations.isEmpty()) {
+            List<String> path = frontier.poll();
+            World before = played(initial, path);
+            List<String> enabled = before.enabled();
+            if (before.rests(enabled)) {
+                quiescentStates++;
+                String violation = before.wrongAtRest();
+                if (violation != null) {
+                    violations.add(violation + ": " + path);
                 }
             }
-            for (String action : next) {
-                World w = played(start, path);
-                w.act(action);
+            for (String action : enabled) {
+                World after = played(initial, path);
+                after.act(action);
                 steps++;
-                List<String> here = new ArrayList<>(path);
-                here.add(action);
-                w.wrong().forEach(x -> wrong.add(x + ": " + here));
-                if (known.add(w.describe())) {
-                    open.add(here);
+                List<String> extended = new ArrayList<>(path);
+                extended.add(action);
+                after.wrong().forEach(broken -> violations.add(broken + ": " + extended));
+                if (visited.add(after.describe())) {
+                    frontier.add(extended);
                 }
             }
-            if (known.size() > most) {
-                wrong.add("given up after " + most + " states");
+            if (visited.size() > maxStates) {
+                violations.add("given up after " + maxStates + " states");
             }
         }
-        return new Seen(known.size(), steps, ends, wrong);
+        return new Seen(visited.size(), steps, quiescentStates, violations);
     }
 
-    private static World played(Supplier<? extends World> start, List<String> path) {
-        World w = start.get();
-        path.forEach(w::act);
-        return w;
+    private static World played(Supplier<? extends World> initial, List<String> path) {
+        World system = initial.get();
+        path.forEach(system::act);
+        return system;
     }
 }
--- a/core/src/main/java/tallyweir/search/World.java
+++ b/core/src/main/java/tallyweir/search/World.java
@@ -2,22 +2,23 @@
 
 import java.util.List;
 
-/** Real parts and what is round them, at one moment of a search: what could happen next, and what has gone wrong. */
+/** The system under search, made of real components and a simulated environment, in one state of a search. */
 public interface World {
-    /** All that its future hangs on; two that say the same are one. */
+    /** Describes everything that affects future behaviour; states with equal descriptions are treated as one. */
     String describe();
 
-    /** What could happen next. */
+    /** Actions that can happen next. */
     List<String> enabled();
 
+    /** Carries out one of the enabled actions. */
     void act(String action);
 
-    /** Whether nothing more would happen by itself, these being enabled. */
+    /** Whether nothing more would happen without an outside event, given these enabled actions. */
     boolean rests(List<String> enabled);
 
-    /** What must not be in a world that rests, null if all is well. */
+    /** Violation of a rule that holds only in quiescent states; null if there is none. */
     String wrongAtRest();
 
-    /** What has gone wrong so far. */
+    /** Rules violated so far. */
     List<String> wrong();
 }
--- a/core/src/test/java/tallyweir/ColdFleetTest.java
+++ b/core/src/test/java/tallyweir/ColdFleetTest.java
@@ -21,31 +21,33 @@
 import tallyweir.ids.WorkloadId;
 
 /**
- * Many servers that start anew at once over one store, each with far more queries than it may run: what each cold one has on its
- * cores, and what all of them together have sent below, those before the start too, stays within what the settings allow.
+ * Restarts a whole fleet at once over one store, with far more queries than it may run. The concurrent runs of each
+ * cold server, and the calls that all servers together have in flight at the store, those from before the restart
+ * included, must stay within what the settings allow.
  */
 class ColdFleetTest {
-    private static final long TICK = 100; // a hundredth of a second
+    // All times are tenths of a millisecond.
+    private static final long TICK = 100;
     private static final long SPAN = 50_000;
     private static final long LINGER = 2_000;
     private static final int CORES = 4;
     private static final double FALL = 8;
     private static final double COLD_FROM = 0.25;
     private static final long COLD_FOR = 100_000;
-    private static final long RUN = 300; // on the cores, before the call and after it
+    private static final long RUN = 300; // time on the cores before the call, and again after it
     private static final WorkloadId CALLS = new WorkloadId("calls");
 
-    /** One server, its cores and what it has in the store's hands. */
+    /** One server with simulated cores and calls in flight. */
     private static final class Place implements Outgoing {
         final Choice choice;
         final long born;
         final boolean cold;
         final double callLength;
-        final boolean calls; // else all the time is spent on the cores
-        final double asked; // queries in a tick
-        final Map<QueryId, Long> onCores = new HashMap<>(); // until when
-        final Set<QueryId> called = new HashSet<>(); // those whose call went well
-        final Map<QueryId, long[]> inHand = new HashMap<>(); // when the reply comes, until when it is waited for
+        final boolean calls; // else a run spends all its time on the cores
+        final double asked; // queries per tick
+        final Map<QueryId, Long> onCores = new HashMap<>(); // when the query leaves them
+        final Set<QueryId> called = new HashSet<>(); // queries whose call completed
+        final Map<QueryId, long[]> inHand = new HashMap<>(); // time of the reply, deadline
         final SplittableRandom chance;
         long now;
         long last;
@@ -54,13 +56,13 @@
         Place(
                 long now,
                 boolean cold,
-                double callsOut,
+                double maxCallsInFlight,
                 double callLength,
-                double asked,
+                double load,
                 boolean calls,
                 SplittableRandom chance) {
             this.calls = calls;
-            this.asked = asked;
+            this.asked = load;
             this.now = now;
             this.cold = cold;
             this.callLength = callLength;
@@ -70,7 +72,7 @@
             choice.clock(now);
             choice.machine(CORES, FALL, cold, COLD_FROM, COLD_FOR, Halt.ABORT);
             choice.memory(1e6, 4, 30);
-            choice.below(callsOut, SPAN, LINGER);
+            choice.below(maxCallsInFlight, SPAN, LINGER);
             choice.workload(CALLS, Effect.HARMLESS, 18_000, 46_000, 1, 0, 0, true, 0);
             choice.duties(50, 10_000, 1);
             choice.callers(Said.OFF, 0, 10_000);
@@ -128,8 +130,8 @@
         @Override
         public void wake(long at, TimerId timer) {}
 
-        void tick(long to, ArrayDeque<Long> lingering) {
-            now = to;
+        void tick(long time, ArrayDeque<Long> lingering) {
+            now = time;
             choice.clock(now);
             for (double i = chance.nextDouble(); i < asked; i++) {
                 choice.read(new QueryId(++last), null, new CallerId(1), null, CALLS, 1, 0, 0.5, 20_000, false, null, 0);
@@ -160,7 +162,8 @@
                 }
             }
             if (now / TICK % 10 == 0) {
-                choice.gauges(0.5, calls ? onCores.size() : 0); // the cores seem free, so as many run as are let
+                // The cores seem free, so as many queries run as the limit allows.
+                choice.gauges(0.5, calls ? onCores.size() : 0);
                 choice.timer(Choice.GAUGES);
             }
             choice.timer(new TimerId(2));
@@ -172,74 +175,74 @@
             @ForAll @IntRange(min = 20, max = 30) int servers,
             @ForAll long seed,
             @ForAll boolean calls,
-            @ForAll @LongRange(min = 20, max = 250) long down) {
+            @ForAll @LongRange(min = 20, max = 250) long downTicks) {
         SplittableRandom chance = new SplittableRandom(seed);
         double callsOut = 0.8 + 4 * chance.nextDouble();
         double length = 1_000 + 4_000 * chance.nextDouble();
-        double asked = callsOut
+        double load = callsOut
                 * TICK
                 / length
-                * (0.8 + 2 * chance.nextDouble()); // of what may be called, somewhat less or far more
+                * (0.8 + 2 * chance.nextDouble()); // from somewhat less to far more than the store may be called for
         long start = 1_000_000;
         List<Place> fleet = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
-            fleet.add(new Place(start, false, callsOut, length, asked, calls, chance.split()));
+            fleet.add(new Place(start, false, callsOut, length, load, calls, chance.split()));
         }
         ArrayDeque<Long> lingering = new ArrayDeque<>();
         ArrayDeque<Integer> window = new ArrayDeque<>();
-        double held = 0;
-        double most = 0;
-        double mostOnCores = 0;
+        double callsInWindow = 0;
+        double maxCalls = 0;
+        double maxConcurrencyRatio = 0;
         int served = 0;
-        int warm = 0;
+        int servedBefore = 0;
         for (int t = 1; t < 2_500; t++) {
             long now = start + t * TICK;
-            if (t == 1_000) { // all end; what they have sent lingers
+            if (t == 1_000) { // all servers stop; their calls linger at the store
                 fleet.forEach(p -> p.inHand.keySet().forEach(q -> lingering.add(now + LINGER)));
-                warm = fleet.stream().mapToInt(p -> p.served).sum();
+                servedBefore = fleet.stream().mapToInt(p -> p.served).sum();
                 fleet.clear();
             }
-            if (t == 1_000 + down) {
+            if (t == 1_000 + downTicks) {
                 for (int i = 0; i < servers; i++) {
-                    fleet.add(new Place(now, true, callsOut, length, asked, calls, chance.split()));
+                    fleet.add(new Place(now, true, callsOut, length, load, calls, chance.split()));
                 }
             }
             int inHand = 0;
             for (Place p : fleet) {
                 p.tick(now, lingering);
                 inHand += p.inHand.size();
-                mostOnCores = Math.max(mostOnCores, p.onCores.size() / p.allowed());
+                maxConcurrencyRatio = Math.max(maxConcurrencyRatio, p.onCores.size() / p.allowed());
             }
             lingering.removeIf(until -> until <= now);
             inHand += lingering.size();
             window.add(inHand);
-            held += inHand;
+            callsInWindow += inHand;
             if (window.size() > SPAN / TICK) {
-                held -= window.poll();
+                callsInWindow -= window.poll();
             }
-            most = Math.max(most, held * TICK / length);
+            maxCalls = Math.max(maxCalls, callsInWindow * TICK / length);
         }
         for (Place p : fleet) {
             served += p.served;
         }
         double budget = servers * callsOut * SPAN / length;
         System.out.printf(
-                "cold fleet: %d servers, down %d, calls out %.2f of %.0f: most %.0f of %.0f (%.2f), on cores %.2f, asked %.2f, served %d then %d%n",
+                "cold fleet: %d servers, down %d ticks, calls in flight %.2f of duration %.0f: max %.0f of %.0f (%.2f), concurrency ratio %.2f, load %.2f, served %d before and %d after%n",
                 servers,
-                down,
+                downTicks,
                 callsOut,
                 length,
-                most,
+                maxCalls,
                 budget,
-                most / budget,
-                mostOnCores,
-                asked * length / TICK / callsOut,
-                warm,
+                maxCalls / budget,
+                maxConcurrencyRatio,
+                load * length / TICK / callsOut,
+                servedBefore,
                 served);
-        assertTrue(mostOnCores <= 1, "on the cores, of what is allowed: " + mostOnCores);
+        assertTrue(maxConcurrencyRatio <= 1, "concurrent runs relative to the allowed number: " + maxConcurrencyRatio);
         assertTrue(
-                most <= budget + 2 * Math.sqrt(budget) + 2,
-                most + " calls of mean length in the span, allowed are " + budget);
-        assertTrue(served > warm * 0.4, "they serve " + served + ", and before the start " + warm);
+                maxCalls <= budget + 2 * Math.sqrt(budget) + 2,
+                maxCalls + " calls of mean duration in the window, allowed are " + budget);
+        assertTrue(served > servedBefore * 0.4, "served after the restart: " + served + ", before it: " + servedBefore);
     }
 }
--- a/core/src/test/java/tallyweir/FailuresTest.java
+++ b/core/src/test/java/tallyweir/FailuresTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import tallyweir.Model.Seen;
 
-/** One small test for each failure found on the bench or in the rules. */
+/** Regression tests: one for each fault found in simulations or by the generated tests. */
 class FailuresTest {
     private Model m = new Model(7, false, Halt.ABORT, Said.OFF, 6, 10_000);
 
@@ -16,8 +16,8 @@
         return m.log.stream().filter(a -> a.startsWith(action)).count();
     }
 
-    /** Fills the cores, and ends some runs after a while so that the length of a run is known. */
-    private List<Seen> busyServer(int more) {
+    /** Fills the cores after a first set of completed runs, so that the duration of a run is known. */
+    private List<Seen> busyServer(int waiting) {
         List<Seen> all = new ArrayList<>();
         for (int i = 0; i < Model.CORES; i++) {
             all.add(m.read(0, 0, 40_000, 10, false, null));
@@ -26,7 +26,7 @@
         for (Seen q : List.copyOf(all)) {
             m.settled(q, Outcome.COMPLETED);
         }
-        for (int i = 0; i < Model.CORES + more; i++) {
+        for (int i = 0; i < Model.CORES + waiting; i++) {
             all.add(m.read(3, 0, 40_000, 10, false, null));
         }
         return all;
@@ -39,10 +39,10 @@
         for (int i = 0; i < 10; i++) {
             m.read(0, 0, 40_000, 10, false, null);
         }
-        assertEquals(10, count("defer") - before, "the low band is certain");
+        assertEquals(10, count("defer") - before, "the low band is refused for certain");
         long low = count("defer");
         m.read(3, 0, 40_000, 10, false, null);
-        assertEquals(low, count("defer"), "the top band is not touched yet");
+        assertEquals(low, count("defer"), "the top band is not refused yet");
     }
 
     @Test
@@ -58,7 +58,7 @@
         Seen q = m.read(0, 0, 40_000, 10, false, null);
         m.pass(18_050, 0.2, 1);
         assertTrue(q.answered);
-        assertEquals(List.of("defer " + q.id, "stop " + q.id), m.log.subList(m.log.size() - 2, m.log.size()));
+        assertEquals(List.of("defer " + q.id, "cancel " + q.id), m.log.subList(m.log.size() - 2, m.log.size()));
     }
 
     @Test
@@ -70,10 +70,10 @@
         assertEquals("held", repeat.place);
         m.settled(all.get(Model.CORES), Outcome.COMPLETED);
         assertEquals("running", last.place);
-        assertEquals("waits on reuse", repeat.place);
+        assertEquals("waiting for replay", repeat.place);
     }
 
-    /** A check waits where an answer is owed on each connection, and the server looks dead while it is only busy. */
+    /** A health check got no answer while every connection had an unanswered query, so a busy server looked dead. */
     @Test
     void theLastConnectionIsLeftToHealthChecks() {
         m.choice.lastConnection(true);
@@ -84,7 +84,7 @@
         assertEquals(List.of(1L, 1L), List.of(count("defer"), count("run")));
     }
 
-    /** The rules once went round for ever on work that was stopped, fell back and then ran out of time. */
+    /** The rules looped forever on a query that was cancelled, returned to the queue and then ran out of time. */
     @Test
     void stoppedWorkThatFellBackIsAnsweredOnceInTime() {
         List<Seen> all = busyServer(0);
@@ -98,14 +98,14 @@
         assertEquals(List.of(), m.wrong);
     }
 
-    /** A crawling server once took queries that had lain unread past their expected time, for want of other work. */
+    /** A very slow server with little load admitted queries that had lain unread past their expected time. */
     @Test
     void whatLayUnreadPastItsExpectedTimeIsDeferred() {
         Seen q = m.read(3, 18_001, 20_000, 10, false, null);
         assertEquals(List.of("defer " + q.id), m.log.subList(m.log.size() - 1, m.log.size()));
     }
 
-    /** Late runs at calls once shed workloads that call nothing. */
+    /** Runs that were late because of their calls caused refusals of workloads that call nothing. */
     @Test
     void lateCallsDoNotShedWhatCallsNothing() {
         for (int i = 0; i < 12; i++) {
@@ -120,22 +120,22 @@
             m.settled(q, Outcome.COMPLETED);
         }
         m.read(0, 0, 40_000, 10, false, null);
-        assertTrue(m.log.get(m.log.size() - 1).startsWith("defer"), "what calls is shed");
+        assertTrue(m.log.get(m.log.size() - 1).startsWith("defer"), "queries that call are refused");
         Seen top = m.read(3, 0, 40_000, 10, false, null);
         assertEquals("running", top.place);
     }
 
-    /** A call that could be left out was once waited for until no time was left for the poorer answer. */
+    /** A query waited for an optional call until no time was left for the degraded answer. */
     @Test
     void aCallThatFailsEndsInThePoorerAnswer() {
         Seen q = m.read(0, 0, 40_000, 10, false, null);
         m.needs(q);
         assertEquals("calling", q.place);
         m.pass(9_500, 0.1, 1);
-        assertEquals("poorer " + q.id, m.log.get(m.log.size() - 1));
+        assertEquals("degrade " + q.id, m.log.get(m.log.size() - 1));
     }
 
-    /** Two repeats of held stamped work both ran once when the first try's caller went away. */
+    /** Two repeats of a held stamped query both ran after the caller of the original disconnected. */
     @Test
     void onlyOneRepeatTakesThePlaceOfStampedWorkThatNeverRan() {
         List<Seen> all = busyServer(0);
@@ -147,11 +147,11 @@
         for (Seen q : all.subList(Model.CORES, all.size())) {
             m.settled(q, Outcome.COMPLETED);
         }
-        assertEquals(List.of("running", "waits on reuse"), List.of(second.place, third.place));
+        assertEquals(List.of("running", "waiting for replay"), List.of(second.place, third.place));
         assertEquals(List.of(), m.wrong);
     }
 
-    /** Callers told to keep off where reading is quick once held back the top revenue too. */
+    /** Advice to wait, given although reading was quick, also kept queries of the highest revenue away. */
     @Test
     void adviceGrowsWithTheTimeThatQueriesLieUnread() {
         busyServer(8);
@@ -163,7 +163,7 @@
         assertTrue(m.lastKeepOff > 2_000, "" + m.lastKeepOff);
     }
 
-    /** Hundreds of callers that came once each kept a full table, and the others were turned back unseen. */
+    /** Hundreds of callers that came only once kept the connection table full, so that others could not connect. */
     @Test
     void connectionsOfCallersThatSeldomComeBackAreClosedSoon() {
         for (m.caller = 1; m.caller < 40; m.caller++) {
@@ -171,22 +171,22 @@
             m.pass(1_000, 0.1, 1);
         }
         assertEquals(
-                List.of("closeIdle 100"),
-                m.log.stream().filter(a -> a.startsWith("closeIdle")).toList());
+                List.of("idleTimeout 100"),
+                m.log.stream().filter(a -> a.startsWith("idleTimeout")).toList());
         Model few = new Model(7, false, Halt.ABORT, Said.OFF, 6, 0);
         for (int i = 0; i < 40; i++) {
             few.caller = i % 4;
             few.read(3, 0, 40_000, 10, false, null);
             few.pass(1_000, 0.1, 1);
         }
-        assertTrue(few.log.lastIndexOf("closeIdle 12000") > few.log.lastIndexOf("closeIdle 100"));
+        assertTrue(few.log.lastIndexOf("idleTimeout 12000") > few.log.lastIndexOf("idleTimeout 100"));
     }
 
-    /** Each further try opened a connection of its own, until the tries left few cores to the runs. */
+    /** Each retry opened a connection of its own, until the retries left few cores for the runs. */
     @Test
     void furtherTriesGoLastOnceTheyAreMany() {
-        List<Integer> taken = new ArrayList<>();
-        for (boolean again : new boolean[] {false, true}) {
+        List<Integer> admitted = new ArrayList<>();
+        for (boolean retry : new boolean[] {false, true}) {
             Model many = new Model(7, false, Halt.ABORT, Said.OFF, 6, 0);
             for (int i = 0; i < 60; i++) {
                 many.read(0, 0, 40_000, 10, true, null);
@@ -195,15 +195,15 @@
             many.choice.gauges(0.5, Model.CORES);
             many.log.clear();
             for (int i = 0; i < 8; i++) {
-                many.read(0, 0, 40_000, 10, again, null);
+                many.read(0, 0, 40_000, 10, retry, null);
             }
-            taken.add(8
+            admitted.add(8
                     - (int) many.log.stream().filter(a -> a.startsWith("defer")).count());
         }
-        assertTrue(taken.get(0) > taken.get(1), "" + taken);
+        assertTrue(admitted.get(0) > admitted.get(1), "" + admitted);
     }
 
-    /** After a burst an idle server went on turning its further tries away, which brought more of them. */
+    /** After a burst an idle server went on refusing the retries, which caused more of them. */
     @Test
     void furtherTriesInNumbersAreTakenByAnIdleServer() {
         for (int i = 0; i < 40; i++) {
@@ -215,15 +215,15 @@
         assertEquals(0, count("defer"));
     }
 
-    /** Callers with ever new numbers filled the memory; what is forgotten of them changes no span. */
+    /** Callers with ever new ids filled the memory. Forgetting them must not change the chosen idle timeout. */
     @Test
     void callersThatStayAwayAreForgottenWithoutLoss() {
         long[] spans = {1_000, 200, 40};
-        Returns kept = new Returns(0, spans, 4_000, 12);
-        ring(kept, 1_000, 0);
-        ring(kept, 3_000, 10_000);
-        assertEquals(1_002, kept.known(), "those of the longest span, and the one that comes back");
-        assertEquals(200, kept.best(13_000), "the one that comes back after 100 decides");
+        Returns timeouts = new Returns(0, spans, 4_000, 12);
+        ring(timeouts, 1_000, 0);
+        ring(timeouts, 3_000, 10_000);
+        assertEquals(1_002, timeouts.known(), "the callers within the longest timeout, and the one that returns");
+        assertEquals(200, timeouts.best(13_000), "decided by the caller that returns after 100");
     }
 
     private static void ring(Returns of, int reads, long from) {
@@ -235,7 +235,7 @@
         }
     }
 
-    /** Among a hundred servers one's share is about one call, and less than all the time a query may wait for it. */
+    /** In a large fleet a server's share is about one call, which may be less than a query's time to wait for it. */
     @Test
     void aShareSmallerThanAQuerysTimeStillCallsAtOnceAndForAll() {
         m.choice.below(0.3, Model.SPAN, Model.LINGER);
@@ -245,29 +245,29 @@
                 m.read(3, 0, 40_000, 10, false, null));
         for (Seen q : all) {
             m.needs(q);
-            assertEquals("calling", q.place, "idle share, query " + q.id);
+            assertEquals("calling", q.place, "the share is free, query " + q.id);
             m.pass(200, 0.5, 1);
             m.called(q, Outcome.COMPLETED);
         }
         assertEquals(List.of(), m.wrong);
     }
 
-    /** A reply that never comes once kept a small share of the calls from all others until its query was past use. */
+    /** A lost reply blocked a small share of the calls for all other queries until its own query was worthless. */
     @Test
     void aLostReplyCostsItsPartOfTheShareAndIsAskedForAgain() {
         m.choice.below(0.4, Model.SPAN, Model.LINGER);
         Seen lost = m.read(3, 0, 40_000, 10, false, null);
         m.needs(lost);
-        long promised = lost.callUntil - m.now;
-        assertTrue(promised < Model.SPAN * 0.4 / 3, "promised " + promised);
-        m.pass(promised, 0.5, 1);
+        long reserved = lost.callUntil - m.now;
+        assertTrue(reserved < Model.SPAN * 0.4 / 3, "reserved " + reserved);
+        m.pass(reserved, 0.5, 1);
         m.called(lost, Outcome.OVERDUE);
         m.pass(1_100, 0.5, 1);
         assertEquals("calling", lost.place);
-        assertTrue(lost.callUntil - m.now > promised, "one that was too short gets more");
+        assertTrue(lost.callUntil - m.now > reserved, "a reservation that was too short grows");
     }
 
-    /** A failing server once took all that came, since it was idle, and errored it; a good one would have served it. */
+    /** A failing server was idle, so it took and errored all queries although others could have served them. */
     @Test
     void aServerWhoseRunsFailTurnsAwayAndTriesAgainLater() {
         for (int i = 0; i < 2 * Model.CORES; i++) {
@@ -277,24 +277,24 @@
                 m.settled(q, Outcome.ERRORED);
             }
         }
-        assertTrue(count("run") <= Model.CORES, "runs " + count("run"));
+        assertTrue(count("run") <= Model.CORES, "runs started: " + count("run"));
         long runs = count("run");
         m.pass(Choice.LATE_SPAN + 5_000, 0, 0);
         m.read(3, 0, 40_000, 10, false, null);
-        assertEquals(runs + 1, count("run"), "one that has been left alone tries again");
+        assertEquals(runs + 1, count("run"), "after a pause the server tries again");
     }
 
-    /** What fails at once is no short run: the next that runs well takes as long as before. */
+    /** Runs that failed at once were taken for short runs, although the next good run takes as long as before. */
     @Test
     void failedRunsDoNotCountAsShortOnes() {
         List<Seen> all = busyServer(0);
         all.subList(Model.CORES, 2 * Model.CORES - 2).forEach(q -> m.settled(q, Outcome.ERRORED));
         long before = count("defer");
         m.read(3, 0, 3_000, 10, false, null);
-        assertEquals(1, count("defer") - before, "3,000 are left for a run of 4,000");
+        assertEquals(1, count("defer") - before, "3,000 left for a run of 4,000");
     }
 
-    /** A fleet told as none, an unknown tenant, a quota of 0 and no idle time are settings like others. */
+    /** A fleet size of 0, an unknown tenant, a quota of 0 and an idle time of 0 are valid settings. */
     @Test
     void countsOfNoneAndUnknownTenantsBreakNothing() {
         m.choice.tenant(new tallyweir.ids.TenantId("a"), 0, 0);
@@ -316,38 +316,41 @@
                 .toList();
     }
 
-    /** Where tries bear no mark nothing told callers to stop, and the tries took the cores from the runs. */
+    /** Retries that were not marked as such were never discouraged, and took the cores from the runs. */
     @Test
     void manyRefusalsOfFirstTriesAskNotToTryElsewhere() {
         busyServer(1);
-        List<Boolean> told = new ArrayList<>();
+        List<Boolean> finalRefusals = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             m.read(0, 0, 2_000, 10, false, null);
-            told.add(m.lastNowhereElse);
+            finalRefusals.add(m.lastNowhereElse);
         }
-        assertEquals(List.of(false, true), List.of(told.get(0), told.get(5)), "one says nothing of the others, six do");
+        assertEquals(
+                List.of(false, true),
+                List.of(finalRefusals.get(0), finalRefusals.get(5)),
+                "one refusal says nothing about the other servers, six do");
     }
 
-    /** Queries of the highest revenue were refused for a hold that held queries of the lowest. */
+    /** Queries of the highest revenue were refused because the waiting queue was full of queries of the lowest. */
     @Test
     void theHoldGoesByRevenueAndTheWaitCountsWhatGoesFirst() {
         List<Seen> all = busyServer(0);
         List<Seen> low = reads(3, 0);
         Seen top = m.read(3, 0, 7_000, 10, false, null);
-        assertEquals("held", top.place, "a run of 4,000 and its own wait of 1,000 fit, three more waits do not");
+        assertEquals("held", top.place, "a run of 4,000 after one wait of 1,000 is in time, after four it is not");
         m.settled(all.get(Model.CORES), Outcome.COMPLETED);
         assertEquals("running", top.place);
         assertTrue(low.stream().noneMatch(q -> q.place.equals("running")));
     }
 
-    /** A server that makes a few calls a second never knew that they were slow, and waited for them to the end. */
+    /** A server with few calls per second never noticed that they were slow, and waited until each call's deadline. */
     @Test
     void fewSlowCallsAreKnownAndTheNextGetsAPoorerAnswerAtOnce() {
         m.choice.below(0.4, Model.SPAN, Model.LINGER);
         for (int i = 0; i < 30; i++) {
             Seen q = reads(1, 0).get(0);
             m.needs(q);
-            assertTrue(q.callUntil - m.now < 5_000, "a part of the share, not half the time left");
+            assertTrue(q.callUntil - m.now < 5_000, "limited by its part of the share, not by half the time left");
             m.pass(200, 0.1, 1);
             m.called(q, Outcome.COMPLETED, i < 20 ? 100 : 400);
             m.settled(q, Outcome.COMPLETED);
@@ -355,31 +358,35 @@
         }
         Seen next = reads(1, 0).get(0);
         m.needs(next);
-        assertEquals("poorer " + next.id, m.log.get(m.log.size() - 1), "the pace leaves no room");
+        assertEquals("degrade " + next.id, m.log.get(m.log.size() - 1), "no call time is left");
         assertEquals(List.of(), m.wrong);
     }
 
-    /** Calls that were slow from the start had no usual length, and queries waited for room until they were given up. */
+    /**
+     * Calls that were slow from the start had no usual duration to compare with, and queries waited for call time
+     * until given up.
+     */
     @Test
     void aShareUsedUpEndsInPoorerAnswersWithoutAUsualLength() {
         m.choice.below(0.05, Model.SPAN, Model.LINGER);
         List<Seen> all = reads(3, 0);
         all.forEach(m::needs);
         m.pass(2_100, 0.1, 1);
-        assertTrue(m.log.contains("poorer " + all.get(1).id) && m.log.contains("poorer " + all.get(2).id), "" + m.log);
+        assertTrue(
+                m.log.contains("degrade " + all.get(1).id) && m.log.contains("degrade " + all.get(2).id), "" + m.log);
     }
 
-    /** A run and a reading fill a few cores by chance, and the lowest revenue was shed for it. */
+    /** Reading a query during a run can fill a few cores by chance, which caused refusals of the lowest revenue. */
     @Test
     void coresFullByChanceShedNothing() {
-        for (int shed = 0; shed < 2; shed++) {
-            m.choice.gauges(1, shed == 0 ? Model.CORES + 2 : 3 * Model.CORES);
+        for (int refused = 0; refused < 2; refused++) {
+            m.choice.gauges(1, refused == 0 ? Model.CORES + 2 : 3 * Model.CORES);
             reads(1, 0);
-            assertEquals(shed, count("defer"));
+            assertEquals(refused, count("defer"));
         }
     }
 
-    /** A query of the highest revenue waited behind runs of the lowest that could have been taken up again later. */
+    /** A query of the highest revenue waited behind runs of the lowest that could have been suspended. */
     @Test
     void aRunIsPausedForADearerQueryAndTakenUpAgain() {
         m = new Model(7, false, Halt.SUSPEND, Said.OFF, 6, 0);
@@ -389,16 +396,20 @@
         Seen last = reads(Model.CORES, 0).get(Model.CORES - 1);
         for (int i = 0; i < 60; i++) {
             Seen top = m.read(3, 0, 4_500, 10, false, null);
-            assertEquals("stop " + last.id, m.log.get(m.log.size() - 1), "a run of 4,000 fits if it need not wait");
+            assertEquals(
+                    "cancel " + last.id, m.log.get(m.log.size() - 1), "a run of 4,000 is in time only without a wait");
             m.settled(last, Outcome.RECALLED);
-            assertEquals(List.of("running", "held"), List.of(top.place, last.place), "memory is given back, time " + i);
+            assertEquals(
+                    List.of("running", "held"), List.of(top.place, last.place), "memory is released, repetition " + i);
             m.settled(top, Outcome.COMPLETED);
             assertEquals("running", last.place);
         }
         assertEquals(List.of(), m.wrong);
     }
 
-    /** An order that stood at a call past its expected time was kept to its hard limit, or called in vain. */
+    /**
+     * A stamped query blocked on a call past its expected time was kept until its hard limit, or made a useless call.
+     */
     @Test
     void stampedWorkAtACallPastItsUseIsAnsweredAtOnce() {
         m.choice.below(0.05, Model.SPAN, Model.LINGER);
@@ -408,13 +419,13 @@
         m.pass(10_000, 0.1, 1);
         m.needs(reads(1, 3).get(0));
         m.pass(8_100, 0.1, 1);
-        assertTrue(m.log.contains("fail " + all.get(1).id), "also behind a dearer one: " + m.log);
+        assertTrue(m.log.contains("fail " + all.get(1).id), "also behind a query of higher revenue: " + m.log);
         m.needs(all.get(2));
         assertEquals("fail " + all.get(2).id, m.log.get(m.log.size() - 1));
         assertEquals(List.of(), m.wrong);
     }
 
-    /** A lost reply among many calls was taken for slowness, and fewer went out for it. */
+    /** One lost reply among many calls was taken for a slow store, and fewer calls were sent. */
     @Test
     void oneLostReplyAmongManyCallsCutsNothing() {
         for (int i = 0; i < 40; i++) {
@@ -423,12 +434,12 @@
             m.pass(500, 0.1, 1);
             m.called(q, i == 36 ? Outcome.OVERDUE : Outcome.COMPLETED, i == 36 ? 15_000 : 100);
             m.pass(500, 0.1, 1);
-            m.at("calling").forEach(again -> m.called(again, Outcome.COMPLETED));
+            m.at("calling").forEach(calling -> m.called(calling, Outcome.COMPLETED));
             m.settled(q, Outcome.COMPLETED);
         }
         for (Seen q : reads(6, 1)) {
             m.needs(q);
-            assertEquals("calling", q.place, "of a share of six");
+            assertEquals("calling", q.place, "within a share of six calls");
         }
         assertEquals(List.of(), m.wrong);
     }
--- a/core/src/test/java/tallyweir/Model.java
+++ b/core/src/test/java/tallyweir/Model.java
@@ -13,7 +13,10 @@
 import tallyweir.ids.TimerId;
 import tallyweir.ids.WorkloadId;
 
-/** The four rules written out plainly, from the wire's page: it watches one Choice and says what is not allowed. */
+/**
+ * A plain model of the four rules, written from the specification of the wire protocol. It observes one {@link
+ * Choice} and records each action that the rules forbid. Times are tenths of a millisecond.
+ */
 final class Model implements Outgoing {
     static final int CORES = 4;
     static final double FALL = 6;
@@ -51,7 +54,8 @@
     final List<String> log = new ArrayList<>();
     final TreeMap<Long, List<Long>> timers = new TreeMap<>();
     final Map<Long, Long> entries = new HashMap<>();
-    final List<long[]> calls = new ArrayList<>(); // from, until, id; until is MAX while in hand
+    // Start, end, query id; the end is MAX_VALUE while the call is in flight.
+    final List<long[]> calls = new ArrayList<>();
     final Choice choice;
     final boolean cold;
     final Halt halt;
@@ -95,14 +99,14 @@
         choice.start();
     }
 
-    // ---- news
+    // ---- events
 
-    Seen read(int workload, long age, long patience, double size, boolean again, Seen earlier) {
+    Seen read(int workload, long age, long timeout, double size, boolean retry, Seen earlier) {
         Seen q = new Seen();
         q.id = ids++;
         q.workload = NAMES[workload];
         q.arrived = now - age;
-        q.due = patience > 0 ? now + patience : Math.max(now, q.arrived + HARD);
+        q.due = timeout > 0 ? now + timeout : Math.max(now, q.arrived + HARD);
         q.size = size;
         q.earlier = earlier;
         seen.put(q.id, q);
@@ -115,20 +119,20 @@
                 size,
                 age,
                 0.5,
-                patience,
-                again,
+                timeout,
+                retry,
                 new TenantId("a"),
                 0);
         check();
         return q;
     }
 
-    void settled(Seen q, Outcome how) {
+    void settled(Seen q, Outcome outcome) {
         leave(q, true);
-        q.paused = how == Outcome.RECALLED && !q.answered && halt == Halt.SUSPEND;
-        q.place = how == Outcome.RECALLED && !q.answered ? "held" : "over";
-        q.answered |= how != Outcome.RECALLED;
-        choice.ended(new QueryId(q.id), how);
+        q.paused = outcome == Outcome.RECALLED && !q.answered && halt == Halt.SUSPEND;
+        q.place = outcome == Outcome.RECALLED && !q.answered ? "held" : "over";
+        q.answered |= outcome != Outcome.RECALLED;
+        choice.ended(new QueryId(q.id), outcome);
         check();
     }
 
@@ -141,48 +145,48 @@
     }
 
     void needs(Seen q) {
-        q.place = "at call";
+        q.place = "blocked";
         q.mayCall = true;
         choice.standsAtCall(new QueryId(q.id));
         check();
     }
 
-    void called(Seen q, Outcome how) {
-        called(q, how, 100);
+    void called(Seen q, Outcome outcome) {
+        called(q, outcome, 100);
     }
 
-    void called(Seen q, Outcome how, long took) {
-        leave(q, how == Outcome.OVERDUE || how == Outcome.SEVERED);
-        q.place = how == Outcome.COMPLETED ? "running" : "at call";
-        q.mayCall = q.mayCall && (harmless(q) || how == Outcome.SATURATED || how == Outcome.REFUSED_CONN);
-        choice.callEnded(new QueryId(q.id), how, took);
+    void called(Seen q, Outcome outcome, long duration) {
+        leave(q, outcome == Outcome.OVERDUE || outcome == Outcome.SEVERED);
+        q.place = outcome == Outcome.COMPLETED ? "running" : "blocked";
+        q.mayCall = q.mayCall && (harmless(q) || outcome == Outcome.SATURATED || outcome == Outcome.REFUSED_CONN);
+        choice.callEnded(new QueryId(q.id), outcome, duration);
         check();
     }
 
     void gone(Seen q) {
         q.answered = true;
-        if (q.place.equals("held") || q.place.equals("waits on reuse")) {
+        if (q.place.equals("held") || q.place.equals("waiting for replay")) {
             q.place = "over";
         }
         choice.gone(new QueryId(q.id));
         check();
     }
 
-    void drain(long left) {
+    void drain(long timeLeft) {
         drainAt = now;
-        stopAt = now + left;
-        choice.drain(left);
+        stopAt = now + timeLeft;
+        choice.drain(timeLeft);
         check();
     }
 
-    /** Lets time pass in rounds, firing what is due with these gauges. */
-    void pass(long span, double busy, double queue) {
-        for (long end = now + span; now < end && now < stopAt - ROUND; ) {
+    /** Lets time pass in steps of a round and fires the timers that are due, with these gauges. */
+    void pass(long duration, double coresBusy, double runQueue) {
+        for (long end = now + duration; now < end && now < stopAt - ROUND; ) {
             now = Math.min(end, now + ROUND);
             choice.clock(now);
             while (!timers.isEmpty() && timers.firstKey() <= now) {
                 for (long token : timers.pollFirstEntry().getValue()) {
-                    choice.gauges(busy, queue);
+                    choice.gauges(coresBusy, runQueue);
                     choice.timer(new TimerId(token));
                 }
             }
@@ -205,31 +209,31 @@
         return q.workload.equals("look") || q.workload.equals("top");
     }
 
-    // ---- what the rules say
+    // ---- the rules
 
     void check() {
         double kb = 0;
         int on = 0;
         for (Seen q : seen.values()) {
-            boolean begun = List.of("running", "at call", "calling").contains(q.place);
-            kb += begun || q.paused && q.place.equals("held") ? q.size * FACTOR : q.place.equals("over") ? 0 : q.size;
+            boolean started = List.of("running", "blocked", "calling").contains(q.place);
+            kb += started || q.paused && q.place.equals("held") ? q.size * FACTOR : q.place.equals("over") ? 0 : q.size;
             on += q.place.equals("running") ? 1 : 0;
-            deny(!q.answered && !q.place.equals("over") && now > Math.min(q.due + SLACK, stopAt), "lost " + q.id);
+            deny(!q.answered && !q.place.equals("over") && now > Math.min(q.due + SLACK, stopAt), "unanswered " + q.id);
         }
         entries.values().removeIf(until -> until < now);
-        deny(kb + entries.size() * ENTRY_KB > LIMIT_KB, "memory");
+        deny(kb + entries.size() * ENTRY_KB > LIMIT_KB, "memory limit exceeded");
         double warm = cold ? COLD_FROM + (1 - COLD_FROM) * Math.min(1, (now - born) / (double) COLD_FOR) : 1;
-        deny(on > CORES * (1 + (FALL - 1) * warm), "crowd");
+        deny(on > CORES * (1 + (FALL - 1) * warm), "too many concurrent runs");
         double inHand = 0;
         for (long[] c : calls) {
             inHand += Math.max(0, Math.min(c[1], now) - Math.max(c[0], now - SPAN));
         }
-        deny(callsOut > 0 && inHand / SPAN > callsOut, "calls");
+        deny(callsOut > 0 && inHand / SPAN > callsOut, "too many calls in flight");
     }
 
-    private void deny(boolean broken, String what) {
-        if (broken) {
-            wrong.add(what + " at " + now);
+    private void deny(boolean violated, String rule) {
+        if (violated) {
+            wrong.add(rule + " at " + now);
         }
     }
 
@@ -243,7 +247,7 @@
     private void answer(Seen q, String action) {
         deny(q.answered, "second answer by " + action + " for " + q.id);
         q.answered = true;
-        if (q.place.equals("held") || q.place.equals("waits on reuse")) {
+        if (q.place.equals("held") || q.place.equals("waiting for replay")) {
             q.place = "over";
         }
     }
@@ -251,26 +255,28 @@
     @Override
     public void run(QueryId id) {
         Seen q = known(id, "run");
-        deny(!q.place.equals("held") || q.answered, "run of what is not held " + q.id);
-        deny(q.ran && !harmless(q), "rerun " + q.id);
+        deny(!q.place.equals("held") || q.answered, "run of a query that is not held " + q.id);
+        deny(q.ran && !harmless(q), "second run of a query with an effect " + q.id);
         deny(
                 q.workload.equals("stamp")
                         && seen.values().stream()
                                 .anyMatch(o ->
                                         o != q && o.ran && first(o) == first(q) && q.arrived <= o.arrived + WINDOW),
-                "duplicate " + q.id);
-        deny(q.workload.equals("stamp") && entries.getOrDefault(q.id, 0L) < q.arrived + WINDOW, "unkept " + q.id);
-        deny(drainAt >= 0 && q.arrived > drainAt + GRACE, "run after the grace " + q.id);
+                "second run within the repeat window " + q.id);
+        deny(
+                q.workload.equals("stamp") && entries.getOrDefault(q.id, 0L) < q.arrived + WINDOW,
+                "run of a stamped query that is not retained for its window " + q.id);
+        deny(drainAt >= 0 && q.arrived > drainAt + GRACE, "run after the drain grace " + q.id);
         q.place = "running";
         q.ran = true;
     }
 
     @Override
-    public void defer(QueryId id, long keepOff, boolean nowhereElse) {
+    public void defer(QueryId id, long retryAfter, boolean finalRefusal) {
         Seen q = known(id, "defer");
-        deny(q.ran && !harmless(q), "deferred once run " + q.id);
-        lastKeepOff = keepOff;
-        lastNowhereElse = nowhereElse;
+        deny(q.ran && !harmless(q), "deferred after it ran " + q.id);
+        lastKeepOff = retryAfter;
+        lastNowhereElse = finalRefusal;
         answer(q, "defer");
     }
 
@@ -281,72 +287,74 @@
 
     @Override
     public void stop(QueryId id) {
-        Seen q = known(id, "stop");
-        deny(halt == Halt.OFF, "stop where there is none");
-        deny(!harmless(q), "stop of work with an effect " + q.id);
+        Seen q = known(id, "cancel");
+        deny(halt == Halt.OFF, "cancellation on a machine without it");
+        deny(!harmless(q), "cancellation of a query with an effect " + q.id);
     }
 
     @Override
-    public void call(QueryId id, long timeOut) {
+    public void call(QueryId id, long timeout) {
         Seen q = known(id, "call");
-        deny(!q.place.equals("at call") || q.answered, "call of what stands at none " + q.id);
+        deny(!q.place.equals("blocked") || q.answered, "call of a query that is not blocked on one " + q.id);
         deny(!q.mayCall, "repeated call " + q.id);
         q.mayCall = true;
         q.place = "calling";
-        q.callUntil = now + timeOut;
+        q.callUntil = now + timeout;
         calls.add(new long[] {now, Long.MAX_VALUE, q.id});
     }
 
     @Override
     public void poorer(QueryId id) {
-        Seen q = known(id, "poorer");
-        deny(!q.workload.equals("look") || !q.place.equals("at call"), "poorer answer where none is " + q.id);
+        Seen q = known(id, "degrade");
+        deny(
+                !q.workload.equals("look") || !q.place.equals("blocked"),
+                "degraded answer of a workload or state without one " + q.id);
         q.place = "running";
     }
 
     @Override
-    public void keep(QueryId id, long span) {
-        known(id, "keep");
-        entries.put(id.value(), now + span);
+    public void keep(QueryId id, long duration) {
+        known(id, "retain");
+        entries.put(id.value(), now + duration);
     }
 
     @Override
     public void forget(QueryId id) {
         Seen q = known(id, "forget");
-        deny(q.ran && !harmless(q), "forgot what ran " + q.id);
+        deny(q.ran && !harmless(q), "discarded the record of a query that ran " + q.id);
         entries.remove(id.value());
     }
 
     @Override
     public void reuse(QueryId id) {
-        Seen q = known(id, "reuse");
-        deny(q.earlier == null || q.answered || !q.place.equals("held"), "reuse without a forerunner " + q.id);
-        q.place = "waits on reuse";
+        Seen q = known(id, "replay");
+        deny(q.earlier == null || q.answered || !q.place.equals("held"), "replay without an earlier query " + q.id);
+        q.place = "waiting for replay";
     }
 
     @Override
-    public void health(boolean good, boolean stored) {
-        log.add("health " + good);
+    public void health(boolean healthy, boolean stored) {
+        log.add("health " + healthy);
     }
 
     @Override
-    public void say(double value) {
-        log.add("say " + value);
-        deny(value < 0 || said == Said.OFF, "said " + value);
+    public void say(double load) {
+        log.add("load " + load);
+        deny(load < 0 || said == Said.OFF, "advertised " + load);
     }
 
     @Override
-    public void closeIdle(long span) {
-        log.add("closeIdle " + span);
+    public void closeIdle(long timeout) {
+        log.add("idleTimeout " + timeout);
     }
 
     @Override
     public void wake(long at, TimerId timer) {
-        deny(at <= now, "a timer that is not ahead");
+        deny(at <= now, "timer that is not in the future");
         timers.computeIfAbsent(at, t -> new ArrayList<>()).add(timer.value());
     }
 
-    // ---- FastCGI as a sidecar writes and reads it, from the specification
+    // ---- FastCGI as a sidecar writes and reads it, after the specification
 
     record Answered(int id, int end, int status, String headers, String body) {}
 
@@ -391,17 +399,17 @@
         return join(lengths, (name + value).getBytes(java.nio.charset.StandardCharsets.ISO_8859_1));
     }
 
-    /** A whole request; fields come as name, value, name, value. */
+    /** A complete request; the fields alternate between names and values. */
     static byte[] request(int id, byte[] body, boolean wide, int padding, String... fields) {
         byte[] params = {};
         for (int i = 0; i < fields.length; i += 2) {
             params = join(params, pair(fields[i], fields[i + 1], wide));
         }
-        int half = params.length / 2;
+        int split = params.length / 2;
         return join(
                 record(1, id, padding, new byte[] {0, 1, 1, 0, 0, 0, 0, 0}),
-                record(4, id, padding, java.util.Arrays.copyOf(params, half)),
-                half == 0 ? params : record(4, id, 0, java.util.Arrays.copyOfRange(params, half, params.length)),
+                record(4, id, padding, java.util.Arrays.copyOf(params, split)),
+                split == 0 ? params : record(4, id, 0, java.util.Arrays.copyOfRange(params, split, params.length)),
                 record(4, id, padding, new byte[0]),
                 body.length == 0 ? body : record(5, id, padding, body),
                 record(5, id, 0, new byte[0]));
--- a/core/src/test/java/tallyweir/RulesTest.java
+++ b/core/src/test/java/tallyweir/RulesTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.ShrinkingMode;
 import tallyweir.Model.Seen;
 
-/** Generated days: the module may do nothing that the plain model of the rules forbids. */
+/** Generated sequences of events: {@link Choice} must do nothing that the plain model of the rules forbids. */
 class RulesTest {
     record Step(int kind, int pick, long span, double size) {}
 
@@ -64,11 +64,11 @@
         } else if (s.kind < 68) {
             pick(m.at("calling"), s).ifPresent(q -> m.called(q, Outcome.values()[s.pick % 6]));
         } else if (s.kind < 72) {
-            pick(m.at("at call", "calling"), s).filter(q -> q.answered).ifPresent(q -> m.settled(q, Outcome.RECALLED));
+            pick(m.at("blocked", "calling"), s).filter(q -> q.answered).ifPresent(q -> m.settled(q, Outcome.RECALLED));
         } else if (s.kind < 75) {
-            pick(m.at("waits on reuse"), s).ifPresent(q -> m.settled(q, Outcome.COMPLETED));
+            pick(m.at("waiting for replay"), s).ifPresent(q -> m.settled(q, Outcome.COMPLETED));
         } else if (s.kind < 78) {
-            pick(m.at("held", "running", "at call", "calling", "waits on reuse"), s)
+            pick(m.at("held", "running", "blocked", "calling", "waiting for replay"), s)
                     .filter(q -> !q.answered)
                     .ifPresent(m::gone);
         } else if (s.kind < 80) {
@@ -82,7 +82,7 @@
         }
     }
 
-    /** Only what the wire would mark: a kept harmless query alive, or a stamped one that is held or has run. */
+    /** Only a query that the wire would name as the earlier one: a retained one that is held or has run. */
     private Seen forerunner(Model m, int pick) {
         List<Seen> all = m.seen.values().stream()
                 .filter(q -> m.entries.containsKey(q.id) && (q.ran || q.place.equals("held")))
@@ -90,7 +90,9 @@
         return all.isEmpty() ? null : all.get(pick % all.size());
     }
 
-    private java.util.Optional<Seen> pick(List<Seen> from, Step s) {
-        return from.isEmpty() ? java.util.Optional.empty() : java.util.Optional.of(from.get(s.pick % from.size()));
+    private java.util.Optional<Seen> pick(List<Seen> candidates, Step s) {
+        return candidates.isEmpty()
+                ? java.util.Optional.empty()
+                : java.util.Optional.of(candidates.get(s.pick % candidates.size()));
     }
 }
