--- a/results/src/main/java/tallyweir/results/DurableResultStore.java
+++ b/results/src/main/java/tallyweir/results/DurableResultStore.java
@@ -21,16 +21,16 @@
 import tallyweir.ids.WorkloadId;
 
 /**
- * Marks in an embedded store. The namespace {@code results} holds for each mark its outcome, or its intent until then;
- * {@code intents} holds the marks of open intents, so that a start need not look through all. A record takes the place of
- * its intent in one batch.
+ * Stores the records of idempotency keys in an embedded store. The namespace {@link #RESULTS} holds the intent or the
+ * outcome of each key. The namespace {@link #INTENTS} holds the keys of open intents, so that a start need not read
+ * all records. An outcome replaces its intent in one batch.
  */
 public final class DurableResultStore implements ResultStore {
-    /** The namespace of outcomes and intents; it has to refuse at its bound, since nothing in its window may go. */
+    /** The namespace of outcomes and intents. It must refuse writes when full, since no record may be dropped early. */
     public static final String RESULTS = "results";
-    /** The namespace of open intents. */
+    /** The namespace of the keys of open intents. */
     public static final String INTENTS = "intents";
-    /** Set in the kind of an outcome whose result is smaller on the disk: its length, then a frame of Zstandard. */
+    /** Flag in the kind byte for a compressed result: the original length (4 bytes), then a Zstandard frame. */
     private static final int SMALLER = 0x10;
 
     private static final int RESULT_MOST = 4 << 10;
@@ -43,18 +43,22 @@
     private final Set<Marks.Guard> without;
 
     /**
-     * @param back runs what is told on the thread that asks
-     * @param reads runs what may wait for the disk to be read
-     * @param without guards of the marks that are off, for drills only
+     * @param callbackExecutor runs callbacks on the caller's thread
+     * @param readExecutor runs reads, which may wait for the disk
+     * @param disabledGuards guards that are switched off, for drills only
      */
     public DurableResultStore(
-            Durable store, Committer committer, Executor back, Executor reads, Set<Marks.Guard> without)
+            Durable store,
+            Committer committer,
+            Executor callbackExecutor,
+            Executor readExecutor,
+            Set<Marks.Guard> disabledGuards)
             throws IOException {
-        this.without = without;
+        this.without = disabledGuards;
         this.store = store;
         this.committer = committer;
-        this.back = back;
-        this.reads = reads;
+        this.back = callbackExecutor;
+        this.reads = readExecutor;
         found = new ArrayList<>();
         try (View view = store.view()) {
             for (Iterator<Found> in = view.range(INTENTS, new byte[0], null); in.hasNext(); ) {
@@ -68,28 +72,28 @@
         }
     }
 
-    /** The mark of a workload and what stands in Once-Key. */
+    /** The key of a workload and the value of the Once-Key field. */
     public static Mark mark(String workload, String stamp) {
         return new Mark(new WorkloadId(workload), new SubjectId(stamp));
     }
 
-    /** The mark that a key stands for; null for none. */
-    static Mark mark(byte[] key) {
+    /** Decodes a key of the store; null if it is malformed. */
+    static Mark mark(byte[] bytes) {
         int end = 0;
-        while (end < key.length && key[end] != 0) {
+        while (end < bytes.length && bytes[end] != 0) {
             end++;
         }
-        return end == key.length
+        return end == bytes.length
                 ? null
                 : mark(
-                        new String(key, 0, end, StandardCharsets.UTF_8),
-                        new String(key, end + 1, key.length - end - 1, StandardCharsets.UTF_8));
+                        new String(bytes, 0, end, StandardCharsets.UTF_8),
+                        new String(bytes, end + 1, bytes.length - end - 1, StandardCharsets.UTF_8));
     }
 
-    /** The key under which what is known of a mark is kept. */
-    public static byte[] key(Mark m) {
-        byte[] workload = m.workload().value().getBytes(StandardCharsets.UTF_8);
-        byte[] stamp = m.stamp().value().getBytes(StandardCharsets.UTF_8);
+    /** Encodes a key for the store: workload, 0, stamp. */
+    public static byte[] key(Mark key) {
+        byte[] workload = key.workload().value().getBytes(StandardCharsets.UTF_8);
+        byte[] stamp = key.stamp().value().getBytes(StandardCharsets.UTF_8);
         return ByteBuffer.allocate(workload.length + stamp.length + 1)
                 .put(workload)
                 .put((byte) 0)
@@ -97,50 +101,51 @@
                 .array();
     }
 
-    /** The value of an outcome. */
-    static byte[] encoded(Known known, JobId job, long body, long until, byte[] result) {
-        byte[] small = result == null ? null : ResultCompression.compress(result);
-        return small == null
-                ? value(known.ordinal() + 1, job, body, until, result)
+    /** Encodes an outcome, with its result compressed if that pays. */
+    static byte[] encoded(Known known, JobId job, long body, long expiresAt, byte[] result) {
+        byte[] compressed = result == null ? null : ResultCompression.compress(result);
+        return compressed == null
+                ? value(known.ordinal() + 1, job, body, expiresAt, result)
                 : value(
                         known.ordinal() + 1 | SMALLER,
                         job,
                         body,
-                        until,
-                        ByteBuffer.allocate(4 + small.length)
+                        expiresAt,
+                        ByteBuffer.allocate(4 + compressed.length)
                                 .putInt(result.length)
-                                .put(small)
+                                .put(compressed)
                                 .array());
     }
 
-    private static byte[] value(int kind, JobId job, long body, long until, byte[] result) {
+    /** @param kind 0 for an intent, else the ordinal of the outcome plus 1, and the flag for a compressed result */
+    private static byte[] value(int kind, JobId job, long body, long expiresAt, byte[] result) {
         byte[] name = job.value().getBytes(StandardCharsets.UTF_8);
-        byte[] what = result == null ? new byte[0] : result;
-        return ByteBuffer.allocate(19 + name.length + what.length)
+        byte[] content = result == null ? new byte[0] : result;
+        return ByteBuffer.allocate(19 + name.length + content.length)
                 .put((byte) kind)
                 .putLong(body)
-                .putLong(until)
+                .putLong(expiresAt)
                 .putShort((short) name.length)
                 .put(name)
-                .put(what)
+                .put(content)
                 .array();
     }
 
-    private static Kept decode(byte[] key, Found f) {
-        Mark mark = mark(key);
-        if (mark == null || f.value().length < 19) {
+    private static Kept decode(byte[] storeKey, Found f) {
+        Mark key = mark(storeKey);
+        if (key == null || f.value().length < 19) {
             return null;
         }
         ByteBuffer in = ByteBuffer.wrap(f.value());
-        int form = in.get();
-        int kind = form & ~SMALLER;
+        int kindAndFlag = in.get();
+        int kind = kindAndFlag & ~SMALLER;
         long body = in.getLong();
-        long until = in.getLong();
+        long expiresAt = in.getLong();
         byte[] job = new byte[Math.min(in.getShort() & 0xffff, in.remaining())];
         in.get(job);
         byte[] result = new byte[in.remaining()];
         in.get(result);
-        if ((form & SMALLER) != 0) {
+        if ((kindAndFlag & SMALLER) != 0) {
             result = result.length < 4
                     ? null
                     : ResultCompression.decompress(
@@ -152,76 +157,76 @@
         }
         Known known = kind == 0 || kind > Known.values().length ? null : Known.values()[kind - 1];
         return new Kept(
-                mark,
+                key,
                 new JobId(new String(job, StandardCharsets.UTF_8)),
                 body,
                 known,
                 known == Known.GOOD ? result : null,
                 Stamp.time(f.stamp()),
-                until);
+                expiresAt);
     }
 
-    /** What is kept in a record of the namespace {@link #RESULTS}; null if it is none of ours. */
+    /** Decodes a record of the namespace {@link #RESULTS}; null if it is malformed. */
     public static Kept of(Found f) {
         return decode(f.key(), f);
     }
 
     @Override
-    public boolean knows(Mark mark) {
-        return store.contains(RESULTS, key(mark));
+    public boolean knows(Mark key) {
+        return store.contains(RESULTS, key(key));
     }
 
     @Override
-    public boolean hasRoom(int underWay) {
-        return store.room(RESULTS) > (underWay + 1L) * 2 * RESULT_MOST;
+    public boolean hasRoom(int pending) {
+        return store.room(RESULTS) > (pending + 1L) * 2 * RESULT_MOST;
     }
 
-    private void write(Batch b, Consumer<Boolean> done) {
-        committer.submit(b).whenComplete((nothing, refused) -> back.execute(() -> done.accept(refused == null)));
+    private void write(Batch batch, Consumer<Boolean> onDone) {
+        committer.submit(batch).whenComplete((ignored, failure) -> back.execute(() -> onDone.accept(failure == null)));
     }
 
     @Override
-    public void intend(Mark mark, JobId job, long body, long until, Consumer<Boolean> done) {
-        byte[] key = key(mark);
+    public void intend(Mark key, JobId job, long body, long expiresAt, Consumer<Boolean> onDone) {
+        byte[] storeKey = key(key);
         write(
                 new Batch()
-                        .put(RESULTS, key, value(0, job, body, until, null), until)
-                        .put(INTENTS, key, new byte[0], until),
-                done);
+                        .put(RESULTS, storeKey, value(0, job, body, expiresAt, null), expiresAt)
+                        .put(INTENTS, storeKey, new byte[0], expiresAt),
+                onDone);
     }
 
     @Override
     public void record(
-            Mark mark, JobId job, long body, Known known, byte[] result, long until, Consumer<Boolean> done) {
-        Batch b = new Batch();
-        put(b, mark, job, body, known, result, until);
-        write(b.delete(INTENTS, key(mark)), done);
+            Mark key, JobId job, long body, Known known, byte[] result, long expiresAt, Consumer<Boolean> onDone) {
+        Batch batch = new Batch();
+        put(batch, key, job, body, known, result, expiresAt);
+        write(batch.delete(INTENTS, key(key)), onDone);
     }
 
-    /** Puts an outcome into a batch, as it is kept. */
-    public static void put(Batch b, Mark mark, JobId job, long body, Known known, byte[] result, long until) {
-        b.put(RESULTS, key(mark), encoded(known, job, body, until, result), until);
+    /** Adds an outcome to a batch, encoded as in the store. */
+    public static void put(Batch batch, Mark key, JobId job, long body, Known known, byte[] result, long expiresAt) {
+        batch.put(RESULTS, key(key), encoded(known, job, body, expiresAt, result), expiresAt);
     }
 
     @Override
-    public void withdraw(Mark mark, Consumer<Boolean> done) {
-        byte[] key = key(mark);
-        write(new Batch().delete(RESULTS, key).delete(INTENTS, key), done);
+    public void withdraw(Mark key, Consumer<Boolean> onDone) {
+        byte[] storeKey = key(key);
+        write(new Batch().delete(RESULTS, storeKey).delete(INTENTS, storeKey), onDone);
     }
 
     @Override
-    public void look(Mark mark, Consumer<Kept> then) {
+    public void look(Mark key, Consumer<Kept> onRead) {
         reads.execute(() -> {
             Kept k;
             try {
-                byte[] key = key(mark);
-                Found f = store.get(RESULTS, key);
-                k = f == null ? null : decode(key, f);
+                byte[] storeKey = key(key);
+                Found f = store.get(RESULTS, storeKey);
+                k = f == null ? null : decode(storeKey, f);
             } catch (IOException unreadable) {
                 k = null;
             }
-            Kept is = k;
-            back.execute(() -> then.accept(is));
+            Kept stored = k;
+            back.execute(() -> onRead.accept(stored));
         });
     }
 
--- a/results/src/main/java/tallyweir/results/Explorer.java
+++ b/results/src/main/java/tallyweir/results/Explorer.java
@@ -12,9 +12,9 @@
 import tallyweir.search.World;
 
 /**
- * Plays every order of events that a few copies of one mark, the decisions, the disk and the kernel can bring about,
- * with one crash of the process, one of the kernel and one fault of the disk, and looks in each state at what must never
- * be. The {@link Marks} it plays are the real ones.
+ * Explores every order of events of a few copies with one key, the scheduler, the disk and the kernel, with at most one
+ * crash of the process, one crash of the kernel and one disk fault, and checks the rules in each state. It runs the
+ * real {@link Marks} in a simulated environment.
  */
 public final class Explorer {
     private static final Mark MARK = new Mark(new WorkloadId("w"), new SubjectId("m"));
@@ -22,12 +22,12 @@
     private Explorer() {}
 
     /**
-     * @param copies how many copies come, 1 to 4
-     * @param without guards that are off
-     * @param most states at the most, after which it gives up and says so
+     * @param copies number of copies that arrive, 1 to 4
+     * @param without guards that are switched off
+     * @param maxStates after which the search ends with a violation that says so
      */
-    public static Search.Seen explore(int copies, Set<Marks.Guard> without, long most) {
-        return Search.explore(() -> new Copies(copies, without), most);
+    public static Search.Seen explore(int copies, Set<Marks.Guard> without, long maxStates) {
+        return Search.explore(() -> new Copies(copies, without), maxStates);
     }
 
     private static final class Copy {
@@ -37,15 +37,15 @@
 
         private final long body = 7;
         private int state = UNSENT;
-        private int holds; // the number of the run that it holds, 0 for none
+        private int holds; // the run that it was admitted for, 0 for none
         private boolean wanted;
         private boolean given;
-        private boolean afterGood; // read after a good answer had left
+        private boolean afterGood; // read after a result had been sent
     }
 
     private record Write(String what, long run, String value) {}
 
-    /** Everything but the marks themselves. */
+    /** The system under search: the tracker and its simulated environment. */
     private static final class Copies implements World, Keeping {
         private final List<Copy> copies = new ArrayList<>();
         private final Set<Marks.Guard> without;
@@ -55,16 +55,17 @@
         private boolean crashed;
         private boolean kernelDied;
         private boolean faulted;
-        private String disk = ""; // what it has of the mark: "", "intent RUN" or "KNOWN RUN"
+        private String disk = ""; // the record of the key: "", "intent RUN" or "KNOWN RUN"
         private final ArrayDeque<Write> writes = new ArrayDeque<>();
         private boolean looking;
         private final TreeSet<Long> sent = new TreeSet<>();
         private final TreeSet<Long> running = new TreeSet<>();
         private final TreeSet<Long> ended = new TreeSet<>();
-        private final TreeSet<Long> begun = new TreeSet<>(); // that this process gave to the kernel or found
+        // Runs that this process passed to the kernel or found at its start.
+        private final TreeSet<Long> begun = new TreeSet<>();
         private final TreeSet<Long> found = new TreeSet<>();
         private int starts;
-        private String good; // the result that left, null if none did
+        private String good; // the result that was sent, null if none
 
         Copies(int copies, Set<Marks.Guard> without) {
             this.without = without;
@@ -105,7 +106,7 @@
             for (int i = 0; i < copies.size(); i++) {
                 Copy c = copies.get(i);
                 if (up && c.state == Copy.UNSENT && !any) {
-                    any = true; // copies are alike: the next unsent one is as good as any
+                    any = true; // copies are interchangeable, so only the next unsent one is tried
                     all.add("read " + i);
                     all.add("defer " + i);
                 }
@@ -175,7 +176,7 @@
             int i = a.length > 1 && a[1].matches("[0-9]+") ? Integer.parseInt(a[1]) : 0;
             switch (a[0]) {
                 case "read" -> read(i);
-                case "defer" -> copies.get(i).state = Copy.OVER; // turned away at read: nothing of it is known
+                case "defer" -> copies.get(i).state = Copy.OVER; // refused when read, so that it leaves no trace
                 case "want" -> {
                     copies.get(i).wanted = true;
                     marks.want(new RunId(copies.get(i).holds));
@@ -235,23 +236,23 @@
                 return;
             }
             Write w = writes.poll();
-            boolean says = action.equals("disk does");
+            boolean success = action.equals("disk does");
             if (!action.equals("disk refuses")) {
                 disk = w.value;
             }
-            faulted |= !says;
+            faulted |= !success;
             switch (w.what) {
-                case "intend" -> marks.intended(new RunId(w.run), says);
-                case "record" -> marks.recorded(new RunId(w.run), says);
+                case "intend" -> marks.intended(new RunId(w.run), success);
+                case "record" -> marks.recorded(new RunId(w.run), success);
                 default -> marks.withdrawn(new RunId(w.run));
             }
         }
 
-        /** The window of what the disk refused is over: whatever comes after is another query. */
+        /** The window of outcomes that were not written has ended: any later copy is another query. */
         private void outlive() {
             marks.tryAgain(100);
             if (marks.lost() > 0) {
-                wrong.add("what is past its window stays in memory");
+                wrong.add("an entry past its window stays in memory");
             }
             copies.stream().filter(c -> c.state == Copy.UNSENT).forEach(c -> c.state = Copy.OVER);
         }
@@ -312,25 +313,25 @@
             }
         }
 
-        // ---- what the marks ask for
+        // ---- actions of the tracker
 
         @Override
-        public void intend(RunId run, Mark mark, long body, long until) {
+        public void intend(RunId run, Mark key, long body, long expiresAt) {
             writes.add(new Write("intend", run.value(), "intent " + run.value()));
         }
 
         @Override
-        public void record(RunId run, Mark mark, long body, Known known, byte[] result, long until) {
+        public void record(RunId run, Mark key, long body, Known known, byte[] result, long expiresAt) {
             writes.add(new Write("record", run.value(), known + " " + (result == null ? 0 : result[0])));
         }
 
         @Override
-        public void withdraw(RunId run, Mark mark) {
+        public void withdraw(RunId run, Mark key) {
             writes.add(new Write("withdraw", run.value(), ""));
         }
 
         @Override
-        public void look(Mark mark) {
+        public void look(Mark key) {
             looking = true;
         }
 
@@ -344,20 +345,20 @@
         public void answer(RunId copy, Known known, byte[] result) {
             Copy c = close(copy);
             if (known == Known.GOOD) {
-                String is = Byte.toString(result[0]);
-                if (good != null && !good.equals(is)) {
+                String value = Byte.toString(result[0]);
+                if (good != null && !good.equals(value)) {
                     wrong.add("answers differ");
                 }
-                good = is;
+                good = value;
             } else if (c.afterGood) {
-                wrong.add("an answer that was given is not known any more");
+                wrong.add("a result that was sent is not known any more");
             }
         }
 
         @Override
         public void otherBody(RunId copy) {
             close(copy);
-            wrong.add("one body taken for another");
+            wrong.add("equal bodies were taken for different ones");
         }
 
         @Override
@@ -367,7 +368,7 @@
 
         @Override
         public void over(RunId run) {
-            // nothing is kept here by run
+            // nothing is kept per run here
         }
 
         private Copy close(RunId copy) {
@@ -380,7 +381,7 @@
         }
     }
 
-    /** The guards, all of which the exploration must miss when they are off. */
+    /** The guards; the exploration must find a violation without any one of them. */
     public static List<Marks.Guard> guards() {
         return Collections.unmodifiableList(List.of(Marks.Guard.values()));
     }
--- a/results/src/main/java/tallyweir/results/Keeping.java
+++ b/results/src/main/java/tallyweir/results/Keeping.java
@@ -1,34 +1,37 @@
 package tallyweir.results;
 
 /**
- * What {@link Marks} asks for. Each write and look is answered later by one call of the method named, never within the
- * call itself; writes of one mark take effect in the order in which they were asked for.
+ * The actions that {@link Marks} asks for. Each write and read is answered later by one call of the method named, never
+ * within the call itself. Writes for one key take effect in the order in which they were asked for.
  */
 public interface Keeping {
-    /** Write down that a run may begin; answered by {@link Marks#intended}. */
-    void intend(RunId run, Mark mark, long body, long until);
+    /** Writes the intent, the record that a run may start; answered by {@link Marks#onIntentRecorded}. */
+    void intend(RunId run, Mark key, long body, long expiresAt);
 
-    /** Write down how a run ended, in the place of its intent; answered by {@link Marks#recorded}. */
-    void record(RunId run, Mark mark, long body, Known known, byte[] result, long until);
+    /** Writes the outcome of a run in place of its intent; answered by {@link Marks#onOutcomeRecorded}. */
+    void record(RunId run, Mark key, long body, Known known, byte[] result, long expiresAt);
 
-    /** Take an intent back, its run never having begun; answered by {@link Marks#withdrawn}. */
-    void withdraw(RunId run, Mark mark);
+    /** Deletes the intent of a run that never started; answered by {@link Marks#onIntentDeleted}. */
+    void withdraw(RunId run, Mark key);
 
-    /** Read what the disk has of a mark; answered by {@link Marks#looked}. */
-    void look(Mark mark);
+    /**
+     * Reads the record of a key; answered by {@link Marks#onRecordRead} or
+     * {@link Marks#onReadFailed}.
+     */
+    void look(Mark key);
 
-    /** Give the run to the kernel. */
+    /** Passes the run to the kernel. */
     void begin(RunId run);
 
-    /** A copy is over: this is its answer. */
+    /** Answers a copy. */
     void answer(RunId copy, Known known, byte[] result);
 
-    /** A copy is refused, for its mark belongs to another body. */
+    /** Refuses a copy because its key was used with another body. */
     void otherBody(RunId copy);
 
-    /** A copy that was admitted has not begun and will not: it may be deferred, and run another time. */
+    /** An admitted copy did not start and will not: it may be deferred, and a later copy may run. */
     void notBegun(RunId copy);
 
-    /** Nothing more will be asked for a run. */
+    /** No further action will be asked for this run. */
     void over(RunId run);
 }
--- a/results/src/main/java/tallyweir/results/Known.java
+++ b/results/src/main/java/tallyweir/results/Known.java
@@ -1,11 +1,14 @@
 package tallyweir.results;
 
-/** What is known of a run that is over. */
+/** The recorded outcome of a run. Its ordinal is stored. */
 public enum Known {
-    /** It ended well, and there is a result. */
+    /** It succeeded, and there is a result. */
     GOOD,
-    /** It ended otherwise; what it did is not undone. No result, and never a further run. */
+    /** It failed; its effects are not undone. There is no result, and it never runs again. */
     BAD,
-    /** It may have begun, and nobody can tell how it ended or whether. No result, and never a further run. */
+    /**
+     * It may have started, and it can't be determined whether or how it ended. There is no result, and it never runs
+     * again.
+     */
     UNKNOWN
 }
--- a/results/src/main/java/tallyweir/results/Marks.java
+++ b/results/src/main/java/tallyweir/results/Marks.java
@@ -11,25 +11,31 @@
 import tallyweir.rules.Rules;
 
 /**
- * What is recorded when, and what a repeat gets. Knows no disk, kernel or clock: each input is a call, each wish leaves
- * through {@link Keeping}; after each input the rules are gone through in order until none fires.
+ * Tracks the runs of queries that have an idempotency key: when their intents and outcomes are written, and how
+ * repeats are answered. Has no access to the disk, the kernel or the clock: each event is a call, and actions are
+ * carried out through {@link Keeping}. After each event the rules listed in the constructor are evaluated in order
+ * until none applies. Not thread-safe.
  *
- * <p>The invariant: a run begins only once its intent is on the disk; a result leaves only once it is; of one mark a
- * further run begins only if every earlier one is proven not to have begun. An entry is in memory while something of it
- * is under way; after that the disk alone knows the mark, and a look brings it back.
+ * <p>Invariants: a run starts only after its intent is on the disk; a result is sent only after it is on the disk;
+ * for one key another run starts only if every earlier one is proven not to have started. An entry is in memory only
+ * while something is under way for its key. After that the record is on the disk only, and is read when a repeat
+ * comes.
  */
 public final class Marks {
-    /** What stands between a fault and a second run or a second answer. All are on, but where a check wants to see why. */
+    /**
+     * The guards against a second run or a differing answer after a fault. All are on, except in checks that show
+     * what each one prevents.
+     */
     public enum Guard {
-        /** No run begins before its intent is on the disk. */
+        /** No run starts before its intent is on the disk. */
         INTENT,
-        /** No result leaves before it is on the disk. */
+        /** No result is sent before it is on the disk. */
         ORDER,
-        /** What may have begun is never taken back. */
+        /** The intent of a run that may have started is never deleted. */
         PROOF,
-        /** An intent found at a start is settled by proof, or its outcome is unknown. */
+        /** An intent found at startup gets a proven outcome, or the outcome UNKNOWN. */
         RESTART,
-        /** A mark that the disk knows is not new. */
+        /** A key that has a record on the disk is not new. */
         WINDOW
     }
 
@@ -53,23 +59,23 @@
         private final long until;
         private final RunId holder;
         private Stage stage;
-        private boolean wanted; // the decisions want it to run
-        private boolean given; // they have given it up
-        private boolean over; // the run has ended, or nobody can tell
-        private boolean done; // the write or look under way is done,
+        private boolean wanted; // the scheduler has asked for its start
+        private boolean given; // the scheduler has given it up
+        private boolean over; // the run has ended, or its end can't be determined
+        private boolean done; // the current write or read has finished,
         private boolean failed; // and failed
-        private boolean dropped; // out of memory
-        private boolean anyBody; // the body is not known
-        private boolean outlived; // its window is over
+        private boolean dropped; // removed from memory
+        private boolean anyBody; // the body is unknown, so it is not compared
+        private boolean outlived; // its window has ended
         private Known known;
         private byte[] result;
         private final List<Asker> asking = new ArrayList<>(1);
 
-        private Entry(Mark mark, long body, long until, RunId holder, Stage stage) {
-            this.mark = mark;
+        private Entry(Mark key, long body, long expiresAt, RunId run, Stage stage) {
+            this.mark = key;
             this.body = body;
-            this.until = until;
-            this.holder = holder;
+            this.until = expiresAt;
+            this.holder = run;
             this.stage = stage;
         }
     }
@@ -79,19 +85,19 @@
     private final Set<Guard> without;
     private final Map<Mark, Entry> entries = new HashMap<>();
     private final Map<RunId, Entry> held = new HashMap<>();
-    private final Set<Mark> passedOver = new HashSet<>(); // only where a check has switched a guard off
+    private final Set<Mark> passedOver = new HashSet<>(); // used only when a check has switched off a guard
     private final Rules rules = new Rules();
-    private Entry e; // what the input is about
+    private Entry e; // the entry that the current event is about
 
     /**
-     * @param most marks in memory at once, 1 or more; beyond it new ones find no room
-     * @param without guards that are off, for checks only
+     * @param maxEntries keys in memory at once, 1 or more; beyond that new keys are refused
+     * @param without guards that are switched off, for checks only
      */
-    public Marks(Keeping out, int most, Set<Guard> without) {
+    public Marks(Keeping out, int maxEntries, Set<Guard> without) {
         this.out = out;
-        this.most = most;
+        this.most = maxEntries;
         this.without = without.isEmpty() ? EnumSet.noneOf(Guard.class) : EnumSet.copyOf(without);
-        // What must not begin comes first, then what may, then what is over, then who waits for it.
+        // Order: runs that must not start, runs that may, runs that have ended, callers that wait for an outcome.
         rules.add(() -> e.stage == Stage.INTENDING && e.done && e.failed, this::neverBegan);
         rules.add(() -> (e.stage == Stage.INTENDING && e.done || e.stage == Stage.READY) && e.given, this::withdraw);
         rules.add(() -> e.stage == Stage.BEGUN && e.given && !has(Guard.PROOF), this::withdraw);
@@ -110,16 +116,16 @@
         rules.add(() -> (e.stage == Stage.KEPT || e.stage == Stage.GONE) && !e.dropped, this::drop);
     }
 
-    private boolean has(Guard g) {
-        return !without.contains(g);
+    private boolean has(Guard guard) {
+        return !without.contains(guard);
     }
 
-    private void settle(Entry about) {
-        e = about;
+    private void settle(Entry entry) {
+        e = entry;
         rules.settle();
     }
 
-    /** How many marks are in memory. */
+    /** Number of keys in memory. */
     public int size() {
         return entries.size();
     }
@@ -127,181 +133,184 @@
     // ---- copies
 
     /**
-     * A copy was read.
+     * Decides what to do with a copy that was read.
      *
-     * @param onDisk whether the disk knows the mark, as intent or as result
+     * @param body digest of the copy's body
+     * @param onDisk whether the key has a record on the disk, an intent or an outcome
      */
-    public Verdict read(RunId copy, Mark mark, long body, boolean onDisk) {
-        Entry there = entries.get(mark);
-        if (there != null && !ending(there)) {
-            if (there.stage != Stage.LOOKING && there.body != body) {
+    public Verdict read(RunId copy, Mark key, long body, boolean onDisk) {
+        Entry entry = entries.get(key);
+        if (entry != null && !ending(entry)) {
+            if (entry.stage != Stage.LOOKING && entry.body != body) {
                 return Verdict.OTHER_BODY;
             }
             return Verdict.REPEAT;
         }
-        if (there == null && onDisk && has(Guard.WINDOW) && !passedOver.contains(mark)) {
-            Entry looking = new Entry(mark, 0, 0, null, Stage.LOOKING);
-            entries.put(mark, looking);
-            out.look(mark);
+        if (entry == null && onDisk && has(Guard.WINDOW) && !passedOver.contains(key)) {
+            Entry looking = new Entry(key, 0, 0, null, Stage.LOOKING);
+            entries.put(key, looking);
+            out.look(key);
             return Verdict.REPEAT;
         }
-        return there == null && entries.size() >= most ? Verdict.NO_ROOM : Verdict.NEW;
+        return entry == null && entries.size() >= most ? Verdict.NO_ROOM : Verdict.NEW;
     }
 
-    /** Whether it is given up, never having begun. */
-    private static boolean ending(Entry x) {
-        return x.stage == Stage.WITHDRAWING || x.given && (x.stage == Stage.INTENDING || x.stage == Stage.READY);
+    /** Whether the entry was given up before its run started. */
+    private static boolean ending(Entry entry) {
+        return entry.stage == Stage.WITHDRAWING
+                || entry.given && (entry.stage == Stage.INTENDING || entry.stage == Stage.READY);
     }
 
-    /** A repeat waits for what its mark comes to; it is answered once, unless it leaves before. */
-    public void await(RunId copy, Mark mark, long body) {
-        Entry there = entries.get(mark);
-        if (there == null) {
+    /** Lets a repeat wait for the outcome of its key. It is answered once, unless its caller disconnects before. */
+    public void await(RunId copy, Mark key, long body) {
+        Entry entry = entries.get(key);
+        if (entry == null) {
             out.answer(copy, Known.UNKNOWN, null);
             return;
         }
-        there.asking.add(new Asker(copy, body));
-        if (there.stage == Stage.LOST) {
-            again(there);
+        entry.asking.add(new Asker(copy, body));
+        if (entry.stage == Stage.LOST) {
+            again(entry);
         }
-        settle(there);
+        settle(entry);
     }
 
-    /** Nobody waits for this copy's answer any longer. What it began goes on; what it never wanted is given up. */
+    /** The caller of a copy disconnected. Its run continues if the start was asked for, else it is given up. */
     public void leave(RunId copy) {
-        entries.values().forEach(x -> x.asking.removeIf(a -> a.copy.equals(copy)));
-        held.values().forEach(x -> x.asking.removeIf(a -> a.copy.equals(copy)));
-        with(copy, x -> x.given |= !x.wanted);
+        entries.values().forEach(entry -> entry.asking.removeIf(a -> a.copy.equals(copy)));
+        held.values().forEach(entry -> entry.asking.removeIf(a -> a.copy.equals(copy)));
+        with(copy, entry -> entry.given |= !entry.wanted);
     }
 
-    /** The decisions have taken a new copy in: its intent is on its way while it waits for a core. */
-    public void admit(RunId copy, Mark mark, long body, long until) {
-        Entry n = new Entry(mark, body, until, copy, Stage.INTENDING);
-        n.asking.add(new Asker(copy, body));
-        entries.put(mark, n);
-        held.put(copy, n);
-        out.intend(copy, mark, body, until);
-        settle(n);
+    /** The scheduler has admitted a new copy. Its intent is written while it waits for a core. */
+    public void admit(RunId copy, Mark key, long body, long expiresAt) {
+        Entry entry = new Entry(key, body, expiresAt, copy, Stage.INTENDING);
+        entry.asking.add(new Asker(copy, body));
+        entries.put(key, entry);
+        held.put(copy, entry);
+        out.intend(copy, key, body, expiresAt);
+        settle(entry);
     }
 
-    /** The decisions want a copy that was admitted to run. */
+    /** The scheduler asks for the start of an admitted copy. */
     public void want(RunId copy) {
-        with(copy, x -> x.wanted = true);
+        with(copy, entry -> entry.wanted = true);
     }
 
-    /** The decisions have given a copy up; where it may have begun, nothing is taken back. */
+    /** The scheduler has given up a copy. If it may have started, its intent is not deleted. */
     public void giveUp(RunId copy) {
-        with(copy, x -> x.given = true);
+        with(copy, entry -> entry.given = true);
     }
 
     private interface Change {
-        void to(Entry x);
+        void to(Entry entry);
     }
 
     private void with(RunId copy, Change change) {
-        Entry x = held.get(copy);
-        if (x != null) {
-            change.to(x);
-            settle(x);
+        Entry entry = held.get(copy);
+        if (entry != null) {
+            change.to(entry);
+            settle(entry);
         }
     }
 
     // ---- the kernel
 
-    /** A run is over. */
+    /** A run has ended. Only the first call for a run counts. */
     public void ended(RunId run, Known known, byte[] result) {
-        with(run, x -> {
-            if (!x.over) {
-                x.over = true;
-                x.known = known;
-                x.result = result;
+        with(run, entry -> {
+            if (!entry.over) {
+                entry.over = true;
+                entry.known = known;
+                entry.result = result;
             }
         });
     }
 
     // ---- the disk
 
-    /** @param good whether the intent is on the disk; where it is not, it may yet be found there after a start */
-    public void intended(RunId run, boolean good) {
-        with(run, x -> {
-            if (x.stage == Stage.INTENDING) {
-                x.done = true;
-                x.failed = !good;
+    /** @param success whether the intent is on the disk; if false, it may still be found there after a restart */
+    public void intended(RunId run, boolean success) {
+        with(run, entry -> {
+            if (entry.stage == Stage.INTENDING) {
+                entry.done = true;
+                entry.failed = !success;
             }
         });
     }
 
-    /** @param good whether the result is on the disk; where it is not, it may yet be found there after a start */
-    public void recorded(RunId run, boolean good) {
-        with(run, x -> {
-            if (x.stage == Stage.RECORDING) {
-                x.done = true;
-                x.failed = !good;
+    /** @param success whether the outcome is on the disk; if false, it may still be found there after a restart */
+    public void recorded(RunId run, boolean success) {
+        with(run, entry -> {
+            if (entry.stage == Stage.RECORDING) {
+                entry.done = true;
+                entry.failed = !success;
             }
         });
     }
 
-    /** The intent is gone from the disk, or may not be; either way its run never began. */
+    /** The deletion of an intent has finished, whether it succeeded or not; its run never started. */
     public void withdrawn(RunId run) {
-        with(run, x -> x.done = true);
+        with(run, entry -> entry.done = true);
     }
 
-    /** How many results the disk has refused that are in memory alone. */
+    /** Number of outcomes whose write failed, so that they are in memory only. */
     public int lost() {
-        return (int)
-                entries.values().stream().filter(x -> x.stage == Stage.LOST).count();
+        return (int) entries.values().stream()
+                .filter(entry -> entry.stage == Stage.LOST)
+                .count();
     }
 
     /**
-     * Offers the disk again what it has refused; what is past its window is forgotten.
+     * Writes the outcomes again whose write failed, and drops those whose window has ended.
      *
-     * @param wall tenths of a millisecond since 1970
+     * @param wall current time, tenths of a millisecond since 1970
      */
     public void tryAgain(long wall) {
-        for (Entry x : List.copyOf(entries.values())) {
-            if (x.stage == Stage.LOST) {
-                x.outlived = x.until <= wall;
-                if (!x.outlived) {
-                    again(x);
+        for (Entry entry : List.copyOf(entries.values())) {
+            if (entry.stage == Stage.LOST) {
+                entry.outlived = entry.until <= wall;
+                if (!entry.outlived) {
+                    again(entry);
                 }
-                settle(x);
+                settle(entry);
             }
         }
     }
 
-    /** What the disk has of a mark; an intent that nobody has settled is {@link Known#UNKNOWN}. */
-    public void looked(Mark mark, long body, Known known, byte[] result) {
-        Entry x = entries.get(mark);
-        if (x != null && x.stage == Stage.LOOKING) {
-            x.body = body;
-            x.known = known;
-            x.result = result;
-            x.done = true;
-            settle(x);
+    /** The record of a key was read. An intent without an outcome counts as {@link Known#UNKNOWN}. */
+    public void looked(Mark key, long body, Known known, byte[] result) {
+        Entry entry = entries.get(key);
+        if (entry != null && entry.stage == Stage.LOOKING) {
+            entry.body = body;
+            entry.known = known;
+            entry.result = result;
+            entry.done = true;
+            settle(entry);
         }
     }
 
-    /** The disk cannot tell what it has of a mark. */
-    public void lookFailed(Mark mark) {
-        Entry x = entries.get(mark);
-        if (x != null && x.stage == Stage.LOOKING) {
-            x.anyBody = true;
-            looked(mark, 0, Known.UNKNOWN, null);
+    /** The record of a key could not be read. */
+    public void lookFailed(Mark key) {
+        Entry entry = entries.get(key);
+        if (entry != null && entry.stage == Stage.LOOKING) {
+            entry.anyBody = true;
+            looked(key, 0, Known.UNKNOWN, null);
         }
     }
 
-    /** At a start, before any copy is read: an intent on the disk of which nobody knows what became of it. */
-    public void found(RunId run, Mark mark, long body, long until) {
+    /** At startup, before any copy is read: an intent without an outcome was found on the disk. */
+    public void found(RunId run, Mark key, long body, long expiresAt) {
         if (!has(Guard.RESTART)) {
-            passedOver.add(mark);
+            passedOver.add(key);
             return;
         }
-        Entry x = new Entry(mark, body, until, run, Stage.BEGUN);
-        entries.put(mark, x);
-        held.put(run, x);
+        Entry entry = new Entry(key, body, expiresAt, run, Stage.BEGUN);
+        entries.put(key, entry);
+        held.put(run, entry);
     }
 
-    // ---- what the rules do
+    // ---- actions of the rules
 
     private void neverBegan() {
         e.stage = Stage.GONE;
@@ -310,14 +319,14 @@
 
     private void withdraw() {
         e.stage = Stage.WITHDRAWING;
-        e.done = entries.get(e.mark) != e; // the intent of a later copy has taken its place on the disk
+        e.done = entries.get(e.mark) != e; // the intent of a later copy has replaced it on the disk
         if (!e.done) {
             out.withdraw(e.holder, e.mark);
         }
         release();
     }
 
-    /** All that waited for a run that never begins may come again; the holder is told so, too. */
+    /** The run will not start: tells all copies that wait for it that they may be deferred. */
     private void release() {
         List<Asker> all = List.copyOf(e.asking);
         e.asking.clear();
@@ -336,11 +345,11 @@
         out.record(e.holder, e.mark, e.body, e.known, e.result, e.until);
     }
 
-    private void again(Entry x) {
-        x.stage = Stage.RECORDING;
-        x.done = false;
-        x.failed = false;
-        out.record(x.holder, x.mark, x.body, x.known, x.result, x.until);
+    private void again(Entry entry) {
+        entry.stage = Stage.RECORDING;
+        entry.done = false;
+        entry.failed = false;
+        out.record(entry.holder, entry.mark, entry.body, entry.known, entry.result, entry.until);
     }
 
     private void answer() {
@@ -355,7 +364,7 @@
         }
     }
 
-    /** The disk has not taken the result: it does not leave, for after a start it may not be known any more. */
+    /** A result that could not be written is not sent, since it may be unknown after a restart. */
     private void answerUnknown() {
         List<Asker> all = List.copyOf(e.asking);
         e.asking.clear();
@@ -371,7 +380,7 @@
         }
     }
 
-    /** Everything in it as text, equal for equal states; for checks. */
+    /** The complete state as text, equal for equal states; for checks. */
     String describe() {
         return held.entrySet().stream()
                         .map(h -> h.getKey().value() + ":" + describe(h.getValue()))
@@ -381,18 +390,18 @@
                 + entries.values().stream().map(Marks::describe).sorted().collect(Collectors.joining(";"));
     }
 
-    private static String describe(Entry x) {
-        return x.mark.stamp().value()
-                + x.stage
-                + (x.holder == null ? "" : x.holder.value())
-                + x.outlived
-                + x.wanted
-                + x.given
-                + x.over
-                + x.done
-                + x.failed
-                + x.known
-                + (x.result == null ? "" : x.result[0])
-                + x.asking.stream().map(a -> a.copy.value() + "/" + a.body).toList();
+    private static String describe(Entry entry) {
+        return entry.mark.stamp().value()
+                + entry.stage
+                + (entry.holder == null ? "" : entry.holder.value())
+                + entry.outlived
+                + entry.wanted
+                + entry.given
+                + entry.over
+                + entry.done
+                + entry.failed
+                + entry.known
+                + (entry.result == null ? "" : entry.result[0])
+                + entry.asking.stream().map(a -> a.copy.value() + "/" + a.body).toList();
     }
 }
--- a/results/src/main/java/tallyweir/results/ResultCompression.java
+++ b/results/src/main/java/tallyweir/results/ResultCompression.java
@@ -3,33 +3,33 @@
 import com.github.luben.zstd.Zstd;
 import com.github.luben.zstd.ZstdException;
 
-/** Results made smaller for the disk by Zstandard (RFC 8878), where it pays. */
+/** Compresses results for the disk with Zstandard (RFC 8878), where it saves enough. */
 final class ResultCompression {
     private static final int LEVEL = 3;
-    private static final int LEAST = 128; // bytes; a shorter result has a frame's head to win back first
-    private static final double GAIN = 0.125; // share that must be saved
-    private static final int LONGEST = 16 << 20; // the longest value that the store takes
+    private static final int LEAST = 128; // a shorter result saves less than the frame header costs
+    private static final double GAIN = 0.125; // otherwise the result is stored uncompressed
+    private static final int LONGEST = 16 << 20; // the longest value that the store accepts
 
     private ResultCompression() {}
 
-    /** The bytes made smaller; null where that does not pay. */
+    /** Returns the compressed bytes; null if that saves too little. */
     static byte[] compress(byte[] bytes) {
         if (bytes.length < LEAST) {
             return null;
         }
-        byte[] small = Zstd.compress(bytes, LEVEL);
-        return small.length <= bytes.length * (1 - GAIN) ? small : null;
+        byte[] compressed = Zstd.compress(bytes, LEVEL);
+        return compressed.length <= bytes.length * (1 - GAIN) ? compressed : null;
     }
 
-    /** The bytes as they were; null where they cannot have been that many, or are no frame of Zstandard. */
-    static byte[] decompress(byte[] small, int length) {
+    /** Returns the original bytes; null if the length is wrong or the input is not a Zstandard frame. */
+    static byte[] decompress(byte[] compressed, int length) {
         if (length < 0 || length > LONGEST) {
             return null;
         }
-        byte[] whole = new byte[length];
+        byte[] bytes = new byte[length];
         try {
-            long got = Zstd.decompressByteArray(whole, 0, length, small, 0, small.length);
-            return got == length ? whole : null;
+            long decompressed = Zstd.decompressByteArray(bytes, 0, length, compressed, 0, compressed.length);
+            return decompressed == length ? bytes : null;
         } catch (ZstdException e) {
             return null;
         }
--- a/results/src/main/java/tallyweir/results/ResultStore.java
+++ b/results/src/main/java/tallyweir/results/ResultStore.java
@@ -6,33 +6,36 @@
 import tallyweir.ids.JobId;
 
 /**
- * Where marks are kept over restarts. Nothing here waits for a disk: what is asked for is told later, on the thread that
- * asked, in any order; writes of one mark take effect in the order in which they were asked for. Times are tenths of a
- * millisecond since 1970.
+ * Stores the records of idempotency keys across restarts. No method waits for the disk: results are passed to
+ * callbacks later, on the caller's thread, in any order. Writes for one key take effect in the order in which they
+ * were asked for. Times are tenths of a millisecond since 1970.
  */
 public interface ResultStore {
-    /** What is kept of one mark: an intent where {@code known} is null. */
+    /** The record of one key: an intent if {@code known} is null, otherwise an outcome. */
     record Kept(Mark mark, JobId job, long body, Known known, byte[] result, long written, long until) {}
 
-    /** Whether anything is kept of a mark; told from memory. */
-    boolean knows(Mark mark);
+    /** Whether a key has a record; answered from memory. */
+    boolean knows(Mark key);
 
-    /** Whether another mark may be taken, with the outcomes of those under way still to come. */
-    boolean hasRoom(int underWay);
+    /** Whether there is room for another key, besides the outcomes of this many runs that are still to be written. */
+    boolean hasRoom(int pending);
 
-    void intend(Mark mark, JobId job, long body, long until, Consumer<Boolean> done);
+    /** Writes an intent; the callback gets whether it is on the disk. */
+    void intend(Mark key, JobId job, long body, long expiresAt, Consumer<Boolean> onDone);
 
-    void record(Mark mark, JobId job, long body, Known known, byte[] result, long until, Consumer<Boolean> done);
+    /** Replaces an intent by an outcome; the callback gets whether it is on the disk. */
+    void record(Mark key, JobId job, long body, Known known, byte[] result, long expiresAt, Consumer<Boolean> onDone);
 
-    void withdraw(Mark mark, Consumer<Boolean> done);
+    /** Deletes an intent; the callback gets whether it is gone from the disk. */
+    void withdraw(Mark key, Consumer<Boolean> onDone);
 
-    /** Tells what is kept, null where nothing can be read of it. */
-    void look(Mark mark, Consumer<Kept> then);
+    /** Reads the record of a key; the callback gets null if there is none or it can't be read. */
+    void look(Mark key, Consumer<Kept> onRead);
 
-    /** The intents that were there when the process began. */
+    /** The intents found when the process started. */
     List<Kept> intents();
 
-    /** Guards of the marks that are off: none, but in a drill that shows what each is for. */
+    /** Guards that are switched off: none, except in drills that show what each guard prevents. */
     default Set<Marks.Guard> without() {
         return Set.of();
     }
--- a/results/src/main/java/tallyweir/results/Settling.java
+++ b/results/src/main/java/tallyweir/results/Settling.java
@@ -14,45 +14,43 @@
 import tallyweir.durable.Found;
 
 /**
- * What a person may change of what is kept, and the record that is kept of it. The outcome that nobody could tell may be
- * settled once somebody has looked where the effect would show; a mark may be forgotten before its window ends. Every
- * change goes to the disk in one batch with who made it and why. What is still open is never touched: the process that
- * asked for the run settles it.
+ * Changes that an operator may make to stored records, and their audit trail. An unknown outcome may be settled once
+ * somebody has checked whether the effect took place; a key may be forgotten before its window ends. Each change is
+ * written in one batch with the operator's name and reason. A run that is still open is never changed: the process
+ * that started it settles it.
  */
 public final class Settling {
-    /** The namespace of what people changed. */
+    /** The namespace of the audit trail. */
     public static final String AUDIT = "audit";
 
     private static final int TEXT_MOST = 2_000;
 
-    /** What somebody has found out, or wants. */
+    /** The change to make: what was found out about the run, or that its key is to be forgotten. */
     public enum As {
-        /** It ran, and this is its result: repeats get it. */
+        /** It ran with the given result, which repeats get. */
         RAN,
-        /** It ran, and there is no result, or it ended badly: repeats are errored. */
+        /** It ran but failed or has no result: repeats are errored. */
         RAN_BADLY,
-        /** It never ran: the next copy may. */
+        /** It never ran: the next copy may run. */
         NEVER_RAN,
-        /** The mark is forgotten whatever became of it: the next copy runs. */
+        /** The key is forgotten whatever the outcome: the next copy runs. */
         FORGOTTEN
     }
 
     private record Rule(BiPredicate<ResultStore.Kept, As> when, String why) {}
 
-    // Gone through in order; the first that fires says why not.
+    // Evaluated in order; the first rule that matches gives the reason for the refusal.
     private static final List<Rule> RULES = List.of(
-            new Rule((k, as) -> k == null, "nothing is kept of this mark"),
+            new Rule((k, as) -> k == null, "there is no record of this key"),
             new Rule(
                     (k, as) -> k.known() == null,
-                    "its run is still open: the process that holds the store settles it, at the"
-                            + " latest one longest hard limit after its start"),
-            new Rule(
-                    (k, as) -> as != As.FORGOTTEN && k.known() != Known.UNKNOWN,
-                    "its outcome is known, there is nothing to settle"));
+                    "its run is still open: the process that has the store open settles it, at the"
+                            + " latest one maximum hard limit after its start"),
+            new Rule((k, as) -> as != As.FORGOTTEN && k.known() != Known.UNKNOWN, "its outcome is already known"));
 
     private Settling() {}
 
-    /** Why a change is not made, null if it is. */
+    /** Returns the reason why a change is refused; null if it is allowed. */
     static String refusal(ResultStore.Kept kept, As as) {
         return RULES.stream()
                 .filter(r -> r.when.test(kept, as))
@@ -62,71 +60,86 @@
     }
 
     /**
-     * Makes a change and returns once it is on the disk.
+     * Makes a change, and returns once it is on the disk.
      *
      * @param result of {@link As#RAN}; null otherwise
-     * @param by who makes it, 1 to 2,000 characters; likewise why
-     * @throws IOException with the reason why it was not made
+     * @param operator who makes the change, 1 to 2,000 characters
+     * @param reason for the change, 1 to 2,000 characters
+     * @throws IOException with the reason if the change is refused
      */
     public static synchronized void settle(
-            Durable store, Committer committer, Mark mark, As as, byte[] result, String by, String why)
+            Durable store, Committer committer, Mark key, As as, byte[] result, String operator, String reason)
             throws IOException {
-        if (by.isBlank() || why.isBlank() || by.length() > TEXT_MOST || why.length() > TEXT_MOST) {
-            throw new IOException("who and why are needed, of at most " + TEXT_MOST + " characters each");
+        if (operator.isBlank() || reason.isBlank() || operator.length() > TEXT_MOST || reason.length() > TEXT_MOST) {
+            throw new IOException(
+                    "an operator and a reason are required, of at most " + TEXT_MOST + " characters each");
         }
-        byte[] key = DurableResultStore.key(mark);
-        Found f = store.get(DurableResultStore.RESULTS, key);
-        ResultStore.Kept kept = f == null ? null : DurableResultStore.of(f);
+        byte[] storeKey = DurableResultStore.key(key);
+        Found found = store.get(DurableResultStore.RESULTS, storeKey);
+        ResultStore.Kept kept = found == null ? null : DurableResultStore.of(found);
         String refusal = refusal(kept, as);
         if (refusal != null) {
             throw new IOException(refusal);
         }
-        Batch b = new Batch();
+        Batch batch = new Batch();
         switch (as) {
             case RAN ->
                 DurableResultStore.put(
-                        b,
-                        mark,
+                        batch,
+                        key,
                         kept.job(),
                         kept.body(),
                         Known.GOOD,
                         result == null ? new byte[0] : result,
                         kept.until());
-            case RAN_BADLY -> DurableResultStore.put(b, mark, kept.job(), kept.body(), Known.BAD, null, kept.until());
-            default -> b.delete(DurableResultStore.RESULTS, key);
+            case RAN_BADLY ->
+                DurableResultStore.put(batch, key, kept.job(), kept.body(), Known.BAD, null, kept.until());
+            default -> batch.delete(DurableResultStore.RESULTS, storeKey);
         }
-        b.put(AUDIT, free(store, key), String.join("\t", as.name(), by, why).getBytes(StandardCharsets.UTF_8));
-        committer.write(b);
+        batch.put(
+                AUDIT,
+                free(store, storeKey),
+                String.join("\t", as.name(), operator, reason).getBytes(StandardCharsets.UTF_8));
+        committer.write(batch);
     }
 
-    /** A key of the audit by time and mark; of two changes of one mark at one moment the later is a tenth behind. */
-    private static byte[] free(Durable store, byte[] mark) {
+    /**
+     * A free audit key, made of time and key. A second change of a key at the same time is dated a tenth of a
+     * millisecond later.
+     */
+    private static byte[] free(Durable store, byte[] storeKey) {
         byte[] key;
         long at = store.now();
         do {
-            key = ByteBuffer.allocate(8 + mark.length).putLong(at++).put(mark).array();
+            key = ByteBuffer.allocate(8 + storeKey.length)
+                    .putLong(at++)
+                    .put(storeKey)
+                    .array();
         } while (store.contains(AUDIT, key));
         return key;
     }
 
-    /** What somebody changed, from a record of the namespace {@link #AUDIT}. */
+    /** A change as recorded in the namespace {@link #AUDIT}; its time is tenths of a millisecond since 1970. */
     public record Change(long at, Mark mark, String as, String by, String why) {}
 
-    /** Reads one; null if it is none of ours. */
+    /** Decodes a record of the namespace {@link #AUDIT}; null if it is malformed. */
     public static Change change(Found f) {
         String[] text = new String(f.value(), StandardCharsets.UTF_8).split("\t", 3);
         if (f.key().length < 9 || text.length < 3) {
             return null;
         }
-        byte[] key = new byte[f.key().length - 8];
+        byte[] storeKey = new byte[f.key().length - 8];
         ByteBuffer in = ByteBuffer.wrap(f.key());
         long at = in.getLong();
-        in.get(key);
-        Mark mark = DurableResultStore.mark(key);
-        return mark == null ? null : new Change(at, mark, text[0], text[1], text[2]);
+        in.get(storeKey);
+        Mark key = DurableResultStore.mark(storeKey);
+        return key == null ? null : new Change(at, key, text[0], text[1], text[2]);
     }
 
-    /** What a process that holds the store answers at its admin socket: {@code settle WORKLOAD MARK AS RESULT_HEX BY WHY}. */
+    /**
+     * The command that a process with an open store accepts on its admin socket: {@code settle WORKLOAD KEY AS
+     * RESULT_HEX OPERATOR REASON}, with {@code -} for no result.
+     */
     public static Map<String, AdminSocket.Command> commands(Durable store, Committer committer) {
         return Map.of("settle", (words, line, progress) -> {
             if (words.size() != 6) {
--- a/results/src/main/java/tallyweir/results/Verdict.java
+++ b/results/src/main/java/tallyweir/results/Verdict.java
@@ -1,13 +1,13 @@
 package tallyweir.results;
 
-/** What becomes of a copy that was read. */
+/** What is done with a copy of a query that was read. */
 public enum Verdict {
-    /** Nothing is known of its mark: it may be admitted. */
+    /** Its key has no record: it may be admitted. */
     NEW,
-    /** Its mark is known: it gets what the run of the mark came, or comes, to. */
+    /** Its key has a record: it gets the outcome of that run, at once or when the run ends. */
     REPEAT,
-    /** The mark belongs to another body: it is refused openly, and nothing else changes. */
+    /** Its key was used with another body: it is refused with that reason, and nothing else changes. */
     OTHER_BODY,
-    /** There is no room for another mark: it is deferred. */
+    /** There is no room for another record: it is deferred. */
     NO_ROOM
 }
--- a/results/src/test/java/tallyweir/results/DurableResultStoreTest.java
+++ b/results/src/test/java/tallyweir/results/DurableResultStoreTest.java
@@ -19,7 +19,7 @@
 import tallyweir.durable.SimDisk;
 import tallyweir.ids.JobId;
 
-/** Marks in the store over restarts and to the end of their windows. */
+/** Records in the store, across restarts and up to the end of their windows. */
 @Timeout(30)
 class DurableResultStoreTest {
     private static final Mark MARK = DurableResultStore.mark("reset", "m1");
@@ -63,9 +63,9 @@
     }
 
     private static ResultStore.Kept look(DurableResultStore s, Mark mark) {
-        ResultStore.Kept[] is = new ResultStore.Kept[1];
-        s.look(mark, k -> is[0] = k);
-        return is[0];
+        ResultStore.Kept[] stored = new ResultStore.Kept[1];
+        s.look(mark, k -> stored[0] = k);
+        return stored[0];
     }
 
     @Test
@@ -79,11 +79,11 @@
         });
         open(s -> {
             assertTrue(s.knows(MARK));
-            clock = until; // between the question and the look
-            assertNull(look(s, MARK), "a result is given after its window");
+            clock = until; // between the two calls
+            assertNull(look(s, MARK), "a result is returned after its window");
             assertFalse(s.knows(MARK));
         });
-        clock = until - 5_000; // the clock steps back over the restart
+        clock = until - 5_000; // the clock steps back during the restart
         open(s -> assertEquals(s.knows(MARK), look(s, MARK) != null));
     }
 
@@ -121,19 +121,19 @@
                 new java.util.SplittableRandom(n).nextBytes(noise);
                 assertTrue(
                         done(d -> s.record(m, new JobId("j"), 1, Known.GOOD, noise, until, d)),
-                        "refused with room left");
+                        "refused although there was room");
             }
-            assertTrue(n > 40, "room for " + n);
+            assertTrue(n > 40, "records that fit: " + n);
             assertFalse(s.hasRoom(0));
             assertTrue(s.knows(DurableResultStore.mark("reset", "x0")), "dropped within its window to make room");
         });
         open(s -> {
-            clock = until + 700_000; // past the next look for what has expired, once a minute
+            clock = until + 700_000; // after the next sweep of expired records, which runs once a minute
             long end = System.nanoTime() + 10_000_000_000L;
             while (!s.hasRoom(0) && System.nanoTime() < end) {
                 Thread.sleep(5);
             }
-            assertTrue(s.hasRoom(0), "room does not come back");
+            assertTrue(s.hasRoom(0), "no room after the records expired");
         });
     }
 
--- a/results/src/test/java/tallyweir/results/ExplorerTest.java
+++ b/results/src/test/java/tallyweir/results/ExplorerTest.java
@@ -12,23 +12,23 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import tallyweir.search.Search;
 
-/** Every interleaving of copies, crashes and faults, and that each guard is what answers one of them. */
+/** Explores every interleaving of copies, crashes and faults, and shows that each guard prevents a violation. */
 class ExplorerTest {
     private static final long MOST = 400_000;
 
     @Test
     void nothingRunsTwiceWhateverTheOrderOfThreeCopies() {
-        Search.Seen seen = Explorer.explore(3, Set.of(), MOST);
-        assertEquals(List.of(), seen.wrong());
-        assertTrue(seen.states() > 1_000, seen.states() + " states");
-        assertTrue(seen.ends() > 10, seen.ends() + " ends");
+        Search.Seen result = Explorer.explore(3, Set.of(), MOST);
+        assertEquals(List.of(), result.wrong());
+        assertTrue(result.states() > 1_000, result.states() + " states");
+        assertTrue(result.ends() > 10, result.ends() + " quiescent states");
     }
 
     @ParameterizedTest
     @EnumSource(Marks.Guard.class)
     void withoutOneGuardSomethingGoesWrong(Marks.Guard guard) {
-        Search.Seen seen = Explorer.explore(3, EnumSet.of(guard), MOST);
-        assertFalse(seen.wrong().isEmpty(), "nothing went wrong without " + guard);
-        assertFalse(seen.wrong().get(0).startsWith("given up"), seen.wrong().get(0));
+        Search.Seen result = Explorer.explore(3, EnumSet.of(guard), MOST);
+        assertFalse(result.wrong().isEmpty(), "no violation without " + guard);
+        assertFalse(result.wrong().get(0).startsWith("given up"), result.wrong().get(0));
     }
 }
--- a/results/src/test/java/tallyweir/results/MarksModelTest.java
+++ b/results/src/test/java/tallyweir/results/MarksModelTest.java
@@ -17,13 +17,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The marks beside a plain model of them, without rules, on drawn histories of several marks, bodies and copies. */
+/** Compares {@link Marks} with a plain model without rules, on random histories of several keys, bodies and copies. */
 class MarksModelTest {
     private static final int MARKS = 4;
     private static final int MOST = 3;
     private static final int EVENTS = 80;
 
-    /** What the marks asked for, as words. */
+    /** Records the actions asked for, as text. */
     private static final class Said implements Keeping {
         private final List<String> words = new ArrayList<>();
 
@@ -75,31 +75,31 @@
 
         @Override
         public void over(RunId run) {
-            // only lets go of what is held outside
+            // only releases memory held elsewhere
         }
     }
 
     private record Asker(long copy, long body) {}
 
-    /** One mark as far as something of it is under way. */
+    /** The state of one key while something is under way for it. */
     private static final class One {
         private String mark;
         private long holder;
         private long body;
         private boolean looking;
-        private int intent; // 0 under way, 1 on the disk, -1 refused
+        private int intent; // 0 being written, 1 on the disk, -1 write failed
         private boolean wanted;
         private boolean given;
         private boolean begun;
         private boolean withdrawing;
         private boolean recording;
         private boolean lost;
-        private Known known; // null until it is over
+        private Known known; // null until the run has ended
         private byte result;
         private final List<Asker> askers = new ArrayList<>();
     }
 
-    /** The same as the marks, written down straight on. */
+    /** The plain model. */
     private static final class Plain {
         private final Map<String, One> now = new HashMap<>();
         private final Map<Long, One> held = new HashMap<>();
@@ -159,12 +159,12 @@
                 drop(x);
             } else if (!x.begun && !x.withdrawing && x.intent == 1 && x.given) {
                 x.withdrawing = true;
-                boolean heir = now.get(x.mark) != x;
-                if (!heir) {
+                boolean replaced = now.get(x.mark) != x;
+                if (!replaced) {
                     words.add("withdraw " + x.holder);
                 }
                 notBegun(x);
-                if (heir) {
+                if (replaced) {
                     drop(x);
                 }
             } else if (!x.begun && !x.withdrawing && x.intent == 1 && x.wanted) {
@@ -247,9 +247,9 @@
             }
             List<String> expected = new ArrayList<>(plain.words);
             plain.words.clear();
-            List<String> did = said.take();
-            did.forEach(w -> seen.merge(w.split(" [0-9-]")[0], 1, Integer::sum));
-            assertEquals(expected, did, () -> String.join("\n", history));
+            List<String> actions = said.take();
+            actions.forEach(w -> seen.merge(w.split(" [0-9-]")[0], 1, Integer::sum));
+            assertEquals(expected, actions, () -> String.join("\n", history));
             assertEquals(plain.now.size(), marks.size(), () -> String.join("\n", history));
         }
 
@@ -354,7 +354,7 @@
         });
     }
 
-    /** The histories reach everything that can be said; otherwise they would show little. */
+    /** The random histories must reach every verdict and action, or the comparison would show little. */
     @Test
     void theHistoriesReachEverything() {
         Map<String, Integer> seen = new HashMap<>();
--- a/results/src/test/java/tallyweir/results/ResultCompressionTest.java
+++ b/results/src/test/java/tallyweir/results/ResultCompressionTest.java
@@ -15,7 +15,7 @@
 import tallyweir.durable.Found;
 import tallyweir.ids.JobId;
 
-/** Results on the disk, smaller or as they are. */
+/** Results on the disk, compressed or not. */
 class ResultCompressionTest {
     private static final Mark MARK = DurableResultStore.mark("reset", "m");
 
@@ -37,7 +37,7 @@
         byte[] slots = "{\"slot\":7,\"bakery\":\"imbaba\",\"from\":\"06:00\"},"
                 .repeat(30)
                 .getBytes();
-        assertTrue(value(Known.GOOD, slots).length < slots.length / 4, "not made smaller");
+        assertTrue(value(Known.GOOD, slots).length < slots.length / 4, "not compressed");
         assertArrayEquals(slots, back(value(Known.GOOD, slots)).result());
         byte[] noise = new byte[1_000];
         new SplittableRandom(1).nextBytes(noise);
@@ -54,8 +54,8 @@
         for (int at = 22; at < v.length; at++) {
             byte[] bad = v.clone();
             bad[at] ^= 0x55;
-            ResultStore.Kept k =
-                    back(bad); // the store's checksums are what finds damage: here it only must not be thrown about
+            // Damage is detected by the store's checksums; here it must only not cause an exception.
+            ResultStore.Kept k = back(bad);
             assertTrue(k == null || k.known() == Known.GOOD);
         }
         assertNull(back(Arrays.copyOf(v, v.length - 1)));
--- a/results/src/test/java/tallyweir/results/SettlingTest.java
+++ b/results/src/test/java/tallyweir/results/SettlingTest.java
@@ -25,7 +25,7 @@
 import tallyweir.durable.View;
 import tallyweir.ids.JobId;
 
-/** What a person may change, and what is kept of it. */
+/** Changes by operators, and their audit trail. */
 @Timeout(30)
 class SettlingTest {
     private static final Mark MARK = DurableResultStore.mark("reset", "m1");
@@ -72,13 +72,14 @@
     }
 
     private ResultStore.Kept kept() {
-        ResultStore.Kept[] is = new ResultStore.Kept[1];
-        resultStore.look(MARK, k -> is[0] = k);
-        return is[0];
+        ResultStore.Kept[] stored = new ResultStore.Kept[1];
+        resultStore.look(MARK, k -> stored[0] = k);
+        return stored[0];
     }
 
-    private String refusal(Settling.As as, String by, String why) {
-        return assertThrows(IOException.class, () -> Settling.settle(store, committer, MARK, as, null, by, why))
+    private String refusal(Settling.As as, String operator, String reason) {
+        return assertThrows(
+                        IOException.class, () -> Settling.settle(store, committer, MARK, as, null, operator, reason))
                 .getMessage();
     }
 
@@ -117,20 +118,21 @@
 
     @Test
     void whatIsOpenOrKnownOrUnsignedIsNotSettled() throws IOException {
-        assertTrue(refusal(Settling.As.NEVER_RAN, "amal", "x").contains("nothing is kept"));
+        assertTrue(refusal(Settling.As.NEVER_RAN, "amal", "x").contains("no record"));
         resultStore.intend(MARK, new JobId("j"), 42, until, good -> {});
         while (!resultStore.knows(MARK)) {
             Thread.onSpinWait();
         }
         for (Settling.As as : Settling.As.values()) {
-            assertTrue(refusal(as, "amal", "x").contains("still open"), as + " took an open intent away");
+            assertTrue(refusal(as, "amal", "x").contains("still open"), as + " deleted an open intent");
         }
         keep(Known.GOOD, "r");
         assertTrue(refusal(Settling.As.NEVER_RAN, "amal", "x").contains("known"));
         keep(Known.UNKNOWN, null);
-        assertTrue(refusal(Settling.As.NEVER_RAN, " ", "x").contains("who and why"));
-        assertTrue(refusal(Settling.As.NEVER_RAN, "amal", "").contains("who and why"));
-        assertTrue(refusal(Settling.As.NEVER_RAN, "amal", "x".repeat(2_001)).contains("who and why"));
+        assertTrue(refusal(Settling.As.NEVER_RAN, " ", "x").contains("an operator and a reason are required"));
+        assertTrue(refusal(Settling.As.NEVER_RAN, "amal", "").contains("an operator and a reason are required"));
+        assertTrue(refusal(Settling.As.NEVER_RAN, "amal", "x".repeat(2_001))
+                .contains("an operator and a reason are required"));
         assertEquals(List.of(), audit());
         assertEquals(Known.UNKNOWN, kept().known());
     }
