--- a/daemon/src/main/java/tallyweir/backend/Answer.java
+++ b/daemon/src/main/java/tallyweir/backend/Answer.java
@@ -1,13 +1,19 @@
 package tallyweir.backend;
 
-/** The way back to whoever sent a query; a front gives one with each query, and exactly one is used. */
+/** Sends the answer to the caller of one query. Exactly one of its methods is called, once. */
 interface Answer {
     void handled(byte[] result);
 
-    void deferred(long keepOff, boolean nowhereElse);
+    /**
+     * Answers that the query did not run and may be retried.
+     *
+     * @param retryAfter how long the caller should wait, tenths of a millisecond
+     * @param nowhereElse whether the caller should not try another server either
+     */
+    void deferred(long retryAfter, boolean nowhereElse);
 
     void errored();
 
-    /** The stamp belongs to a query with another body. */
+    /** Answers that the idempotency key belongs to a query with another body. */
     void otherBody();
 }
--- a/daemon/src/main/java/tallyweir/backend/Backend.java
+++ b/daemon/src/main/java/tallyweir/backend/Backend.java
@@ -16,20 +16,22 @@
 import tallyweir.results.ResultStore;
 
 /**
- * One backend without its sockets: what came in goes into one of these methods, what goes out leaves through
- * Links. All of it is called by one thread, with clock before each round. Nothing that fails in here gets out.
+ * One backend without its sockets: input is passed to these methods, output is sent through {@link Links}. Called by
+ * one thread only, with {@link #clock} before each round of input. All times are in tenths of a millisecond. An exception
+ * in the handling of one input is logged and counted, not thrown to the caller.
  */
 public final class Backend {
     private static final Logger LOG = LoggerFactory.getLogger(Backend.class);
-    // The announce service drops what is silent for three seconds, and reports get lost on their way: a dozen in
-    // a row has to.
+    // The announce service drops a server that is silent for three seconds. At this interval a dozen reports in a row
+    // have to be lost for that.
     private static final long REPORT_EVERY = 2_500;
-    private static final int SOCKETS_STORE = 8; // one in so many is for links to the store,
-    // so many for the process itself: sixteen of its files, selectors and its listener, two links to the kernel, the
-    // reports, the configuration's file, and some for what is being closed.
+    private static final int SOCKETS_STORE = 8; // one in eight sockets is reserved for links to the store
+    // Descriptors of the process itself: sixteen for its files, selectors and listener, two for links to the kernel,
+    // one
+    // each for the reports and the configuration file, and some for connections that are being closed.
     private static final int SOCKETS_OWN = 24;
     private static final int SOCKETS_APART =
-            8; // of the rest, one in so many is let in only until others have given way
+            8; // one in eight caller connections is accepted only until idle ones have been closed
 
     private final Deadlines deadlines = new Deadlines();
     private final Counters counters = new Counters();
@@ -39,12 +41,18 @@
     private final Queries queries;
     private long now;
 
-    /** One that keeps no results over restarts. */
+    /** Creates a backend that retains no results over restarts. */
     public Backend(Links links, Config config, long now, long wall) {
         this(links, config, now, wall, null);
     }
 
-    /** @param resultStore where results of queries with an effect are kept over restarts, null for nowhere */
+    /**
+     * Creates a backend.
+     *
+     * @param now monotonic time in tenths of a millisecond
+     * @param wall Unix time in tenths of a millisecond
+     * @param resultStore retains results of queries with an effect over restarts, null to retain none
+     */
     public Backend(Links links, Config config, long now, long wall, ResultStore resultStore) {
         this.links = links;
         this.now = now;
@@ -63,6 +71,7 @@
         queries.clock(now, wall);
     }
 
+    /** Connects to the kernel and starts reporting to the announce service. */
     public void start() {
         guard(() -> queries.kernel().connect());
         guard(this::report);
@@ -72,7 +81,12 @@
         return counters;
     }
 
-    /** Both in tenths of a millisecond; the first only goes forward, the second is the Unix clock, rounded up. */
+    /**
+     * Sets the time for the input that follows.
+     *
+     * @param now monotonic time in tenths of a millisecond; an earlier time than before is ignored
+     * @param wall Unix time in tenths of a millisecond, rounded up
+     */
     public void clock(long now, long wall) {
         this.now = Math.max(this.now, now);
         queries.clock(this.now, wall);
@@ -81,61 +95,64 @@
         }
     }
 
-    /** The moment at which pass has something to do. */
+    /** When {@link #pass} next has something to do, Long.MAX_VALUE for never. */
     public long next() {
         return deadlines.next();
     }
 
-    /** Does all that is due. */
+    /** Runs all actions whose deadline has passed. */
     public void pass() {
-        for (Runnable due = deadlines.due(now); due != null; due = deadlines.due(now)) {
-            guard(due);
+        for (Runnable action = deadlines.due(now); action != null; action = deadlines.due(now)) {
+            guard(action);
         }
     }
 
-    /** How many connections of callers there may be at once, of so many sockets. */
+    /** Maximum number of simultaneous caller connections for a process with this many sockets. */
     public static int callersMost(int sockets) {
         return sockets - sockets / SOCKETS_STORE - SOCKETS_OWN;
     }
 
     private static ConnectionLimits connectionLimits(int sockets) {
-        int most = callersMost(sockets);
-        return new ConnectionLimits(most - most / SOCKETS_APART, most);
+        int max = callersMost(sockets);
+        return new ConnectionLimits(max - max / SOCKETS_APART, max);
     }
 
-    /** The slot of a new connection. */
+    /** Registers a new caller connection and returns its slot, or null if there is none left. */
     public ConnectionId accepted() {
         return queries.connections().accepted();
     }
 
-    /** Nobody more is let in: callers wait until others have given way. */
+    /** No more connections can be accepted: callers wait until others have been closed. */
     public void full() {
         guard(() -> queries.connections().full());
     }
 
-    /** Nobody can connect any more. */
+    /** The listener is closed: nobody can connect any more. */
     public void listenerClosed() {
         guard(() -> queries.connections().leave());
     }
 
-    /** The other side has reset a connection, or nothing can be read from it or written to it any more. */
+    /** Counts a connection that its peer has reset, or that failed on a read or a write. */
     public void reset() {
         counters.add(Count.CONNECTIONS_RESET);
     }
 
-    /** A connection was closed since answers that were not read took too much memory. */
+    /** Counts a connection that was closed because answers its caller didn't read took too much memory. */
     public void unread() {
         counters.add(Count.CONNECTIONS_CLOSED_UNREAD);
     }
 
+    /** Handles bytes from a caller. */
     public void read(ConnectionId caller, ByteBuffer bytes) {
         guard(() -> queries.connections().read(caller, bytes));
     }
 
+    /** A caller's connection is closed. */
     public void closed(ConnectionId caller) {
         guard(() -> queries.connections().closed(caller));
     }
 
+    /** A link to the kernel or the store is open. */
     public void up(LinkId link) {
         guard(() -> {
             if (!queries.kernel().up(link)) {
@@ -144,7 +161,11 @@
         });
     }
 
-    /** @param unwritten nothing of what was last to be written on it has left this process */
+    /**
+     * A link to the kernel or the store has failed to open or has broken.
+     *
+     * @param unwritten whether nothing of the last write to it has left this process
+     */
     public void down(LinkId link, boolean unwritten) {
         guard(() -> {
             if (!queries.kernel().down(link)) {
@@ -153,6 +174,7 @@
         });
     }
 
+    /** Handles bytes from the kernel or the store. */
     public void read(LinkId link, ByteBuffer bytes) {
         guard(() -> {
             if (!queries.kernel().read(link, bytes)) {
@@ -161,7 +183,7 @@
         });
     }
 
-    /** The peers have other addresses: what opens from now on opens there. */
+    /** The peers' addresses have changed; links opened from now on use the new ones. */
     public void moved() {
         guard(() -> queries.kernel().moved());
         guard(() -> queries.store().moved());
@@ -171,14 +193,17 @@
     }
 
     /**
-     * This server is in a fleet; before it starts.
+     * Makes this server a member of a fleet. Called before {@link #start}.
      *
-     * @param fleet its name
+     * @param fleet name of the fleet
+     * @param deciding runs work on the backend's thread
+     * @param listen address that callers connect to
      * @param linger how long a connection counts for a tenant after its last query
-     * @param again how long it waits at the least before it asks again what was not answered
-     * @param backWhole whether it stands back whole while it is out
-     * @param life of this process: higher than that of the one before it
-     * @param without guards that are off, for checks only
+     * @param minRetryDelay minimum delay before an unanswered request to the fleet service is sent again
+     * @param withdrawFully whether a server that the fleet has taken out is withdrawn completely, or goes on without
+     *     what the fleet lent it
+     * @param incarnation of this process: higher than that of the process before it
+     * @param disabledGuards guards that are disabled, for tests and drills only
      */
     public void joinFleet(
             FleetClient client,
@@ -186,47 +211,61 @@
             Executor deciding,
             String listen,
             long linger,
-            long again,
-            boolean backWhole,
+            long minRetryDelay,
+            boolean withdrawFully,
             long seed,
-            long life,
-            Set<Guard> without) {
+            long incarnation,
+            Set<Guard> disabledGuards) {
         queries.joinFleet(new FleetMembership(
-                queries, links, deadlines, client, fleet, deciding, name, listen, linger, again, backWhole, seed, now,
-                life, without));
+                queries,
+                links,
+                deadlines,
+                client,
+                fleet,
+                deciding,
+                name,
+                listen,
+                linger,
+                minRetryDelay,
+                withdrawFully,
+                seed,
+                now,
+                incarnation,
+                disabledGuards));
     }
 
-    /** Tells the fleet that this server has answered all and ends. */
+    /** Tells the fleet that this server has answered all queries and is about to exit. */
     public void leaveFleet() {
         if (queries.fleet() != null) {
             queries.fleet().leave();
         }
     }
 
-    /** From now on other settings are watched, or none where there are none. */
+    /** Sets the shadow settings, compared beside those in force; null for none. */
     public void watch(Settings watched) {
         guard(() -> queries.watch(watched));
     }
 
+    /** Starts the shutdown: pending queries are answered, callers disconnected and the listener closed. */
     public void drain() {
         guard(() -> queries.drain(stopAfter));
     }
 
     private void report() {
         deadlines.set(now + REPORT_EVERY, this::report);
-        if (queries.announced()) { // who stands back lets its announcing lapse
+        if (queries.announced()) { // a withdrawn server lets its entry at the announce service expire
             links.report(Report.of(name, !queries.draining()));
             counters.add(Count.REPORTS_SENT);
         }
     }
 
-    /** A fault in the handling of one thing leaves the rest as it was. */
+    /** Runs one piece of work; an exception in it is logged and counted and doesn't affect the rest. */
     private void guard(Runnable work) {
         try {
             work.run();
         } catch (RuntimeException | Error e) {
             counters.add(Count.FAULTS);
-            LOG.error("a fault was passed over", e);
+            LOG.error("unexpected exception; the input that caused it was skipped", e);
         }
     }
 }
--- a/daemon/src/main/java/tallyweir/backend/Counters.java
+++ b/daemon/src/main/java/tallyweir/backend/Counters.java
@@ -6,8 +6,12 @@
 import java.util.function.IntSupplier;
 import java.util.function.Supplier;
 
-/** What was taken in, sent and answered since the start; printed on request and at exit. */
+/**
+ * Counts of input, output and answers since the start; printed on request and at exit. Used by the backend's thread
+ * only.
+ */
 public final class Counters {
+    /** What is counted. The names are printed, in lower case, and must not change. */
     enum Count {
         CONNECTIONS_ACCEPTED,
         CONNECTIONS_WAITED,
@@ -77,25 +81,25 @@
     private final Map<String, IntSupplier> now = new LinkedHashMap<>();
     private final Map<String, Supplier<Map<String, Long>>> more = new LinkedHashMap<>();
 
-    void add(Count what) {
-        add(what, 1);
+    void add(Count counter) {
+        add(counter, 1);
     }
 
-    void add(Count what, long number) {
-        counts[what.ordinal()] += number;
+    void add(Count counter, long number) {
+        counts[counter.ordinal()] += number;
     }
 
-    /** How many of something there are now, beside what was counted. */
-    void now(String name, IntSupplier size) {
-        now.put(name, size);
+    /** Adds a gauge, which is read whenever the counters are printed; its name gets the prefix "now_". */
+    void now(String name, IntSupplier value) {
+        now.put(name, value);
     }
 
-    /** Figures that something else counts, to be printed behind these; their names get a prefix. Any thread may count them. */
+    /** Adds figures counted elsewhere, on any thread, to be printed after these; their names get the prefix. */
     public void also(String prefix, Supplier<Map<String, Long>> figures) {
         more.put(prefix, figures);
     }
 
-    /** Every name with its number. */
+    /** All counters, gauges and added figures, by name, in the order in which they are printed. */
     public Map<String, Long> all() {
         Map<String, Long> all = new LinkedHashMap<>();
         for (Count c : Count.values()) {
@@ -106,7 +110,7 @@
         return all;
     }
 
-    /** Name and number, a line each. */
+    /** One line with name and number for each counter. */
     public String text() {
         StringBuilder text = new StringBuilder();
         all().forEach((name, number) ->
@@ -114,7 +118,7 @@
         return text.toString();
     }
 
-    /** The same on one line, without what is zero. */
+    /** All counters that are not zero, on one line. */
     public String line() {
         StringBuilder text = new StringBuilder();
         all().forEach((name, number) -> text.append(number == 0 ? "" : name + "=" + number + " "));
--- a/daemon/src/main/java/tallyweir/backend/InFlight.java
+++ b/daemon/src/main/java/tallyweir/backend/InFlight.java
@@ -11,40 +11,40 @@
 import tallyweir.ids.WorkloadId;
 import tallyweir.results.Mark;
 
-/** One query that was read, from then until it is answered and nothing of it runs. */
+/** One query from when it is read until it is answered and no run of it is left. Times are in tenths of a millisecond. */
 final class InFlight {
-    final JobId job; // its name on the links, as it came
+    final JobId job; // its id on the links, as the caller sent it
     final WorkloadId workload;
-    final byte[] body; // as it came
+    final byte[] body; // as the caller sent it
     final Answer way;
     QueryId id;
     int slot;
-    boolean answered; // by us, or nothing is owed any more
-    boolean running; // the kernel has it
+    boolean answered; // answered here, or its caller has disconnected
+    boolean running; // handed to the kernel, or waiting for its intent to be written first
     boolean released;
-    int sentOn; // the kernel link that its run was asked on
-    byte[] call; // the body of the call that its run waits for
-    byte[] reply; // the reply to its last call, until the kernel shows that it has it
-    int replyOn; // the kernel link that took it,
-    long replyAt; // and when
-    int stopOn; // the kernel link that took its stop, 0 for none,
-    long stopAt; // and when
-    final List<LinkId> calledOn = new ArrayList<>(0); // links that carried calls of it
+    int sentOn; // generation of the kernel link on which its run was requested
+    byte[] call; // body of the call to the store that its run is blocked on
+    byte[] reply; // reply to its last call, until the kernel shows that it has received it
+    int replyOn; // generation of the kernel link on which the reply was sent
+    long replyAt; // when the reply was sent
+    int stopOn; // generation of the kernel link on which its stop was sent, 0 for none
+    long stopAt; // when the stop was sent
+    final List<LinkId> calledOn = new ArrayList<>(0); // store links that have carried its calls
     Deadlines.Deadline due;
-    long expected; // when it is late
-    InetSocketAddress store; // where it calls, by the revision it was read under; null: as configured
-    Repeats.Entry entry; // what its like share
-    Mark mark; // by which it is known over restarts; null where none is kept
-    boolean recording; // its run is over and its answer waits until that is on the disk
+    long expected; // end of its expected time; counted as late after that. Set only in a fleet
+    InetSocketAddress store; // where it calls, by the revision it was read under; null for the configured address
+    Repeats.Entry entry; // shared by all queries with the same key; null for none
+    Mark mark; // key of its retained result; null if none is retained
+    boolean recording; // its run has ended and its answer waits until the result is on the disk
 
-    InFlight(JobId job, WorkloadId workload, byte[] body, Answer way) {
+    InFlight(JobId job, WorkloadId workload, byte[] body, Answer responder) {
         this.job = job;
         this.workload = workload;
         this.body = body;
-        this.way = way;
+        this.way = responder;
     }
 
-    /** By which bodies under one mark are told apart. */
+    /** Digest by which two bodies under the same key are told apart. */
     long bodyDigest() {
         CRC32C crc = new CRC32C();
         crc.update(body);
--- a/daemon/src/main/java/tallyweir/backend/KeptResults.java
+++ b/daemon/src/main/java/tallyweir/backend/KeptResults.java
@@ -16,8 +16,9 @@
 import tallyweir.results.Verdict;
 
 /**
- * Results of queries with an effect, kept over restarts: stands between the queries, the marks that decide what is
- * recorded and who gets it, and the result store. Nothing here where an installation keeps none.
+ * Results of queries with an effect, retained over restarts. Connects the queries, the rules that decide what is
+ * recorded and who gets it ({@link Marks}), and the result store. Not created where an installation retains none.
+ * Runs on the backend's thread; wall-clock times are tenths of a millisecond since 1970.
  */
 final class KeptResults implements Keeping {
     private static final int MARKS_MOST = 1 << 16;
@@ -25,11 +26,13 @@
     private final Queries queries;
     private final ResultStore resultStore;
     private final Marks marks;
-    private final Map<RunId, JobId> jobs = new HashMap<>(); // of runs under way, by what the kernel calls them
-    private final Map<JobId, RunId> before = new HashMap<>(); // runs of the process before, until they are settled
+    // Job ids of the runs in progress.
+    private final Map<RunId, JobId> jobs = new HashMap<>();
+    // Runs of the previous process, until they are settled.
+    private final Map<JobId, RunId> before = new HashMap<>();
     private final Map<RunId, Long> writtenAt = new HashMap<>();
     private final Set<RunId> admitted = new HashSet<>();
-    private boolean trying; // the disk will be offered again what it refused
+    private boolean trying; // whether a retry of refused writes is scheduled
 
     KeptResults(Queries queries, ResultStore resultStore) {
         this.queries = queries;
@@ -45,61 +48,75 @@
         }
     }
 
-    private static RunId run(InFlight t) {
-        return new RunId(t.id.value());
+    private static RunId run(InFlight inFlight) {
+        return new RunId(inFlight.id.value());
     }
 
-    /** Offers the disk again what it has refused; tenths of a millisecond since 1970. */
+    /**
+     * Retries the writes that the disk has refused.
+     *
+     * @param wall tenths of a millisecond since 1970
+     */
     void tryAgain(long wall) {
         trying = false;
         marks.tryAgain(wall);
     }
 
-    /** How many results are in memory alone, the disk having refused them. */
+    /** How many results are only in memory because the disk refused them. */
     int lost() {
         return marks.lost();
     }
 
-    /** How many runs of the process before are not settled. */
+    /** How many runs of the previous process are not settled yet. */
     int unsettled() {
         return before.size();
     }
 
-    Verdict read(InFlight t, SubjectId stamp) {
-        t.mark = new Mark(t.workload, stamp);
-        Verdict v = marks.read(run(t), t.mark, t.bodyDigest(), resultStore.knows(t.mark));
-        return v == Verdict.NEW && !resultStore.hasRoom(jobs.size()) ? Verdict.NO_ROOM : v;
+    /** Looks up the key of an incoming query: whether it is new, a repeat, or in conflict with an earlier body. */
+    Verdict read(InFlight inFlight, SubjectId key) {
+        inFlight.mark = new Mark(inFlight.workload, key);
+        Verdict verdict =
+                marks.read(run(inFlight), inFlight.mark, inFlight.bodyDigest(), resultStore.knows(inFlight.mark));
+        return verdict == Verdict.NEW && !resultStore.hasRoom(jobs.size()) ? Verdict.NO_ROOM : verdict;
     }
 
-    /** @param until when the mark may be forgotten, tenths of a millisecond since 1970 */
-    void admit(InFlight t, long until) {
-        if (admitted.add(run(t))) {
-            jobs.put(run(t), t.job);
-            marks.admit(run(t), t.mark, t.bodyDigest(), until);
+    /**
+     * Admits a query for a run.
+     *
+     * @param until when the key may be forgotten, tenths of a millisecond since 1970
+     */
+    void admit(InFlight inFlight, long until) {
+        if (admitted.add(run(inFlight))) {
+            jobs.put(run(inFlight), inFlight.job);
+            marks.admit(run(inFlight), inFlight.mark, inFlight.bodyDigest(), until);
         }
     }
 
-    void want(InFlight t) {
-        marks.want(run(t));
+    /** Requests the run; it starts once its intent is on the disk. */
+    void want(InFlight inFlight) {
+        marks.want(run(inFlight));
     }
 
-    void giveUp(InFlight t) {
-        marks.giveUp(run(t));
+    /** The decisions no longer want the query to run; has no effect on a run that may have started. */
+    void giveUp(InFlight inFlight) {
+        marks.giveUp(run(inFlight));
     }
 
-    void leave(InFlight t) {
-        marks.leave(run(t));
+    /** The query's caller needs no further answer; its run, if any, goes on. */
+    void leave(InFlight inFlight) {
+        marks.leave(run(inFlight));
     }
 
-    void await(InFlight t) {
-        marks.await(run(t), t.mark, t.bodyDigest());
+    /** Answers the query with the outcome recorded under its key, once that is known. */
+    void await(InFlight inFlight) {
+        marks.await(run(inFlight), inFlight.mark, inFlight.bodyDigest());
     }
 
-    void ended(InFlight t, Known known, byte[] result) {
-        marks.ended(run(t), known, result);
+    void ended(InFlight inFlight, Known known, byte[] result) {
+        marks.ended(run(inFlight), known, result);
     }
 
-    /** A run of the process before has ended; false if it is none. */
+    /** Settles a run of the previous process; returns false if the job isn't one. */
     boolean endedBefore(JobId job, Known known, byte[] result) {
         RunId run = before.remove(job);
         if (run == null) {
@@ -109,7 +126,12 @@
         return true;
     }
 
-    /** Runs asked of a kernel that is no more: nobody can tell what became of them. */
+    /**
+     * Settles as unknown the runs that were requested before the kernel started: the earlier kernel can no longer
+     * report their outcome.
+     *
+     * @param wall when the kernel started, tenths of a millisecond since 1970
+     */
     void kernelBegan(long wall) {
         Map.copyOf(before).forEach((job, run) -> {
             if (writtenAt.get(run) < wall) {
@@ -118,12 +140,12 @@
         });
     }
 
-    /** The kernel has had its time to tell of the runs of the process before. */
+    /** Settles all remaining runs of the previous process as unknown: the kernel has had time to report them. */
     void nobodyKnows() {
         Map.copyOf(before).forEach((job, run) -> endedBefore(job, Known.UNKNOWN, null));
     }
 
-    // ---- what the marks ask for
+    // ---- requests of the key rules
 
     @Override
     public void intend(RunId run, Mark mark, long body, long until) {
--- a/daemon/src/main/java/tallyweir/backend/Kernel.java
+++ b/daemon/src/main/java/tallyweir/backend/Kernel.java
@@ -11,14 +11,20 @@
 import tallyweir.kernel.Commands;
 import tallyweir.kernel.Notices;
 
-/** The link to the kernel: numbers of notices, commands that wait for a link, opening it again. */
+/**
+ * The link to the kernel. Checks the numbers of notices, holds commands until a link is up and reconnects after a
+ * break. Runs on the backend's thread; times are in tenths of a millisecond.
+ */
 final class Kernel implements Notices.Sink {
     private static final Logger LOG = LoggerFactory.getLogger(Kernel.class);
     private static final int WAITING_MOST = 4_000;
     private static final long AGAIN_AFTER = 1_000; // a tenth of a second
-    private static final int UNHEARD_MOST = 20; // askings in a row; not a time, which a pause would use up
-    private static final long MAYBE_LOST = 2_000; // what was sent so shortly before a break may not have come
-    private static final long STARTS_APART = 10_000; // a second: the same start is told less exactly than this
+    // Requests in a row; a time would also run down while this process is paused.
+    private static final int UNHEARD_MOST = 20;
+    // Commands sent within this time before a break may not have arrived.
+    private static final long MAYBE_LOST = 2_000;
+    // A second: reports of the same start differ by less than this.
+    private static final long STARTS_APART = 10_000;
     private static final String RESUMED = "resumed";
 
     private final Links links;
@@ -30,12 +36,12 @@
     private final RateLimitedLog warnings;
     private final PeerMonitor monitor;
     private Notices notices;
-    private LinkId link; // the one that is up
-    private LinkId opening; // the one that is to take its place
-    private boolean booted; // on the link that is up
-    private int turn; // how many links there have been
-    private long lastUp; // when the link before was last seen up
-    private long started = Long.MAX_VALUE / 2; // the kernel's start, by its own word
+    private LinkId link; // the link that is up, or null
+    private LinkId opening; // the link that is to replace it, or null
+    private boolean booted; // whether the kernel has reported its boot on the link that is up
+    private int turn; // number of links that have been up so far
+    private long lastUp; // when the previous link was last seen up
+    private long started = Long.MAX_VALUE / 2; // start time reported by the kernel
     private long last;
     private long tag;
     private int unheard;
@@ -57,7 +63,7 @@
         }
     }
 
-    /** The kernel has another address: the link up stays in use until the new one is there to take its place. */
+    /** The kernel has another address: the present link stays in use until the new one is up. */
     void moved() {
         if (opening != null) {
             links.drop(opening);
@@ -66,7 +72,7 @@
         connect();
     }
 
-    /** False for a link that is none of ours; so with the next two. */
+    /** A link is up. Returns false if it isn't a kernel link, like {@link #down} and {@link #read}. */
     boolean up(LinkId id) {
         if (!id.equals(opening)) {
             return false;
@@ -100,13 +106,13 @@
         return true;
     }
 
-    /** Opened again at once: a link that breaks says nothing of the kernel, whose runs go on. */
+    /** Reconnects, at once if the link was in use: a broken link doesn't mean that the kernel or its runs have ended. */
     private void lost() {
-        boolean atOnce = booted;
+        boolean reconnectNow = booted;
         link = null;
         booted = false;
         lastUp = queries.now();
-        if (atOnce) {
+        if (reconnectNow) {
             connect();
         } else {
             deadlines.set(queries.now() + AGAIN_AFTER, this::connect);
@@ -124,34 +130,34 @@
 
     // ---- commands
 
-    void run(InFlight t) {
-        t.sentOn = next();
-        send(Commands.run(t.job, t.workload.value(), t.body));
+    void run(InFlight inFlight) {
+        inFlight.sentOn = next();
+        send(Commands.run(inFlight.job, inFlight.workload.value(), inFlight.body));
     }
 
-    void stop(InFlight t) {
-        t.stopAt = queries.now();
-        t.stopOn = next();
-        send(Commands.stop(t.job));
+    void stop(InFlight inFlight) {
+        inFlight.stopAt = queries.now();
+        inFlight.stopOn = next();
+        send(Commands.stop(inFlight.job));
     }
 
-    void reply(InFlight t, byte[] body) {
-        t.reply = body;
-        t.replyAt = queries.now();
-        t.replyOn = next();
-        send(Commands.reply(t.job, body));
+    void reply(InFlight inFlight, byte[] body) {
+        inFlight.reply = body;
+        inFlight.replyAt = queries.now();
+        inFlight.replyOn = next();
+        send(Commands.reply(inFlight.job, body));
     }
 
-    /** The link on which the next command goes. */
+    /** Generation of the link on which the next command is sent. */
     private int next() {
         return booted ? turn : turn + 1;
     }
 
-    /** Asks for the gauges where there is a link to ask on. */
+    /** Requests the gauges if a link is up. */
     void askGauges() {
-        // A link whose other end is gone without a word is opened again; nothing that was noticed is lost by it.
+        // Detects a link whose other end has silently gone. No notice is lost: the kernel repeats them on the new link.
         if (link != null && ++unheard > UNHEARD_MOST) {
-            bad("nothing heard after " + UNHEARD_MOST + " askings");
+            bad("nothing received after " + UNHEARD_MOST + " gauge requests");
         }
         if (booted) {
             links.to(link, Commands.gauges("g" + ++tag));
@@ -164,7 +170,7 @@
         } else if (waiting.size() < WAITING_MOST) {
             waiting.add(command);
         } else {
-            warnings.warn("no link to the kernel and too many commands wait: one is left out");
+            warnings.warn("no link to the kernel and too many commands are waiting; one was dropped");
         }
     }
 
@@ -178,14 +184,14 @@
                 .addKeyValue("at_start", fresh ? "cold" : "warm")
                 .log("the kernel is up");
         if (queries.now() - before > started + STARTS_APART) {
-            // Another kernel: its notices are numbered anew, and nothing that the one before ran is left.
+            // The kernel has restarted: its notice numbers start again and none of the earlier runs is left.
             last = 0;
             waiting.clear();
             queries.kernelLost();
         }
         started = queries.now() - before;
         if (turn > 1) {
-            links.to(link, Commands.gauges(RESUMED)); // its reply stands behind all repeated notices
+            links.to(link, Commands.gauges(RESUMED)); // its reply comes after all repeated notices
         }
         while (!waiting.isEmpty()) {
             links.to(link, waiting.poll());
@@ -194,23 +200,25 @@
     }
 
     /**
-     * What was asked shortly before a link broke may never have come. The harmless is asked for again, which does
-     * nothing to what runs already; so do a stop and the reply to a call, without which a run would stand for good.
+     * Sends again what may have been lost because it was sent shortly before the link broke: runs of harmless queries,
+     * which has no effect on one that already runs; and stops and replies to calls, without which a run would stay
+     * blocked for ever.
      */
     private void resumed() {
-        for (InFlight t : queries.running()) {
-            if (t.call == null && t.sentOn < turn && queries.harmless(t)) {
-                run(t);
+        for (InFlight inFlight : queries.running()) {
+            if (inFlight.call == null && inFlight.sentOn < turn && queries.harmless(inFlight)) {
+                run(inFlight);
             }
-            if (t.reply != null && t.replyOn < turn && t.replyAt >= lastUp - MAYBE_LOST) {
-                reply(t, t.reply);
+            if (inFlight.reply != null && inFlight.replyOn < turn && inFlight.replyAt >= lastUp - MAYBE_LOST) {
+                reply(inFlight, inFlight.reply);
             }
-            if (t.stopOn > 0 && t.stopOn < turn && t.stopAt >= lastUp - MAYBE_LOST) {
-                stop(t);
+            if (inFlight.stopOn > 0 && inFlight.stopOn < turn && inFlight.stopAt >= lastUp - MAYBE_LOST) {
+                stop(inFlight);
             }
         }
     }
 
+    /** Counts a notice; returns false if it has been received before. */
     private boolean isNew(long n) {
         if (n <= last) {
             counters.add(Count.KERNEL_NOTICES_REPEATED);
@@ -225,9 +233,9 @@
     }
 
     @Override
-    public void ended(long n, JobId job, String how, byte[] result) {
+    public void ended(long n, JobId job, String state, byte[] result) {
         if (isNew(n)) {
-            queries.runEnded(job, how, result);
+            queries.runEnded(job, state, result);
         }
     }
 
@@ -263,14 +271,14 @@
     }
 
     @Override
-    public void unknown(String why) {
+    public void unknown(String reason) {
         counters.add(Count.KERNEL_NOTICES_UNKNOWN);
-        warnings.warn("kernel: a line was passed over: " + why);
+        warnings.warn("kernel: a line was passed over: " + reason);
     }
 
     @Override
-    public void bad(String why) {
-        warnings.warn("kernel: " + why + "; the link is opened again");
+    public void bad(String reason) {
+        warnings.warn("kernel: " + reason + "; reopening the link");
         links.drop(link);
         lost();
     }
--- a/daemon/src/main/java/tallyweir/backend/Links.java
+++ b/daemon/src/main/java/tallyweir/backend/Links.java
@@ -4,44 +4,63 @@
 import tallyweir.ids.ConnectionId;
 import tallyweir.ids.LinkId;
 
-/** What the core asks of the sockets. None of these calls back before it returns. */
+/**
+ * What the backend requires of the sockets. Called on the backend's thread. No method calls back into the backend before
+ * it returns.
+ */
 public interface Links {
+    /** Queues bytes for a caller. */
     void toCaller(ConnectionId caller, byte[] bytes);
 
     /**
-     * Ends what is written to a caller, once all before has gone out: a half-close. What still comes is read and led
-     * nowhere. Closed is told as for any end.
+     * Half-closes a caller's connection once all queued bytes have been written. Bytes that still arrive are read and
+     * discarded. {@link Backend#closed} is called as for any other connection.
      */
     void endCaller(ConnectionId caller);
 
-    /** The same at once, only where nothing of the caller lies unread here or in its socket, nor anything for it unwritten. */
+    /**
+     * Half-closes a caller's connection at once, but only if no bytes of the caller are unread, here or in the socket,
+     * and none for it are unwritten. Returns whether it did.
+     */
     boolean endQuiet(ConnectionId caller);
 
     /** Closes a caller's connection at once. */
     void dropCaller(ConnectionId caller);
 
-    /** Closes the connection of the caller that has taken nothing of its answers for longest, if it is long. */
+    /**
+     * Closes the connection of the caller that has read nothing of its answers for the longest time, if that time is
+     * long enough. Returns whether it closed one.
+     */
     boolean dropStuck();
 
-    /** Nobody is to connect any more: who tries is refused, which proves that nothing of it ran. Told once that is so. */
+    /**
+     * Closes the listener. Callers that try to connect are refused, which proves to them that nothing of their queries
+     * ran. {@link Backend#listenerClosed} is called once it is closed.
+     */
     void stopListening();
 
-    /** Whether callers may be waiting to be let in, as there is no descriptor for one more. */
+    /** Whether callers may be waiting to be accepted because no descriptor is left. */
     boolean callersWait();
 
-    /** Opens a link to a peer, where it is now if no address is given; up or down is told later. */
+    /**
+     * Opens a link to a peer. {@link Backend#up} or {@link Backend#down} is called later.
+     *
+     * @param at address to connect to, null for the peer's present address
+     */
     void connect(LinkId link, Peer peer, InetSocketAddress at);
 
-    /** By a revision of the fleet the kernel and the announce service are elsewhere; null for where they were configured. */
+    /** Sets the addresses that a revision of the fleet gives to these peers; null for the configured address. */
     void route(InetSocketAddress kernel, InetSocketAddress announce);
 
+    /** Queues bytes on a link. */
     void to(LinkId link, byte[] bytes);
 
-    /** Drops a link, also one that is opening; nothing more is told of it. */
+    /** Closes a link, also one that is still opening; nothing more is reported about it. */
     void drop(LinkId link);
 
+    /** Sends a datagram to the announce service. */
     void report(byte[] datagram);
 
-    /** Peers may be elsewhere: has the configuration looked at again, and moved is told if that is so. */
+    /** Reads the configuration again, in case peers have moved; {@link Backend#moved} is called if so. */
     void lookAgain();
 }
--- a/daemon/src/main/java/tallyweir/backend/Peer.java
+++ b/daemon/src/main/java/tallyweir/backend/Peer.java
@@ -1,6 +1,6 @@
 package tallyweir.backend;
 
-/** The parties that the backend itself connects to. */
+/** Peers that the backend opens links to. The names appear in the log. */
 public enum Peer {
     KERNEL,
     STORE
--- a/daemon/src/main/java/tallyweir/backend/PeerMonitor.java
+++ b/daemon/src/main/java/tallyweir/backend/PeerMonitor.java
@@ -5,19 +5,22 @@
 import tallyweir.backend.Counters.Count;
 
 /**
- * Notices that a peer cannot be reached and has the configuration looked at again, for ever, ever more seldom: the notice
- * of a move may not have come, or the file that it was about was not whole yet. While nothing is missing, nothing is done.
+ * Detects that a peer is unreachable and has the configuration read again, with increasing delays and without end: the
+ * notice of a changed address may have been lost, or the file may have been incomplete when it came. Does nothing while
+ * the peer is reachable. Runs on the backend's thread; times are in tenths of a millisecond.
  */
 final class PeerMonitor {
     private static final Logger LOG = LoggerFactory.getLogger(PeerMonitor.class);
-    private static final long FIRST_AFTER = 10_000; // a second: a kernel that starts anew is back by then
-    private static final int DOUBLED_MOST = 5; // then every half minute
+    // A second: a kernel that restarts is reachable again by then.
+    private static final long FIRST_AFTER = 10_000;
+    private static final int DOUBLED_MOST = 5; // after which the delay is about half a minute
 
     private final Links links;
     private final Deadlines deadlines;
     private final Counters counters;
     private final Peer peer;
-    private long since = -1; // when it was last seen to be there, -1 while it is
+    // Since when the peer has been unreachable, -1 while it is reachable.
+    private long since = -1;
     private int looks;
     private Deadlines.Deadline next;
 
@@ -28,7 +31,7 @@
         this.peer = peer;
     }
 
-    /** It was found not to be there. */
+    /** The peer was found to be unreachable. */
     void gone(long now) {
         if (since < 0) {
             since = now;
@@ -36,7 +39,7 @@
         }
     }
 
-    /** It is there. */
+    /** The peer is reachable. */
     void there(long now) {
         if (looks > 0) {
             LOG.atInfo()
@@ -61,7 +64,7 @@
         LOG.atWarn()
                 .addKeyValue("peer", peer)
                 .addKeyValue("for_ms", (now - since) / 10)
-                .log("a peer cannot be reached; it is tried on, and the configuration is looked at again");
+                .log("a peer cannot be reached; retrying and reading the configuration again");
         later(now);
         links.lookAgain();
     }
--- a/daemon/src/main/java/tallyweir/backend/Queries.java
+++ b/daemon/src/main/java/tallyweir/backend/Queries.java
@@ -24,14 +24,18 @@
 import tallyweir.results.ResultStore;
 
 /**
- * The queries of one backend between the fronts, the decisions, the kernel and the store. Each is answered
- * once, in answer, and given back once, in release.
+ * The queries in flight at one backend. Connects the caller connections, the decision logic ({@link Choice}), the
+ * kernel and the store. Each query is answered exactly once ({@link #answer}) and released exactly once
+ * ({@link #releaseIfDone}). All methods run on the backend's thread; all times are in tenths of a millisecond.
  */
 final class Queries implements Outgoing {
     private static final int SLOT_BITS = 20;
-    private static final QueryId BEFORE = new QueryId(0); // of no query here: known from before
-    private static final long ROUTING = 0x726f757465L; // chance of its own, so that the decisions' is as without
-    private static final long LEAVE_BEFORE_STOP = 5_000; // half a second: callers see the end and go elsewhere
+    // Stands for a query of the previous process.
+    private static final QueryId BEFORE = new QueryId(0);
+    // Separate random stream: routing must not shift the decisions' stream.
+    private static final long ROUTING = 0x726f757465L;
+    // Half a second, in which callers see the listener close and go to another server.
+    private static final long LEAVE_BEFORE_STOP = 5_000;
     private static final long DAY = 24 * 3_600 * 10_000L;
 
     private final Deadlines deadlines;
@@ -42,15 +46,17 @@
     private final Kernel kernel;
     private final Store store;
     private final Connections connections;
-    private final KeptResults kept; // null where no results are kept over restarts
+    private final KeptResults kept; // null if results are not retained over restarts
     private final long seed;
     private final int coresBusyAt;
     private final int runQueueAt;
     private final RateLimitedLog warnings = new RateLimitedLog(Queries.class, this::now);
     private final Slots<InFlight> slots = new Slots<>();
     private final Map<JobId, InFlight> jobs = new HashMap<>();
-    private Watch choice; // from the kernel's first word on
-    private Settings watched; // beside those in force, null for none
+    // Null until the kernel first reports that it has booted.
+    private Watch choice;
+    // Shadow settings, compared beside those in force; null for none.
+    private Settings watched;
     private long serial;
     private long now;
     private long wall;
@@ -61,8 +67,8 @@
     private long bad;
     private final Map<WorkloadId, Long> expected;
     private final SplittableRandom routing;
-    private Routes routes; // null where this server is in no fleet
-    private FleetMembership fleet; // null where this server is in none
+    private Routes routes; // null if this server is in no fleet
+    private FleetMembership fleet; // null if this server is in no fleet
 
     Queries(
             Links links,
@@ -115,14 +121,14 @@
         return connections;
     }
 
-    /** Those already watched go on, with what they know. */
-    void watch(Settings others) {
-        if (watched == others || others != null && others.sameAs(watched)) {
+    /** Sets the shadow settings; null for none. Settings equal to the present ones keep running with their state. */
+    void watch(Settings shadow) {
+        if (watched == shadow || shadow != null && shadow.sameAs(watched)) {
             return;
         }
-        watched = others;
+        watched = shadow;
         if (choice != null) {
-            choice.watch(others, seed, now, false);
+            choice.watch(shadow, seed, now, false);
         }
     }
 
@@ -134,7 +140,7 @@
         }
     }
 
-    /** This server is in a fleet. */
+    /** Makes this server a member of a fleet. */
     void joinFleet(FleetMembership membership) {
         fleet = membership;
         routes = Routes.none(workloads.keySet());
@@ -145,20 +151,21 @@
         return fleet;
     }
 
-    /** Queries that are read from now on call there; those under way go on as they began. */
-    void route(Routes to) {
-        routes = to;
+    /** Sets the routes for queries read from now on; queries already in flight keep the store they started with. */
+    void route(Routes newRoutes) {
+        routes = newRoutes;
     }
 
     Routes routes() {
         return routes;
     }
 
-    /** Whether this server is to stand back, or no longer, has changed. */
+    /** Called when this server has been withdrawn, or is no longer withdrawn. */
     void standsBack() {
         connections.standBack(fleet.standsBack());
     }
 
+    /** Whether this server reports to the announce service: always, unless its fleet has withdrawn it. */
     boolean announced() {
         return fleet == null || !fleet.standsBack();
     }
@@ -171,20 +178,20 @@
         return now;
     }
 
-    /** Past any step of a clock: a time that no caller means. */
+    /** Whether a time is more than a day ahead of the wall clock: more than any clock step, so an invalid value. */
     boolean farAhead(long time) {
         return time - wall > DAY;
     }
 
-    boolean harmless(InFlight t) {
-        return workloads.get(t.workload) == Effect.HARMLESS;
+    boolean harmless(InFlight inFlight) {
+        return workloads.get(inFlight.workload) == Effect.HARMLESS;
     }
 
     boolean draining() {
         return stopAt != Long.MAX_VALUE;
     }
 
-    // ---- from the fronts
+    // ---- from the caller connections
 
     boolean knows(WorkloadId workload) {
         return workloads.containsKey(workload);
@@ -195,71 +202,78 @@
     }
 
     /**
-     * Takes a query in; null if it was answered at once. The wall's times are only used for what comes in.
+     * Accepts an incoming query and passes it to the decisions. Wall-clock times are only used for incoming queries.
      *
-     * @param lastConnection taken, it would leave no connection without an answer owed
+     * @param responder answers the query
+     * @param receivedAt wall clock, tenths of a millisecond since 1970
+     * @param key the idempotency key of a stamped query or the resource key of a harmless one, null for none
+     * @param callerTimeout how long the caller waits after receivedAt, negative if not given
+     * @param retry whether the caller says that this is a retry
+     * @param lastConnection whether accepting it would leave no connection without a pending answer
+     * @return the query, or null if it was answered at once
      */
     InFlight read(
-            Answer way,
+            Answer responder,
             JobId job,
             WorkloadId workload,
             byte[] body,
             long receivedAt,
             CallerId caller,
             SubjectId subject,
-            SubjectId mark,
+            SubjectId key,
             TenantId tenant,
             double size,
             double rank,
-            long patience,
-            boolean again,
+            long callerTimeout,
+            boolean retry,
             boolean lastConnection) {
         counters.add(Count.QUERIES_READ);
         if (choice == null) {
-            // No kernel was there yet: nothing can run, so nothing has.
+            // No kernel has been connected yet, so the query cannot have run.
             counters.add(Count.ANSWERED_DEFERRED);
-            way.deferred(0, false);
+            responder.deferred(0, false);
             return null;
         }
         if (jobs.containsKey(job)) {
-            // Two of one name cannot be told apart on the links.
+            // Two queries with the same job id cannot be told apart on the links.
             counters.add(Count.QUERIES_MALFORMED);
-            way.errored();
+            responder.errored();
             return null;
         }
-        InFlight t = new InFlight(job, workload, body, way);
-        t.slot = slots.add(t);
-        t.id = new QueryId(++serial << SLOT_BITS | t.slot);
-        jobs.put(job, t);
+        InFlight inFlight = new InFlight(job, workload, body, responder);
+        inFlight.slot = slots.add(inFlight);
+        inFlight.id = new QueryId(++serial << SLOT_BITS | inFlight.slot);
+        jobs.put(job, inFlight);
         if (fleet != null) {
-            t.store = routes.store(workload, routing);
+            inFlight.store = routes.store(workload, routing);
             fleet.begun(now);
-            t.expected = now - Math.max(0, wall - receivedAt) + expected.getOrDefault(workload, settings.longestHard());
+            inFlight.expected =
+                    now - Math.max(0, wall - receivedAt) + expected.getOrDefault(workload, settings.longestHard());
         }
-        // A clock that was set back must not make it younger than new, nor its caller more patient than told.
+        // A clock that was set back must not give a negative age or a longer timeout than the caller sent.
         long age = Math.max(0, wall - receivedAt);
-        long left = patience < 0 ? 0 : Math.max(1, Math.min(patience, receivedAt + patience - wall));
-        t.due = deadlines.set(now + (left > 0 ? left : settings.longestHard()), () -> overdue(t));
+        long left = callerTimeout < 0 ? 0 : Math.max(1, Math.min(callerTimeout, receivedAt + callerTimeout - wall));
+        inFlight.due = deadlines.set(now + (left > 0 ? left : settings.longestHard()), () -> overdue(inFlight));
         boolean stamped = effect(workload) == Effect.STAMPED;
-        if (stamped && repeats.isOfAnother(t, mark, now - age)) {
+        if (stamped && repeats.isOfAnother(inFlight, key, now - age)) {
             counters.add(Count.MARKS_OTHER_BODY);
-            answerOtherBody(t.id);
+            answerOtherBody(inFlight.id);
             return null;
         }
-        QueryId earlier = mark != null && (stamped || settings.shareFor() > 0 && harmless(t))
-                ? repeats.earlier(t, mark, stamped, now - age, now)
+        QueryId earlier = key != null && (stamped || settings.shareFor() > 0 && harmless(inFlight))
+                ? repeats.earlier(inFlight, key, stamped, now - age, now)
                 : null;
-        if (kept != null && !harmless(t)) {
-            switch (kept.read(t, stamped ? mark : new SubjectId(job.value()))) {
+        if (kept != null && !harmless(inFlight)) {
+            switch (kept.read(inFlight, stamped ? key : new SubjectId(job.value()))) {
                 case OTHER_BODY -> {
                     counters.add(Count.MARKS_OTHER_BODY);
-                    answerOtherBody(t.id);
+                    answerOtherBody(inFlight.id);
                     return null;
                 }
                 case NO_ROOM -> {
                     counters.add(Count.MARKS_NO_ROOM);
-                    if (answer(t, Count.ANSWERED_DEFERRED)) {
-                        way.deferred(settings.keepOffMost(), false);
+                    if (answer(inFlight, Count.ANSWERED_DEFERRED)) {
+                        responder.deferred(settings.keepOffMost(), false);
                     }
                     return null;
                 }
@@ -271,34 +285,34 @@
             }
         }
         choice.lastConnection(lastConnection);
-        choice.read(t.id, earlier, caller, subject, workload, size, age, rank, left, again, tenant, 0);
-        return t.released ? null : t;
+        choice.read(inFlight.id, earlier, caller, subject, workload, size, age, rank, left, retry, tenant, 0);
+        return inFlight.released ? null : inFlight;
     }
 
-    /** The caller does not wait any longer. */
-    void gone(InFlight t) {
-        if (t.answered) {
+    /** The caller has disconnected or aborted the query and no longer waits for it. */
+    void gone(InFlight inFlight) {
+        if (inFlight.answered) {
             return;
         }
         counters.add(Count.QUERIES_GONE);
-        t.answered = true;
-        if (t.mark != null) {
-            kept.leave(t);
+        inFlight.answered = true;
+        if (inFlight.mark != null) {
+            kept.leave(inFlight);
         }
-        choice.gone(t.id);
-        releaseIfDone(t);
+        choice.gone(inFlight.id);
+        releaseIfDone(inFlight);
     }
 
-    /** Guards against a fault in the decisions: what they forgot is failed when it is due. */
-    private void overdue(InFlight t) {
-        if (!t.answered && t.recording) {
-            errored(t); // the disk is too slow: it ran, and a repeat will hear how it ended
-            kept.leave(t);
-        } else if (!t.answered) {
+    /** Guards against a fault in the decisions: a query still unanswered at its deadline is failed. */
+    private void overdue(InFlight inFlight) {
+        if (!inFlight.answered && inFlight.recording) {
+            errored(inFlight); // the disk is too slow: the query has run, and a retry will get its outcome
+            kept.leave(inFlight);
+        } else if (!inFlight.answered) {
             counters.add(Count.ANSWERED_BY_THE_LAST_GUARD);
-            warnings.warn("the decisions forgot a query: it was failed when it was due");
-            errored(t);
-            choice.gone(t.id);
+            warnings.warn("a query was not decided by its deadline; it was answered as errored");
+            errored(inFlight);
+            choice.gone(inFlight.id);
         }
     }
 
@@ -321,40 +335,40 @@
         }
     }
 
-    /** All runs are gone: the harmless go back to be run again, of the others it is not known what they did. */
+    /** All runs are lost: harmless queries go back to be run again; the effect of the others is unknown. */
     void kernelLost() {
-        for (InFlight t : running()) {
-            if (t.mark == null) {
-                leaveKernel(t, Outcome.RECALLED, null);
+        for (InFlight inFlight : running()) {
+            if (inFlight.mark == null) {
+                leaveKernel(inFlight, Outcome.RECALLED, null);
             } else {
-                errored(t);
-                kept.ended(t, Known.UNKNOWN, null);
-                leaveKernel(t, Outcome.ERRORED, null);
+                errored(inFlight);
+                kept.ended(inFlight, Known.UNKNOWN, null);
+                leaveKernel(inFlight, Outcome.ERRORED, null);
             }
         }
     }
 
     List<InFlight> running() {
-        return slots.all().stream().filter(t -> t.running).toList();
+        return slots.all().stream().filter(inFlight -> inFlight.running).toList();
     }
 
-    void runEnded(JobId job, String how, byte[] result) {
-        InFlight t = jobs.get(job);
-        if (t == null || !t.running) {
-            if (kept != null && kept.endedBefore(job, how.equals("good") ? Known.GOOD : Known.BAD, result)) {
+    void runEnded(JobId job, String state, byte[] result) {
+        InFlight inFlight = jobs.get(job);
+        if (inFlight == null || !inFlight.running) {
+            if (kept != null && kept.endedBefore(job, state.equals("good") ? Known.GOOD : Known.BAD, result)) {
                 counters.add(Count.MARKS_SETTLED);
             }
             return;
         }
-        if (t.mark != null) {
-            keptEnded(t, how, result);
+        if (inFlight.mark != null) {
+            keptEnded(inFlight, state, result);
             return;
         }
         Outcome outcome;
-        switch (how) {
+        switch (state) {
             case "good" -> {
                 counters.add(Count.RUNS_GOOD);
-                handled(t, result);
+                handled(inFlight, result);
                 outcome = Outcome.COMPLETED;
             }
             case "cut" -> {
@@ -363,123 +377,132 @@
             }
             case "gone" -> {
                 counters.add(Count.RUNS_GONE);
-                errored(t);
+                errored(inFlight);
                 outcome = Outcome.SUPERSEDED;
             }
             default -> {
                 counters.add(Count.RUNS_BAD);
-                errored(t);
+                errored(inFlight);
                 outcome = Outcome.ERRORED;
             }
         }
-        leaveKernel(t, outcome, how.equals("good") ? result : null);
+        leaveKernel(inFlight, outcome, state.equals("good") ? result : null);
     }
 
-    /** How the run of a query with an effect ended goes to the disk first; what is no result need not wait for that. */
-    private void keptEnded(InFlight t, String how, byte[] result) {
-        boolean good = how.equals("good");
+    /**
+     * Handles the end of a run whose outcome is recorded. A good result is answered only once it is on the disk; a
+     * failure is answered at once.
+     */
+    private void keptEnded(InFlight inFlight, String state, byte[] result) {
+        boolean good = state.equals("good");
         counters.add(
                 good
                         ? Count.RUNS_GOOD
-                        : how.equals("cut") ? Count.RUNS_CUT : how.equals("gone") ? Count.RUNS_GONE : Count.RUNS_BAD);
-        t.recording = good && !t.answered;
+                        : state.equals("cut")
+                                ? Count.RUNS_CUT
+                                : state.equals("gone") ? Count.RUNS_GONE : Count.RUNS_BAD);
+        inFlight.recording = good && !inFlight.answered;
         if (!good) {
-            errored(t);
+            errored(inFlight);
         }
-        leaveKernel(t, good ? Outcome.COMPLETED : Outcome.ERRORED, null);
-        kept.ended(t, good ? Known.GOOD : Known.BAD, result);
+        leaveKernel(inFlight, good ? Outcome.COMPLETED : Outcome.ERRORED, null);
+        kept.ended(inFlight, good ? Known.GOOD : Known.BAD, result);
     }
 
-    /** The kernel knows of no such query: it did not run, and will not if asked again. */
+    /** The kernel rejected the run command: the query did not run, and would not if sent again. */
     void runNotDone(JobId job) {
-        InFlight t = jobs.get(job);
-        if (t != null && t.running) {
-            errored(t);
-            repeats.forget(t);
-            leaveKernel(t, Outcome.SUPERSEDED, null);
-            if (t.mark != null) {
-                kept.ended(t, Known.BAD, null);
+        InFlight inFlight = jobs.get(job);
+        if (inFlight != null && inFlight.running) {
+            errored(inFlight);
+            repeats.forget(inFlight);
+            leaveKernel(inFlight, Outcome.SUPERSEDED, null);
+            if (inFlight.mark != null) {
+                kept.ended(inFlight, Known.BAD, null);
             }
         }
     }
 
-    // ---- from the kept results
+    // ---- from the retained results
 
-    /** What the disk refused is offered to it again after as long as anybody waits for an answer. */
+    /** Retries writes that the disk refused after the longest time that any caller waits for an answer. */
     void tryKeptAgainLater() {
         deadlines.set(now + settings.longestHard(), () -> kept.tryAgain(wall));
     }
 
-    /** The intent is on the disk. */
+    /** The intent is on the disk: sends the run to the kernel. */
     void beginKept(QueryId query) {
-        InFlight t = taken(query);
-        if (t != null && t.running) {
-            kernel.run(t);
+        InFlight inFlight = taken(query);
+        if (inFlight != null && inFlight.running) {
+            kernel.run(inFlight);
         }
     }
 
+    /** Answers a query with its recorded result; null if the run failed or its outcome is unknown. */
     void answerKept(QueryId query, byte[] result) {
-        InFlight t = taken(query);
-        if (t == null || t.answered) {
+        InFlight inFlight = taken(query);
+        if (inFlight == null || inFlight.answered) {
             return;
         }
-        if (t.recording) {
-            t.recording = false;
+        if (inFlight.recording) {
+            inFlight.recording = false;
             if (result != null) {
-                handled(t, result);
+                handled(inFlight, result);
             } else {
-                errored(t);
+                errored(inFlight);
             }
         } else {
-            deadlines.set(now, () -> serve(t, result)); // the decisions are told only after this input
+            deadlines.set(now, () -> serve(inFlight, result)); // deferred: the decisions are still handling this input
         }
     }
 
+    /** Answers a query whose idempotency key belongs to a query with another body. */
     void answerOtherBody(QueryId query) {
-        InFlight t = taken(query);
-        if (t != null && answer(t, Count.ANSWERED_ERRORED)) {
-            t.way.otherBody();
-            choice.gone(t.id);
+        InFlight inFlight = taken(query);
+        if (inFlight != null && answer(inFlight, Count.ANSWERED_ERRORED)) {
+            inFlight.way.otherBody();
+            choice.gone(inFlight.id);
         }
     }
 
-    /** It was asked to run, and did not and will not: it may be tried again. */
+    /** The run was requested but never started and never will: defers the query, so that its caller may retry. */
     void notBegun(QueryId query) {
-        InFlight t = taken(query);
-        if (t == null) {
+        InFlight inFlight = taken(query);
+        if (inFlight == null) {
             return;
         }
         counters.add(Count.MARKS_NOT_BEGUN);
-        repeats.forget(t);
+        repeats.forget(inFlight);
         deadlines.set(now, () -> {
-            if (answer(t, Count.ANSWERED_DEFERRED)) {
-                t.way.deferred(settings.keepOffMost(), false);
+            if (answer(inFlight, Count.ANSWERED_DEFERRED)) {
+                inFlight.way.deferred(settings.keepOffMost(), false);
             }
-            if (t.running) {
-                leaveKernel(t, Outcome.SUPERSEDED, null);
+            if (inFlight.running) {
+                leaveKernel(inFlight, Outcome.SUPERSEDED, null);
             } else {
-                choice.gone(t.id);
+                choice.gone(inFlight.id);
             }
         });
     }
 
-    private void leaveKernel(InFlight t, Outcome outcome, byte[] result) {
-        store.giveUp(t);
-        t.call = null;
-        t.running = false;
-        boolean runsAgain = outcome == Outcome.RECALLED && !t.answered && harmless(t);
-        List<InFlight> served = runsAgain ? List.of() : repeats.ended(t, result, now);
-        choice.ended(t.id, outcome);
-        releaseIfDone(t);
+    /** Ends the run: closes its call, tells the decisions, and answers queries that waited for its result. */
+    private void leaveKernel(InFlight inFlight, Outcome outcome, byte[] result) {
+        store.giveUp(inFlight);
+        inFlight.call = null;
+        inFlight.running = false;
+        boolean runsAgain = outcome == Outcome.RECALLED && !inFlight.answered && harmless(inFlight);
+        List<InFlight> served = runsAgain ? List.of() : repeats.ended(inFlight, result, now);
+        choice.ended(inFlight.id, outcome);
+        releaseIfDone(inFlight);
         served.forEach(this::serveRepeat);
     }
 
+    /** The run is blocked on a call to the store with this body. */
     void standsAtCall(JobId job, byte[] body) {
-        InFlight t = jobs.get(job);
-        if (t != null && t.running) {
-            t.call = body;
-            t.reply = null;
-            choice.standsAtCall(t.id);
+        InFlight inFlight = jobs.get(job);
+        if (inFlight != null && inFlight.running) {
+            inFlight.call = body;
+            inFlight.reply = null;
+            choice.standsAtCall(inFlight.id);
         }
     }
 
@@ -496,183 +519,184 @@
 
     // ---- from the store
 
-    void callEnded(InFlight t, Outcome how, long took, byte[] reply) {
-        if (how == Outcome.COMPLETED) {
-            t.call = null;
-            kernel.reply(t, reply);
+    void callEnded(InFlight inFlight, Outcome outcome, long duration, byte[] reply) {
+        if (outcome == Outcome.COMPLETED) {
+            inFlight.call = null;
+            kernel.reply(inFlight, reply);
         }
-        choice.callEnded(t.id, how, took);
+        choice.callEnded(inFlight.id, outcome, duration);
     }
 
     // ---- answers
 
-    private void handled(InFlight t, byte[] result) {
-        if (answer(t, Count.ANSWERED_HANDLED)) {
-            t.way.handled(result);
+    private void handled(InFlight inFlight, byte[] result) {
+        if (answer(inFlight, Count.ANSWERED_HANDLED)) {
+            inFlight.way.handled(result);
         }
     }
 
-    private void errored(InFlight t) {
-        if (answer(t, Count.ANSWERED_ERRORED)) {
-            t.way.errored();
+    private void errored(InFlight inFlight) {
+        if (answer(inFlight, Count.ANSWERED_ERRORED)) {
+            inFlight.way.errored();
         }
     }
 
-    /** Queries that were handled or errored so far, */
+    /** How many queries have been handled or errored; counted only in a fleet. */
     long ended() {
         return ended;
     }
 
-    /** and of them those that were errored, or handled later than expected. */
+    /** How many queries have been errored, or handled after their expected time; counted only in a fleet. */
     long bad() {
         return bad;
     }
 
-    /** True once for each query. */
-    private boolean answer(InFlight t, Count count) {
-        if (t.answered) {
+    /** Marks the query as answered and counts it. Returns true only the first time for each query. */
+    private boolean answer(InFlight inFlight, Count count) {
+        if (inFlight.answered) {
             return false;
         }
         if (fleet != null && count != Count.ANSWERED_DEFERRED) {
             ended++;
-            bad += count == Count.ANSWERED_ERRORED || now > t.expected ? 1 : 0;
+            bad += count == Count.ANSWERED_ERRORED || now > inFlight.expected ? 1 : 0;
         }
-        t.answered = true;
+        inFlight.answered = true;
         counters.add(count);
-        releaseIfDone(t);
+        releaseIfDone(inFlight);
         return true;
     }
 
-    private void releaseIfDone(InFlight t) {
-        if (t.answered && !t.running && !t.released) {
-            t.released = true;
-            deadlines.cancel(t.due);
-            jobs.remove(t.job);
-            slots.free(t.slot);
+    private void releaseIfDone(InFlight inFlight) {
+        if (inFlight.answered && !inFlight.running && !inFlight.released) {
+            inFlight.released = true;
+            deadlines.cancel(inFlight.due);
+            jobs.remove(inFlight.job);
+            slots.free(inFlight.slot);
         }
     }
 
+    /** The query with this id, or null if it has been released. */
     private InFlight taken(QueryId id) {
-        InFlight t = slots.get((int) (id.value() & (1 << SLOT_BITS) - 1));
-        return t != null && t.id.equals(id) ? t : null;
+        InFlight inFlight = slots.get((int) (id.value() & (1 << SLOT_BITS) - 1));
+        return inFlight != null && inFlight.id.equals(id) ? inFlight : null;
     }
 
-    // ---- what the decisions ask for
+    // ---- requests of the decisions
 
     @Override
     public void run(QueryId query) {
-        InFlight t = taken(query);
-        if (t != null) {
+        InFlight inFlight = taken(query);
+        if (inFlight != null) {
             counters.add(Count.RUNS_ASKED);
-            t.running = true;
-            t.reply = null;
-            t.stopOn = 0;
-            repeats.began(t);
-            if (t.mark == null) {
-                kernel.run(t);
+            inFlight.running = true;
+            inFlight.reply = null;
+            inFlight.stopOn = 0;
+            repeats.began(inFlight);
+            if (inFlight.mark == null) {
+                kernel.run(inFlight);
             } else {
-                kept.admit(t, wall + settings.longestHard());
-                kept.want(t);
+                kept.admit(inFlight, wall + settings.longestHard());
+                kept.want(inFlight);
             }
         }
     }
 
     @Override
-    public void defer(QueryId query, long keepOff, boolean nowhereElse) {
-        InFlight t = taken(query);
-        if (t != null && answer(t, Count.ANSWERED_DEFERRED)) {
-            t.way.deferred(keepOff, nowhereElse);
-            // It never ran, so its mark is free. The decisions say so only once the query is given back here.
-            repeats.forget(t);
-            if (t.mark != null) {
-                kept.giveUp(t);
+    public void defer(QueryId query, long retryAfter, boolean nowhereElse) {
+        InFlight inFlight = taken(query);
+        if (inFlight != null && answer(inFlight, Count.ANSWERED_DEFERRED)) {
+            inFlight.way.deferred(retryAfter, nowhereElse);
+            // It never ran, so its key is free again. The decisions report that only after the query is released here.
+            repeats.forget(inFlight);
+            if (inFlight.mark != null) {
+                kept.giveUp(inFlight);
             }
         }
     }
 
     @Override
     public void fail(QueryId query) {
-        InFlight t = taken(query);
-        if (t != null) {
-            errored(t);
-            if (t.mark != null) {
-                kept.giveUp(t);
+        InFlight inFlight = taken(query);
+        if (inFlight != null) {
+            errored(inFlight);
+            if (inFlight.mark != null) {
+                kept.giveUp(inFlight);
             }
         }
     }
 
     @Override
     public void stop(QueryId query) {
-        InFlight t = taken(query);
-        if (t != null && t.running) {
+        InFlight inFlight = taken(query);
+        if (inFlight != null && inFlight.running) {
             counters.add(Count.RUNS_STOPPED);
-            kernel.stop(t);
+            kernel.stop(inFlight);
         }
     }
 
     @Override
-    public void call(QueryId query, long timeOut) {
-        InFlight t = taken(query);
-        if (t != null && t.call != null) {
+    public void call(QueryId query, long timeout) {
+        InFlight inFlight = taken(query);
+        if (inFlight != null && inFlight.call != null) {
             if (fleet != null && !fleet.whole()) {
-                t.store = routes.store(t.workload, routing); // only where a drill has switched the guard off
+                inFlight.store = routes.store(inFlight.workload, routing); // only if a drill has disabled this guard
             }
-            store.call(t, t.call, timeOut);
+            store.call(inFlight, inFlight.call, timeout);
         }
     }
 
-    /** The kernel has no word for leaving a call out, so no workload is told to the decisions as one that may. */
+    /** The kernel has no command to skip a call, so no workload is declared to the decisions as able to degrade. */
     @Override
     public void poorer(QueryId query) {
         fail(query);
     }
 
     @Override
-    public void keep(QueryId query, long span) {
-        InFlight t = taken(query);
-        if (t != null) {
-            repeats.keep(t, now + span, harmless(t) ? 0 : settings.longestHard());
-            if (t.mark != null) {
-                kept.admit(t, wall + span);
+    public void keep(QueryId query, long window) {
+        InFlight inFlight = taken(query);
+        if (inFlight != null) {
+            repeats.keep(inFlight, now + window, harmless(inFlight) ? 0 : settings.longestHard());
+            if (inFlight.mark != null) {
+                kept.admit(inFlight, wall + window);
             }
         }
     }
 
     @Override
     public void forget(QueryId query) {
-        InFlight t = taken(query);
-        if (t != null) {
-            repeats.forget(t);
-            if (t.mark != null) {
-                kept.giveUp(t);
+        InFlight inFlight = taken(query);
+        if (inFlight != null) {
+            repeats.forget(inFlight);
+            if (inFlight.mark != null) {
+                kept.giveUp(inFlight);
             }
         }
     }
 
     @Override
     public void reuse(QueryId query) {
-        InFlight t = taken(query);
-        if (t != null && t.mark != null) {
-            kept.await(t);
-        } else if (t != null && repeats.over(t)) {
-            deadlines.set(now, () -> serveRepeat(t)); // the decisions are told only after this input
+        InFlight inFlight = taken(query);
+        if (inFlight != null && inFlight.mark != null) {
+            kept.await(inFlight);
+        } else if (inFlight != null && repeats.over(inFlight)) {
+            deadlines.set(now, () -> serveRepeat(inFlight)); // deferred: the decisions are still handling this input
         }
     }
 
-    private void serveRepeat(InFlight t) {
-        serve(t, repeats.result(t));
+    private void serveRepeat(InFlight inFlight) {
+        serve(inFlight, repeats.result(inFlight));
     }
 
-    private void serve(InFlight t, byte[] result) {
-        if (t.answered) {
+    private void serve(InFlight inFlight, byte[] result) {
+        if (inFlight.answered) {
             return;
         }
         if (result != null) {
-            handled(t, result);
+            handled(inFlight, result);
         } else {
-            errored(t);
+            errored(inFlight);
         }
-        choice.ended(t.id, result != null ? Outcome.COMPLETED : Outcome.ERRORED);
+        choice.ended(inFlight.id, result != null ? Outcome.COMPLETED : Outcome.ERRORED);
     }
 
     @Override
@@ -680,29 +704,29 @@
         connections.health(good);
     }
 
-    /** Answers have no field for a value, so the decisions are told that there is none. */
+    /** Does nothing: answers have no field for load advice, and the decisions are configured accordingly. */
     @Override
     public void say(double value) {}
 
     @Override
-    public void closeIdle(long span) {
-        connections.closeIdle(span);
+    public void closeIdle(long idleDuration) {
+        connections.closeIdle(idleDuration);
     }
 
     @Override
     public void wake(long at, TimerId timer) {
         if (timer.equals(Choice.GAUGES)) {
-            long every = at - now;
-            deadlines.set(at, () -> askGauges(every));
+            long interval = at - now;
+            deadlines.set(at, () -> askGauges(interval));
         } else {
             deadlines.set(at, () -> choice.timer(timer));
         }
     }
 
-    /** Gauges are asked for when they are due; the decisions go on without if they do not come in as long again. */
-    private void askGauges(long wait) {
+    /** Requests the gauges. If they do not arrive within the timeout, the decisions go on without them. */
+    private void askGauges(long timeout) {
         kernel.askGauges();
-        gaugesDue = deadlines.set(now + wait, () -> {
+        gaugesDue = deadlines.set(now + timeout, () -> {
             counters.add(Count.GAUGES_MISSED);
             gaugesOver();
         });
@@ -714,14 +738,17 @@
         choice.timer(Choice.GAUGES);
     }
 
-    // ---- leaving
+    // ---- shutdown
 
-    /** What is owed is answered by then; twice the slack that the rules allow is left for the way. */
-    void drain(long stopAfter) {
+    /**
+     * Starts the shutdown: all pending queries are answered within the timeout, less twice the slack that the rules
+     * allow, which is left for the answers' transport.
+     */
+    void drain(long stopTimeout) {
         if (draining()) {
             return;
         }
-        long left = Math.max(0, stopAfter - 2 * settings.answerSlack());
+        long left = Math.max(0, stopTimeout - 2 * settings.answerSlack());
         stopAt = now + left;
         deadlines.set(stopAt - Math.min(LEAVE_BEFORE_STOP, left / 2), connections::stopListening);
         deadlines.set(stopAt, connections::leave);
--- a/daemon/src/main/java/tallyweir/backend/RateLimitedLog.java
+++ b/daemon/src/main/java/tallyweir/backend/RateLimitedLog.java
@@ -6,17 +6,18 @@
 import org.slf4j.spi.LoggingEventBuilder;
 import tallyweir.ids.JobId;
 
-/** Warnings and news, one a second at the most: whoever sends bad input in a flood must not fill the log or slow us down. */
+/** Writes at most one log line per second, so that a flood of bad input neither fills the log nor slows the server. */
 final class RateLimitedLog {
-    private static final long EVERY = 10_000;
+    private static final long EVERY = 10_000; // a second
 
     private final Logger log;
     private final LongSupplier now;
     private long next = Long.MIN_VALUE;
     private long leftOut;
 
-    RateLimitedLog(Class<?> of, LongSupplier now) {
-        log = LoggerFactory.getLogger(of);
+    /** @param now time in tenths of a millisecond */
+    RateLimitedLog(Class<?> owner, LongSupplier now) {
+        log = LoggerFactory.getLogger(owner);
         this.now = now;
     }
 
@@ -24,7 +25,7 @@
         write(log.atWarn(), text);
     }
 
-    /** Tells of a query by its name, and why it is told of. */
+    /** Logs an event of one query, with the query's job id and the reason. */
     void query(JobId job, String reason, String text) {
         write(log.atInfo().addKeyValue("request", job.value()).addKeyValue("reason", reason), text);
     }
--- a/daemon/src/main/java/tallyweir/backend/Rehearsal.java
+++ b/daemon/src/main/java/tallyweir/backend/Rehearsal.java
@@ -15,13 +15,13 @@
 import tallyweir.ids.LinkId;
 
 /**
- * Queries through a core whose links lead nowhere, before the first real one. On part of a core, code that is not
- * compiled yet costs the first seconds of service: queries lie unread for longer than they may take. What is
- * rehearsed is also what the class-data archive holds.
+ * Warm-up before listening: runs generated queries through a separate backend whose links are simulated. On a fraction
+ * of a core, code that isn't compiled yet costs the first seconds of service: queries stay unread for longer than they
+ * may take. The classes loaded here are also those that the class-data archive contains.
  */
 public final class Rehearsal implements Links {
     private static final int QUERIES = 1_500;
-    private static final long APART = 100; // a hundredth of a second on the core's clock
+    private static final long APART = 100; // a hundredth of a second on the simulated clock
     private static final long MOST_NANOS = 3_000_000_000L;
 
     private final Backend backend;
@@ -42,25 +42,25 @@
         patience = config.settings.longestHard();
     }
 
-    /** Returns the counters of what was played. */
+    /** Runs the warm-up, for at most three seconds, without log output. Returns the counters of its backend. */
     public static Map<String, Long> play(Config config) {
         Logger log = Logger.getLogger("tallyweir.backend");
         Level before = log.getLevel();
         log.setLevel(Level.OFF);
-        Rehearsal one = new Rehearsal(config);
-        one.play(System.nanoTime() + MOST_NANOS);
+        Rehearsal warmUp = new Rehearsal(config);
+        warmUp.play(System.nanoTime() + MOST_NANOS);
         log.setLevel(before);
-        return one.backend.counters().all();
+        return warmUp.backend.counters().all();
     }
 
-    private void play(long until) {
+    private void play(long deadlineNanos) {
         backend.start();
-        for (int i = 0; i < QUERIES && System.nanoTime() < until; i++) {
+        for (int i = 0; i < QUERIES && System.nanoTime() < deadlineNanos; i++) {
             now += APART;
             backend.clock(now, now);
             if (i % 32 == 0) {
-                ConnectionId before = new ConnectionId(0);
-                backend.closed(before);
+                ConnectionId previous = new ConnectionId(0);
+                backend.closed(previous);
                 backend.accepted();
             }
             backend.read(new ConnectionId(0), ByteBuffer.wrap(query(i)));
@@ -169,12 +169,12 @@
 
     @Override
     public void route(InetSocketAddress kernel, InetSocketAddress announce) {
-        // it leads nowhere
+        // the links are simulated
     }
 
     @Override
     public void lookAgain() {
-        // there is nothing to find
+        // there is no configuration to read
     }
 
     @Override
--- a/daemon/src/main/java/tallyweir/backend/Repeats.java
+++ b/daemon/src/main/java/tallyweir/backend/Repeats.java
@@ -8,21 +8,25 @@
 import tallyweir.ids.SubjectId;
 import tallyweir.ids.WorkloadId;
 
-/** The entries by which repeats are known, with results; each is given back at the end of its time. */
+/**
+ * Entries by which repeats are recognized, with the results for them; each is removed when its window ends. Runs on the
+ * backend's thread; times are in tenths of a millisecond.
+ */
 final class Repeats {
     private record Key(WorkloadId workload, SubjectId mark) {}
 
+    /** What is known under one key; shared by all queries with that key. */
     static final class Entry {
         private final Key key;
         private QueryId holder;
-        private boolean over; // the holder's run has ended
+        private boolean over; // whether the owner's run has ended
         private long endedAt;
-        private long until; // what arrives later repeats nothing
-        private byte[] result; // null unless that run was good
+        private long until; // a query that arrives later isn't a repeat
+        private byte[] result; // null unless the owner's run was good
         private Deadlines.Deadline end;
         private final List<InFlight> waiting = new ArrayList<>(0);
 
-        private long body; // its digest
+        private long body; // digest of the owner's body
 
         private Entry(Key key) {
             this.key = key;
@@ -39,22 +43,22 @@
     }
 
     /**
-     * Whether a stamped query bears the mark of another one that is kept, which had another body. It is no try of that one and
-     * must not have its result; that it came under a mark already used says that nothing of it may run either.
+     * Whether a stamped query carries the key of an earlier query with another body. It isn't a retry of that query and
+     * must not get its result; since the key is already used, it must not run either.
      */
-    boolean isOfAnother(InFlight t, SubjectId mark, long arrived) {
-        Entry e = entries.get(new Key(t.workload, mark));
-        return e != null && !(e.over && arrived > e.until) && e.body != t.bodyDigest();
+    boolean isOfAnother(InFlight inFlight, SubjectId subject, long arrivedAt) {
+        Entry e = entries.get(new Key(inFlight.workload, subject));
+        return e != null && !(e.over && arrivedAt > e.until) && e.body != inFlight.bodyDigest();
     }
 
     /**
-     * Finds what a query of this mark repeats and ties it to the entry; null if it repeats nothing. When it arrived
-     * counts, not when it is read: a repeat that lay unread while its window ended once ran a second time.
+     * Finds the query that this one repeats and attaches it to the entry; null if it isn't a repeat. The time of arrival
+     * counts, not the time of reading: a repeat that stayed unread until its window had ended once ran a second time.
      */
-    QueryId earlier(InFlight t, SubjectId mark, boolean stamped, long arrived, long now) {
-        Key key = new Key(t.workload, mark);
+    QueryId earlier(InFlight inFlight, SubjectId subject, boolean stamped, long arrivedAt, long now) {
+        Key key = new Key(inFlight.workload, subject);
         Entry e = entries.get(key);
-        if (e != null && e.over && arrived > e.until) {
+        if (e != null && e.over && arrivedAt > e.until) {
             drop(e);
             e = null;
         }
@@ -62,27 +66,32 @@
             drop(e);
             e = null;
         }
-        t.entry = e == null ? new Entry(key) : e;
+        inFlight.entry = e == null ? new Entry(key) : e;
         return e == null ? null : e.holder;
     }
 
-    /** @param unreadMost for how long a stamped repeat that arrived before may lie unread and still be run, else 0 */
-    void keep(InFlight t, long until, long unreadMost) {
-        if (t.entry == null) {
+    /**
+     * Makes the query the owner of its entry.
+     *
+     * @param windowEndsAt when the window for repeats ends
+     * @param maxUnread for a stamped query, how long a repeat that arrived within the window may stay unread; else 0
+     */
+    void keep(InFlight inFlight, long windowEndsAt, long maxUnread) {
+        if (inFlight.entry == null) {
             return;
         }
-        Entry e = t.entry;
-        e.holder = t.id;
+        Entry e = inFlight.entry;
+        e.holder = inFlight.id;
         e.over = false;
         e.result = null;
-        e.until = until;
-        e.body = t.bodyDigest();
+        e.until = windowEndsAt;
+        e.body = inFlight.bodyDigest();
         deadlines.cancel(e.end);
         entries.put(e.key, e);
-        e.end = deadlines.set(until + unreadMost, () -> ended(e, unreadMost > 0));
+        e.end = deadlines.set(windowEndsAt + maxUnread, () -> ended(e, maxUnread > 0));
     }
 
-    /** While a stamped run goes on it stays: windows can be shorter than a run. */
+    /** The entry's window has ended. The entry stays while a stamped run goes on: a window can be shorter than a run. */
     private void ended(Entry e, boolean stamped) {
         e.end = null;
         if (e.over || !stamped) {
@@ -90,25 +99,26 @@
         }
     }
 
-    void forget(InFlight t) {
-        if (t.entry != null && t.id.equals(t.entry.holder)) {
-            t.entry.over = true;
-            drop(t.entry);
+    /** Removes the query's entry if the query owns it, so that its key is free again. */
+    void forget(InFlight inFlight) {
+        if (inFlight.entry != null && inFlight.id.equals(inFlight.entry.holder)) {
+            inFlight.entry.over = true;
+            drop(inFlight.entry);
         }
     }
 
-    /** The heir of a query that came to nothing runs: what waits for a result waits for this one's. */
-    void began(InFlight t) {
-        if (t.entry != null && t.entry.over && t.entry.result == null) {
-            t.entry.holder = t.id;
-            t.entry.over = false;
+    /** A query runs whose entry's owner ended without a result: it becomes the owner that the others wait for. */
+    void began(InFlight inFlight) {
+        if (inFlight.entry != null && inFlight.entry.over && inFlight.entry.result == null) {
+            inFlight.entry.holder = inFlight.id;
+            inFlight.entry.over = false;
         }
     }
 
-    /** A run has ended; those that waited for its result are returned. */
-    List<InFlight> ended(InFlight t, byte[] result, long now) {
-        Entry e = t.entry;
-        if (e == null || !t.id.equals(e.holder)) {
+    /** A run has ended; returns the queries that waited for its result. */
+    List<InFlight> ended(InFlight inFlight, byte[] result, long now) {
+        Entry e = inFlight.entry;
+        if (e == null || !inFlight.id.equals(e.holder)) {
             return List.of();
         }
         e.over = true;
@@ -122,17 +132,18 @@
         return served;
     }
 
-    /** Whether the forerunner's run is over; else the query waits for it. */
-    boolean over(InFlight t) {
-        if (t.entry != null && !t.entry.over && t.entry.holder != null) {
-            t.entry.waiting.add(t);
+    /** Whether the earlier query's run has ended; if not, enqueues this query to wait for it. */
+    boolean over(InFlight inFlight) {
+        if (inFlight.entry != null && !inFlight.entry.over && inFlight.entry.holder != null) {
+            inFlight.entry.waiting.add(inFlight);
             return false;
         }
         return true;
     }
 
-    byte[] result(InFlight t) {
-        return t.entry == null ? null : t.entry.result;
+    /** The result retained for the query, null if there is none. */
+    byte[] result(InFlight inFlight) {
+        return inFlight.entry == null ? null : inFlight.entry.result;
     }
 
     int size() {
--- a/daemon/src/main/java/tallyweir/backend/Slots.java
+++ b/daemon/src/main/java/tallyweir/backend/Slots.java
@@ -4,11 +4,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A table of numbered slots; of the freed numbers the one free longest is used again first. */
+/** A table of numbered slots. Reuses the number that has been free the longest. Not thread-safe. */
 final class Slots<T> {
     private final List<T> slots = new ArrayList<>();
     private final ArrayDeque<Integer> free = new ArrayDeque<>();
 
+    /** Stores the value in a free slot and returns the slot's number. */
     int add(T value) {
         if (free.isEmpty()) {
             slots.add(value);
@@ -19,7 +20,7 @@
         return number;
     }
 
-    /** What stands in the slot, null if it is free. */
+    /** The value in the slot, null if it is free. */
     T get(int number) {
         return number >= 0 && number < slots.size() ? slots.get(number) : null;
     }
@@ -34,7 +35,7 @@
         return slots.size() - free.size();
     }
 
-    /** Those in use, as they are now. */
+    /** A copy of all values in use, in the order of their slots. */
     List<T> all() {
         return slots.stream().filter(s -> s != null).toList();
     }
--- a/daemon/src/test/java/tallyweir/BackendTest.java
+++ b/daemon/src/test/java/tallyweir/BackendTest.java
@@ -35,7 +35,7 @@
 import tallyweir.ids.LinkId;
 import tallyweir.results.ResultStore;
 
-/** The core between its links: a plain kernel, store and sidecars stand round it and say what is not allowed. */
+/** The backend between a simulated kernel, store and sidecars, which record every violation of the rules. */
 class BackendTest {
     static final String CONFIG = """
             {"name":"n3","listen":"127.0.0.1:0","kernel":"127.0.0.1:1","announce":"127.0.0.1:2","store":"127.0.0.1:3",
@@ -50,11 +50,12 @@
               "Permissions":{"RetryAfter":true,"MaxRetryAfterUs":1000000},
               "Rules":{"AnswerSlackUs":60000,"DrainGraceUs":1000000,"FallMultiple":8,"FallUs":3000000}}}""";
     static final long SLACK = 600 + 500;
-    private static final int NEWCOMER = 1_000; // for so long one that has just connected keeps its place
+    // For this long a new connection isn't closed to make room.
+    private static final int NEWCOMER = 1_000;
     static final int MOST =
-            28; // connections of callers that 64 sockets have room for, beside what the process itself needs
+            28; // caller connections that fit into 64 sockets beside those that the process itself needs
 
-    /** A request as its sidecar knows it. */
+    /** A request as its sidecar sees it. */
     static final class Asked {
         int conn;
         int id;
@@ -68,17 +69,17 @@
         int answers;
         Answered answer;
         int ran;
-        boolean effectKept = true; // no other call of it may have had its effect
+        boolean effectKept = true; // whether no earlier call of it can have had an effect
         String result;
     }
 
-    /** Sidecars, kernel and store, each as plain as can be. */
+    /** The simplest possible sidecars, kernel and store. Times are in tenths of a millisecond. */
     static final class Round implements Links {
         int looks;
 
         @Override
         public void route(InetSocketAddress kernel, InetSocketAddress announce) {
-            throw new IllegalStateException("there is no fleet here");
+            throw new IllegalStateException("this test has no fleet");
         }
 
         @Override
@@ -90,31 +91,33 @@
         final Map<Integer, ByteArrayOutputStream> conns = new LinkedHashMap<>();
         final Map<Integer, Integer> seen = new HashMap<>();
         final List<Asked> asked = new ArrayList<>();
-        final Map<String, String> jobs = new LinkedHashMap<>(); // running or at call, by name
-        final Map<String, String> calls = new LinkedHashMap<>(); // bodies of calls in the store's hands
-        final Map<String, String> owed = new HashMap<>(); // replies that the kernel has to see
+        final Map<String, String> jobs = new LinkedHashMap<>(); // running or blocked on a call, by job id
+        // Bodies of calls that the store is working on, by job id.
+        final Map<String, String> calls = new LinkedHashMap<>();
+        final Map<String, String> owed = new HashMap<>(); // replies that the kernel must receive, by job id
         final List<String> log = new ArrayList<>();
         final List<String> wrong = new ArrayList<>();
         final Map<LinkId, Peer> opening = new LinkedHashMap<>();
         final Map<LinkId, Peer> up = new LinkedHashMap<>();
         final Map<String, LinkId> calledOn = new HashMap<>();
         long now = 1_000_000;
-        long wall = 100_000_000; // ahead of the other clock
+        long wall = 100_000_000; // offset of the wall clock from the monotonic clock
         long n;
         boolean kernelUp;
         final List<Integer> closing = new ArrayList<>();
-        final Set<Integer> unread = new HashSet<>(); // connections on which bytes lie that nobody has read yet
-        boolean waiting; // callers that are not let in
+        final Set<Integer> unread = new HashSet<>(); // connections with bytes that have not been read yet
+        boolean waiting; // whether callers are waiting to be accepted
         String tag;
 
         Round() {
             this(null, 1_000_000);
         }
 
-        /** With results kept over restarts, and the time at which this process begins. */
-        Round(ResultStore resultStore, long from) {
-            now = from;
-            backend = new Backend(this, Config.parse(CONFIG.getBytes(UTF_8), Map.of()), from, from + wall, resultStore);
+        /** Retains results over restarts in the given store; the process starts at the given time. */
+        Round(ResultStore resultStore, long startAt) {
+            now = startAt;
+            backend = new Backend(
+                    this, Config.parse(CONFIG.getBytes(UTF_8), Map.of()), startAt, startAt + wall, resultStore);
         }
 
         void clock() {
@@ -138,7 +141,7 @@
             return opening.containsValue(peer);
         }
 
-        /** Lets in the link that was last asked for. */
+        /** Opens the link that was last requested. */
         LinkId up(Peer peer) {
             clock();
             LinkId link = last(opening, peer);
@@ -184,13 +187,13 @@
             kernel("{\"type\":\"INFO\",\"ref\":\"" + tag + "\",\"gauges\":[0.1,1]}");
         }
 
-        void reap(String job, String how, String result) {
+        void reap(String job, String state, String result) {
             jobs.remove(job);
             calls.remove(job);
-            if (how.equals("good")) {
+            if (state.equals("good")) {
                 of(job).result = result;
             }
-            notice("REAP", job, how, result);
+            notice("REAP", job, state, result);
         }
 
         void notice(String type, String job, String state, String data) {
@@ -202,7 +205,7 @@
             store(text, text.substring(0, 16));
         }
 
-        /** On the link that carried a job's call. */
+        /** Sends a line from the store on the link that carried a job's call. */
         void store(String text, String job) {
             clock();
             backend.read(calledOn.get(job), ByteBuffer.wrap(text.getBytes(UTF_8)));
@@ -219,14 +222,14 @@
             return conn;
         }
 
-        Asked ask(int conn, String workload, String body, long patience, String mark, String... more) {
+        Asked ask(int conn, String workload, String body, long callerTimeout, String key, String... more) {
             Asked a = new Asked();
             a.conn = conn;
             a.id = 1 + (int) asked.stream().filter(o -> o.conn == conn).count();
             a.job = String.format("%016x", asked.size() + 1);
             a.workload = workload;
             a.body = body;
-            a.due = now + patience;
+            a.due = now + callerTimeout;
             asked.add(a);
             String[] fields = {
                 "REQUEST_METHOD",
@@ -242,13 +245,13 @@
                 "HTTP_ACCOUNT",
                 "a",
                 "HTTP_BUDGET_MS",
-                "" + patience / 10,
+                "" + callerTimeout / 10,
                 "HTTP_FOOTPRINT_KB",
                 "24.5",
                 "HTTP_PRIORITY_RANK",
                 "0.6250",
-                workload.equals("k") ? "HTTP_ONCE_KEY" : mark == null ? "X" : "HTTP_RESOURCE_KEY",
-                mark == null ? "" : mark
+                workload.equals("k") ? "HTTP_ONCE_KEY" : key == null ? "X" : "HTTP_RESOURCE_KEY",
+                key == null ? "" : key
             };
             fields = Arrays.copyOf(fields, fields.length + more.length);
             System.arraycopy(more, 0, fields, fields.length - more.length, more.length);
@@ -270,8 +273,8 @@
             backend.closed(new ConnectionId(conn));
         }
 
-        void pass(long span) {
-            for (long end = now + span; now < end; ) {
+        void pass(long duration) {
+            for (long end = now + duration; now < end; ) {
                 now = Math.min(end, Math.max(now + 1, backend.next()));
                 clock();
                 backend.pass();
@@ -300,7 +303,7 @@
             });
             asked.stream()
                     .filter(a -> a.whole && !a.aborted && a.answers == 0 && now > a.due + SLACK)
-                    .forEach(a -> deny(++a.answers == 1, "lost " + a.job));
+                    .forEach(a -> deny(++a.answers == 1, "no answer to " + a.job));
         }
 
         void answered(int conn, Answered w) {
@@ -315,9 +318,11 @@
                                     && asked.stream()
                                             .noneMatch(o -> o.workload.equals(a.workload)
                                                     && w.body().equals(o.result)),
-                            "served with what no run made " + a.job);
-                    deny(w.status() == 503 && a.ran > 0 && !a.workload.equals("c"), "deferred once run " + a.job);
-                    deny(!a.valid && w.status() / 100 != 4, "taken though malformed " + a.job);
+                            "answered with a result that no run returned " + a.job);
+                    deny(
+                            w.status() == 503 && a.ran > 0 && !a.workload.equals("c"),
+                            "deferred after it had run " + a.job);
+                    deny(!a.valid && w.status() / 100 != 4, "accepted though malformed " + a.job);
                 }
             }
         }
@@ -367,7 +372,7 @@
 
         @Override
         public void stopListening() {
-            log.add("listens no more");
+            log.add("listener closed");
         }
 
         @Override
@@ -394,7 +399,9 @@
                 of(job).effectKept = false;
                 deny(calls.keySet().stream().anyMatch(o -> calledOn.get(o).equals(link)), "two calls on one link");
                 calls.put(job, body);
-                deny(link.equals(calledOn.put(job, link)), "a later call where a copy of the first reply may come");
+                deny(
+                        link.equals(calledOn.put(job, link)),
+                        "a second call on a link where a copy of the first reply may still arrive");
             }
         }
 
@@ -404,20 +411,22 @@
                 return;
             }
             if (text.contains("OPEN")) {
-                deny(!text.contains("\"n\":" + n + "}"), "the last notice was another");
+                deny(!text.contains("\"n\":" + n + "}"), "OPEN does not carry the number of the last notice");
                 return;
             }
             String job = field(text, "job");
             String data = new String(Base64.getDecoder().decode(field(text, "data")), UTF_8);
             Asked a = of(job);
             if (text.contains("SCHED") && !jobs.containsKey(job)) {
-                deny(!field(text, "kind").equals(a.workload) || !data.equals(a.body), "changed on its way " + job);
+                deny(
+                        !field(text, "kind").equals(a.workload) || !data.equals(a.body),
+                        "run with another workload or body " + job);
                 deny(!a.valid, "run though malformed " + job);
                 a.ran++;
                 deny(a.ran > 1 && !a.workload.equals("c"), "run twice " + job);
                 jobs.put(job, "runs");
             } else if (text.contains("IODONE")) {
-                deny(!data.equals(owed.get(job)), "a reply was changed or made up " + job);
+                deny(!data.equals(owed.get(job)), "a reply differs from what the store sent " + job);
                 jobs.replace(job, "runs");
             }
         }
@@ -455,9 +464,9 @@
         return a.answer;
     }
 
-    /** Passes so long with a kernel that goes on answering. */
-    private void heard(long span) {
-        for (long left = span; left > 0; left -= 1_000) {
+    /** Lets time pass with a kernel that keeps answering the gauge requests. */
+    private void heard(long duration) {
+        for (long left = duration; left > 0; left -= 1_000) {
             r.pass(1_000);
             r.gauges();
         }
@@ -467,7 +476,10 @@
         return r.log.stream().filter(l -> l.startsWith(start)).count();
     }
 
-    /** Generated days: nothing is lost, answered twice, changed, run twice; all that was taken is given back. */
+    /**
+     * Random histories: no query is lost, changed, answered twice or run twice, and every resource is released at the
+     * end.
+     */
     @Property(tries = 300, seed = "20261202", shrinking = ShrinkingMode.OFF)
     void keepsTheRulesOnItsLinks(@ForAll long seed) {
         SplittableRandom chance = new SplittableRandom(seed);
@@ -484,7 +496,7 @@
             r.pass(1_000);
         }
         List.copyOf(r.conns.keySet()).forEach(r::end);
-        r.pass(110_000); // past the window, and what came within it and lay unread for the longest
+        r.pass(110_000); // past the window, plus the longest time that a repeat may stay unread
         assertEquals(List.of(), r.wrong.stream().limit(5).toList());
         assertEquals(
                 List.of(0L, 0L, 0L, 0L),
@@ -500,7 +512,7 @@
                         + r.number("answered_deferred")
                         + r.number("answered_errored")
                         + r.number("queries_gone"),
-                "each query has one end");
+                "each query must end exactly once");
         assertEquals(0, r.number("answered_by_the_last_guard"));
     }
 
@@ -537,7 +549,7 @@
             r.send(conn, Model.record(1, 1_000 + r.asked.size(), 0, new byte[] {0, 1, 1, 0, 0, 0, 0, 0}));
             r.end(conn);
         } else if (kind < 50) {
-            r.send(conn, new byte[] {1, 2}); // part of a record; what follows cannot be read
+            r.send(conn, new byte[] {1, 2}); // part of a record; nothing after it can be parsed
             r.end(conn);
         } else if (kind < 75 && r.kernelUp && job != null) {
             boolean runs = r.jobs.get(job).equals("runs");
@@ -593,13 +605,13 @@
         long deadlines = r.number("now_deadlines");
         Asked a = r.ask(conn, "c", "b", 20_000, null);
         r.reap(a.job, "good", "made\r\n\r\n\0");
-        assertEquals(deadlines, r.number("now_deadlines") - 1, "only the module's own timer is more");
+        assertEquals(deadlines, r.number("now_deadlines") - 1, "only the timer of the decisions may be added");
         Answered w = only(a);
         assertEquals(List.of(200, "made\r\n\r\n\0", 0), List.of(w.status(), w.body(), w.end()));
         assertEquals(0, r.number("now_queries"));
     }
 
-    /** A line of the log for each piece of bad input would have slowed the one thread that decides. */
+    /** One log line per bad input would slow the only thread that decides. */
     @Test
     void aFloodOfBadInputWarnsOnceASecond() {
         List<String> lines = new ArrayList<>();
@@ -630,7 +642,7 @@
                         .toList());
     }
 
-    /** Two ends for one id would be the end of another request under the same id. */
+    /** A second end record for one id would end a later request that reuses the id. */
     @Test
     void anAbortGetsOneEndAndTheRunIsStopped() {
         Asked a = running("c");
@@ -671,7 +683,7 @@
         assertEquals(0, logged("KERNEL {\"type\":\"SCHED\""));
     }
 
-    /** Half a request once would have stayed for ever. */
+    /** Guards against a request that never completes and holds its connection for ever. */
     @Test
     void halfARequestIsEndedAfterAWhile() {
         r.boot();
@@ -695,7 +707,7 @@
         assertEquals(deadlines, r.number("now_deadlines"));
     }
 
-    /** Two queries of one name cannot be told apart by the kernel: the second is failed, the first goes on. */
+    /** The kernel cannot tell apart two queries with one job id: the second is errored, the first goes on. */
     @Test
     void ofTwoQueriesOfOneNameTheSecondIsFailed() {
         Asked a = running("u");
@@ -705,7 +717,7 @@
         assertEquals("made", only(a).body());
     }
 
-    /** The answers of all others on it went with the connection that had sent a spoilt record. */
+    /** Guards against losing the answers of all other queries on a connection that sent an invalid record. */
     @Test
     void aSpoiltStreamIsReadNoMoreAndClosedOnceItsQueriesAreAnswered() {
         Asked a = running("c");
@@ -725,7 +737,7 @@
         assertEquals(List.of(0L, 1L), List.of(r.number("queries_gone"), r.number("connections_closed_bad")));
     }
 
-    /** A repeat of a run query gets its result, and a stamped one is not run again. */
+    /** A repeat of a stamped query that ran gets its result and isn't run again. */
     @Test
     void repeatsAreAnsweredFromTheFirst() {
         Asked a = running("k");
@@ -737,33 +749,36 @@
         assertEquals(1, logged("KERNEL {\"type\":\"SCHED\""));
     }
 
-    /** Whoever sent another body under the mark of a query that had run got that one's result. */
+    /** Guards against answering another body under a used key with the result of the first query. */
     @Test
     void aMarkThatIsUsedForAnotherBodyGetsNoResultAndNothingRuns() {
         Asked a = running("k");
         Asked early = r.ask(a.conn, "k", "other", 20_000, "m");
         r.reap(a.job, "good", "made");
         Asked late = r.ask(a.conn, "k", "other", 20_000, "m");
-        Asked again = r.ask(a.conn, "k", "b", 20_000, "m");
+        Asked sameBody = r.ask(a.conn, "k", "b", 20_000, "m");
         r.pass(10);
         assertEquals(
                 List.of(409, 409, "made"),
-                List.of(only(early).status(), only(late).status(), only(again).body()));
+                List.of(
+                        only(early).status(),
+                        only(late).status(),
+                        only(sameBody).body()));
         assertEquals(1, logged("KERNEL {\"type\":\"SCHED\""));
     }
 
-    /** A mark under which the kernel took nothing was used up for the query it belongs to. */
+    /** Guards against a key that stays used although the kernel rejected the run under it. */
     @Test
     void aMarkUnderWhichNothingCouldRunIsFreeAgain() {
         Asked a = running("k");
         r.kernel("{\"type\":\"EINVAL\",\"state\":\"SCHED\",\"job\":\"" + a.job + "\"}");
         r.jobs.remove(a.job);
-        Asked b = r.ask(a.conn, "k", "whose mark it is", 20_000, "m");
+        Asked b = r.ask(a.conn, "k", "the body of the key's owner", 20_000, "m");
         r.reap(b.job, "good", "made");
         assertEquals(List.of(500, "made"), List.of(only(a).status(), only(b).body()));
     }
 
-    /** A repeat that came within the window and was read after it was run a second time. */
+    /** Guards against running a repeat that arrived within the window but was read after it. */
     @Test
     void whenARepeatArrivedCountsAndNotWhenItIsRead() {
         Asked a = running("k");
@@ -775,11 +790,11 @@
         Asked after = r.ask(a.conn, "k", "b", 20_000, "m");
         r.pass(10);
         assertEquals("made", only(inTime).body());
-        assertEquals("runs", r.jobs.get(after.job), "its window is over");
+        assertEquals("runs", r.jobs.get(after.job), "the window has ended, so this query must run");
         assertEquals(2, logged("KERNEL {\"type\":\"SCHED\""));
     }
 
-    /** A window that is shorter than the run ended while it went on, and a repeat ran beside it. */
+    /** Guards against a repeat that runs beside the first query because the window ended during its run. */
     @Test
     void whileARunGoesOnNoRepeatRunsBesideItHoweverShortTheWindow() {
         Asked a = running("k");
@@ -795,7 +810,7 @@
         assertEquals(0, r.number("now_entries"));
     }
 
-    /** A stamped run that was cut left its repeats waiting until their time was over. */
+    /** Guards against repeats of a cut stamped run that wait until their own deadline. */
     @Test
     void whatWaitsForARunThatIsCutIsToldSoAtOnce() {
         Asked a = running("k");
@@ -805,22 +820,22 @@
         assertEquals(1, logged("KERNEL {\"type\":\"SCHED\""));
     }
 
-    /** The mark of a stamped query that was refused unrun stayed taken: who came again waited in vain and was failed. */
+    /** Guards against a deferred stamped query that keeps its key: a retry then waited in vain and was errored. */
     @Test
     void theMarkOfWhatWasRefusedUnrunIsFreeAgain() {
         Asked first = running("u");
         r.ask(first.conn, "u", "b", 20_000, null);
-        Asked held = r.ask(first.conn, "k", "b", 300, "m");
+        Asked deferred = r.ask(first.conn, "k", "b", 300, "m");
         r.pass(300);
-        assertEquals(503, only(held).status());
+        assertEquals(503, only(deferred).status());
         r.reap(first.job, "good", "first");
-        Asked again = r.ask(first.conn, "k", "b", 20_000, "m");
-        assertEquals("runs", r.jobs.get(again.job));
-        r.reap(again.job, "good", "made");
-        assertEquals("made", only(again).body());
+        Asked retry = r.ask(first.conn, "k", "b", 20_000, "m");
+        assertEquals("runs", r.jobs.get(retry.job));
+        r.reap(retry.job, "good", "made");
+        assertEquals("made", only(retry).body());
     }
 
-    /** Bytes that lie unread say that a connection is not idle. */
+    /** A connection with unread bytes isn't idle. */
     @Test
     void aConnectionOnWhichSomethingLiesUnreadIsNotClosedForBeingIdle() {
         r.boot();
@@ -834,7 +849,7 @@
         assertEquals(1, logged("close " + conn));
     }
 
-    /** Of callers that wait to be let in, each takes the place of one that has become idle. */
+    /** While callers wait to be accepted, a connection that becomes idle is closed for them. */
     @Test
     void whoWaitsTakesThePlaceOfWhoBecomesIdle() {
         Asked a = running("c");
@@ -846,47 +861,53 @@
         assertEquals(1, logged("close " + a.conn));
     }
 
-    /** At the stop nothing may lie unread: connections that owe nothing end before, the others with their last answer. */
+    /**
+     * No bytes may be unread at the stop: connections without pending answers are closed first, the others with their
+     * last answer.
+     */
     @Test
     void nearTheStopConnectionsEndOnceNothingIsOwed() {
         Asked a = running("u");
-        int owing = a.conn;
+        int pending = a.conn;
         int idle = r.open();
         r.send(idle, Model.request(1, new byte[0], false, 0, "SCRIPT_NAME", "/check"));
-        int crossing = r.open();
-        r.unread.add(crossing);
+        int unread = r.open();
+        r.unread.add(unread);
         r.backend.drain();
         r.backend.drain();
         r.pass(25_700);
-        assertEquals(0, logged("listens no more"));
+        assertEquals(0, logged("listener closed"));
         r.pass(200);
-        assertEquals(List.of(1L, 0L), List.of(logged("listens no more"), logged("close ")));
+        assertEquals(List.of(1L, 0L), List.of(logged("listener closed"), logged("close ")));
         r.backend.listenerClosed();
         assertEquals(
                 List.of(1L, 0L, 1L),
-                List.of(logged("close " + idle), logged("close " + crossing), logged("listens no more")));
-        Asked late = r.ask(crossing, "c", "b", 20_000, null);
+                List.of(logged("close " + idle), logged("close " + unread), logged("listener closed")));
+        Asked late = r.ask(unread, "c", "b", 20_000, null);
         r.unread.clear();
         r.pass(400);
         assertEquals(503, only(late).status());
-        assertEquals(List.of(1L, 1L), List.of(logged("close " + crossing), logged("close " + owing)));
+        assertEquals(List.of(1L, 1L), List.of(logged("close " + unread), logged("close " + pending)));
         assertEquals(1, a.answers);
     }
 
-    /** What waited for the heir of a query that came to nothing was once failed though the heir ran. */
+    /**
+     * When an aborted query's repeat runs in its place, further repeats get that result. They were once errored although
+     * it ran.
+     */
     @Test
     void theHeirOfAQueryThatCameToNothingServesItsLike() {
         Asked first = running("u");
         r.ask(first.conn, "u", "b", 20_000, null);
-        Asked gone = r.ask(first.conn, "c", "b", 20_000, "m");
-        Asked heir = r.ask(first.conn, "c", "b", 20_000, "m");
-        Asked like = r.ask(first.conn, "c", "b", 20_000, "m");
-        r.send(gone.conn, Model.record(2, gone.id, 0, new byte[0]));
+        Asked aborted = r.ask(first.conn, "c", "b", 20_000, "m");
+        Asked next = r.ask(first.conn, "c", "b", 20_000, "m");
+        Asked repeat = r.ask(first.conn, "c", "b", 20_000, "m");
+        r.send(aborted.conn, Model.record(2, aborted.id, 0, new byte[0]));
         r.reap(first.job, "good", "first");
-        assertEquals(List.of("runs", false), List.of(r.jobs.get(heir.job), r.jobs.containsKey(like.job)));
-        r.reap(heir.job, "good", "made");
+        assertEquals(List.of("runs", false), List.of(r.jobs.get(next.job), r.jobs.containsKey(repeat.job)));
+        r.reap(next.job, "good", "made");
         assertEquals(
-                List.of("made", "made"), List.of(only(heir).body(), only(like).body()));
+                List.of("made", "made"), List.of(only(next).body(), only(repeat).body()));
     }
 
     @Test
@@ -905,7 +926,7 @@
         assertEquals(1, r.number("kernel_notices_repeated"));
     }
 
-    /** What was asked just before a break may not have come; only what may run twice is asked again. */
+    /** A run requested just before a break may be lost; only harmless queries, which may run twice, are requested again. */
     @Test
     void afterABreakOnlyHarmlessRunsAreAskedForAgain() {
         Asked a = running("c");
@@ -920,7 +941,7 @@
         assertEquals(List.of(a.job, b.job, a.job), asked);
     }
 
-    /** A kernel that starts alone numbers its notices anew: all of them were once passed over as known. */
+    /** A restarted kernel numbers its notices from the start: all of them were once skipped as already received. */
     @Test
     void anotherKernelRunsTheHarmlessAgainAndItsNoticesCount() {
         Asked a = running("c");
@@ -945,7 +966,7 @@
         assertEquals(0, r.number("now_queries"));
     }
 
-    /** Gauges that did not come once would have ended the timer that asks for them. */
+    /** Guards against a missing gauge reply that ends the timer for further gauge requests. */
     @Test
     void gaugesThatDoNotComeAreAskedForAgainAndASilentLinkIsOpenedAnew() {
         r.boot();
@@ -955,7 +976,7 @@
         assertTrue(r.wants(Peer.KERNEL));
     }
 
-    /** All calls on one link were once lost with the one whose reply was spoilt. */
+    /** Guards against an invalid reply that loses other calls as well. */
     @Test
     void aSpoiltReplyCostsOnlyItsOwnCall() {
         Asked a = running("u");
@@ -974,7 +995,7 @@
         assertEquals(List.of(1L, 2L), List.of(logged("drop STORE"), logged("STORE CALL")));
     }
 
-    /** The second copy of a reply was once taken for the reply to the next call of the same query. */
+    /** Guards against taking the second copy of a reply for the reply to the same query's next call. */
     @Test
     void repliesThatBelongToNothingAreNobodysAndALinkServesAgain() {
         Asked a = running("c");
@@ -996,7 +1017,7 @@
         assertEquals(0, r.number("replies_spoilt"));
     }
 
-    /** A reply that breaks off in its body costs its call; what comes of it on another link is nobody's. */
+    /** A reply cut off within its body fails its call; a copy of it on another link is ignored. */
     @Test
     void aReplyThatBreaksOffIsNone() {
         Asked a = running("u");
@@ -1010,7 +1031,7 @@
         r.down(r.calledOn.get(a.job));
         r.backend.read(r.calledOn.get(b.job), ByteBuffer.wrap((a.job + " OK 5\r\nreply\r\n").getBytes(UTF_8)));
         r.store(b.job + " OK 5\r\nreply\r");
-        assertEquals(0, logged("KERNEL {\"type\":\"IODONE\""), "its line has not ended");
+        assertEquals(0, logged("KERNEL {\"type\":\"IODONE\""), "the reply's last line is incomplete");
         r.store("\n" + b.job + " OK 5\r\nreply\r\n", b.job);
         r.reap(b.job, "good", "made");
         r.pass(1_000);
@@ -1019,7 +1040,7 @@
         assertEquals(List.of(1L, 2L), List.of(logged("KERNEL {\"type\":\"IODONE\""), logged("STORE CALL")));
     }
 
-    /** A notice that broke off with its link is told again on the next, and counts once. */
+    /** A notice cut off when its link breaks is repeated on the next link and counts once. */
     @Test
     void aNoticeThatBreaksOffWithItsLinkIsTakenFromTheNext() {
         Asked a = running("u");
@@ -1037,7 +1058,7 @@
         assertEquals(List.of(0L, 1L), List.of(r.number("kernel_notices_unknown"), r.number("kernel_notices_repeated")));
     }
 
-    /** A store may forget a link that stands idle: it is given back before. */
+    /** The store may drop an idle link without notice, so an idle link is closed early. */
     @Test
     void anIdleLinkToTheStoreIsGivenBackEarly() {
         Asked a = running("c");
@@ -1049,7 +1070,7 @@
         assertEquals(List.of(1L, 0L), List.of(logged("drop STORE"), r.number("now_store_links")));
     }
 
-    /** A run whose reply went with the link waited for it until its time was over. */
+    /** Guards against a reply lost with the kernel link, for which its run waits until the deadline. */
     @Test
     void theReplyThatMayHaveBeenLostWithTheKernelsLinkIsSentAgain() {
         Asked a = running("u");
@@ -1064,11 +1085,15 @@
         r.pass(5_000);
         r.down(Peer.KERNEL);
         r.kernelUp();
-        assertEquals(2, logged("KERNEL {\"type\":\"IODONE\""), "long since there");
+        assertEquals(
+                2, logged("KERNEL {\"type\":\"IODONE\""), "a reply sent long before the break must not be sent again");
         assertEquals(List.of(), r.wrong);
     }
 
-    /** Other addresses once ended the program. Notices go on in number, calls in hand end where they began. */
+    /**
+     * Changed addresses once ended the program. The notice numbers continue on the new link, and calls in progress finish
+     * on the old one.
+     */
     @Test
     void movedPeersAreReachedAtTheirNewPlaceAndNothingIsLost() {
         Asked a = running("u");
@@ -1077,7 +1102,7 @@
         LinkId old = r.up(Peer.STORE);
         r.clock();
         r.backend.moved();
-        r.notice("IOREQ", b.job, "", "call of " + b.job); // still on the old link
+        r.notice("IOREQ", b.job, "", "call of " + b.job); // on the old link
         r.up(Peer.STORE);
         assertEquals(
                 List.of(true, 0L, 2L),
@@ -1102,7 +1127,10 @@
         r.pass(21_000);
         assertEquals(List.of(1L, 1L), List.of(logged("STORE CALL"), logged("drop STORE")));
         r.store(a.job + " OK 1\r\nx\r\n");
-        assertEquals(0, logged("KERNEL {\"type\":\"IODONE\""), "a reply that crossed its end is nobody's");
+        assertEquals(
+                0,
+                logged("KERNEL {\"type\":\"IODONE\""),
+                "a reply that arrives after its call has timed out must be ignored");
         assertEquals(503, only(a).status());
     }
 
@@ -1138,7 +1166,7 @@
         r.refuse(Peer.STORE);
         r.pass(1_000);
         r.gauges();
-        assertTrue(r.wants(Peer.STORE), "tried again");
+        assertTrue(r.wants(Peer.STORE), "the call must be retried");
         r.up(Peer.STORE);
         assertEquals(1, logged("STORE CALL"));
         r.down(Peer.STORE);
@@ -1148,7 +1176,7 @@
         assertEquals(1, logged("STORE CALL"));
     }
 
-    /** The clock was set back by an hour, then forward by two: the due stays the caller's patience or comes at once. */
+    /** The wall clock is set back by an hour, then forward by two: a query's deadline never exceeds its caller's timeout. */
     @Test
     void aClockStepLosesNothing() {
         r.boot();
@@ -1162,7 +1190,7 @@
         only(a);
     }
 
-    /** Closed after the decisions' shortest span, connections went with requests that lay unread on them. */
+    /** Guards against closing connections that have unread requests, after the decisions' shortest idle timeout. */
     @Test
     void anIdleConnectionStaysWhileACallerMayWaitAndWhileThereIsRoom() {
         r.boot();
@@ -1172,14 +1200,14 @@
         r.pass(45_000);
         assertEquals(0, logged("close "));
         r.pass(2_000);
-        assertEquals(1, logged("close " + MOST / 2), "the one past half of the table");
+        assertEquals(1, logged("close " + MOST / 2), "only the connection beyond half of the table may be closed");
         r.pass(250_000);
         assertEquals(1, logged("close "));
         r.pass(10_000);
         assertEquals(MOST / 2 + 1, logged("close "));
     }
 
-    /** The first queries were read late by code not yet compiled; a rehearsal that fails half way compiles half. */
+    /** A warm-up that fails halfway leaves code uncompiled, so that the first real queries are read late. */
     @Test
     void theRehearsalGoesAllTheWay() {
         Map<String, Long> played = Rehearsal.play(Config.parse(CONFIG.getBytes(UTF_8), Map.of()));
@@ -1190,7 +1218,7 @@
         assertTrue(played.get("calls_ok") > 20 && played.get("answered_handled") > 20, played.toString());
     }
 
-    /** Reports get lost on their way; of one a second, three in a row soon were. */
+    /** Reports can be lost in transit: at one per second, three in a row soon were. */
     @Test
     void aFewLostReportsInARowDoNotEndTheListing() {
         r.boot();
@@ -1211,12 +1239,12 @@
         assertEquals(0, r.number("connections_waited"));
     }
 
-    /** The connections of callers in use were closed for those that connect by hundreds and say nothing. */
+    /** Guards against closing connections in use to make room for hundreds that connect and send nothing. */
     @Test
     void silentConnectionsGiveWayBeforeThoseInUse() {
         r.boot();
-        int used = r.open();
-        r.send(used, Model.request(1, new byte[0], false, 0, "SCRIPT_NAME", "/check"));
+        int active = r.open();
+        r.send(active, Model.request(1, new byte[0], false, 0, "SCRIPT_NAME", "/check"));
         for (int i = 0; i < 200; i++) {
             r.pass(NEWCOMER / (MOST - 1) + 1);
             r.open();
@@ -1224,15 +1252,15 @@
         }
         assertEquals(
                 List.of(0L, 201L - MOST, 0L),
-                List.of(logged("close " + used), logged("close "), r.number("connections_waited")));
+                List.of(logged("close " + active), logged("close "), r.number("connections_waited")));
     }
 
-    /** One that has just connected was closed for the next one before its request was there. */
+    /** Guards against closing a new connection for the next one before its first request has arrived. */
     @Test
     void aNewcomerDoesNotGiveWayToTheNextOne() {
         r.boot();
-        int used = r.open();
-        r.send(used, Model.request(1, new byte[0], false, 0, "SCRIPT_NAME", "/check"));
+        int active = r.open();
+        r.send(active, Model.request(1, new byte[0], false, 0, "SCRIPT_NAME", "/check"));
         r.pass(NEWCOMER);
         for (int i = 1; i < MOST; i++) {
             r.open();
@@ -1240,10 +1268,10 @@
         r.waiting = true;
         r.backend.full();
         r.pass(NEWCOMER - 100);
-        assertEquals(0, logged("close "), "they may be about to ask, and the other one has asked before");
+        assertEquals(0, logged("close "), "new connections may be about to send, and the other one has sent before");
         r.pass(200);
         assertTrue(logged("close ") > 0);
-        assertEquals(0, logged("close " + used));
+        assertEquals(0, logged("close " + active));
     }
 
     @Test
--- a/daemon/src/test/java/tallyweir/KeptResultsTest.java
+++ b/daemon/src/test/java/tallyweir/KeptResultsTest.java
@@ -17,26 +17,26 @@
 import tallyweir.results.Mark;
 import tallyweir.results.ResultStore;
 
-/** The backend with results kept over restarts, between a plain kernel, sidecars and a disk that does what it is told. */
+/** The backend with results retained over restarts, between simulated kernel, sidecars and disk. */
 class KeptResultsTest {
-    /** Writes wait until they are let through or refused. */
+    /** A result store whose writes stay pending until the test completes or refuses them. */
     private static final class Disk implements ResultStore {
         private final Map<Mark, Kept> there = new HashMap<>();
         private final ArrayDeque<Consumer<Boolean>> waiting = new ArrayDeque<>();
         private boolean full;
 
-        private void write(Mark mark, Kept kept, Consumer<Boolean> done) {
+        private void write(Mark key, Kept kept, Consumer<Boolean> done) {
             waiting.add(good -> {
                 if (good && kept == null) {
-                    there.remove(mark);
+                    there.remove(key);
                 } else if (good) {
-                    there.put(mark, kept);
+                    there.put(key, kept);
                 }
                 done.accept(good);
             });
         }
 
-        /** All that waits is written, or all is refused. */
+        /** Completes all pending operations, or refuses them all. */
         void does(boolean good) {
             while (!waiting.isEmpty()) {
                 waiting.poll().accept(good);
@@ -44,34 +44,34 @@
         }
 
         @Override
-        public boolean knows(Mark mark) {
-            return there.containsKey(mark);
+        public boolean knows(Mark key) {
+            return there.containsKey(key);
         }
 
         @Override
-        public boolean hasRoom(int underWay) {
+        public boolean hasRoom(int inProgress) {
             return !full;
         }
 
         @Override
-        public void intend(Mark mark, JobId job, long body, long until, Consumer<Boolean> done) {
-            write(mark, new Kept(mark, job, body, null, null, now, until), done);
+        public void intend(Mark key, JobId job, long body, long until, Consumer<Boolean> done) {
+            write(key, new Kept(key, job, body, null, null, now, until), done);
         }
 
         @Override
         public void record(
-                Mark mark, JobId job, long body, Known known, byte[] result, long until, Consumer<Boolean> done) {
-            write(mark, new Kept(mark, job, body, known, result, now, until), done);
+                Mark key, JobId job, long body, Known known, byte[] result, long until, Consumer<Boolean> done) {
+            write(key, new Kept(key, job, body, known, result, now, until), done);
         }
 
         @Override
-        public void withdraw(Mark mark, Consumer<Boolean> done) {
-            write(mark, null, done);
+        public void withdraw(Mark key, Consumer<Boolean> done) {
+            write(key, null, done);
         }
 
         @Override
-        public void look(Mark mark, Consumer<Kept> then) {
-            Kept kept = there.get(mark);
+        public void look(Mark key, Consumer<Kept> then) {
+            Kept kept = there.get(key);
             waiting.add(good -> then.accept(good ? kept : null));
         }
 
@@ -103,9 +103,9 @@
         }
     }
 
-    private Asked ask(String mark, String body) {
+    private Asked ask(String key, String body) {
         disk.now = r.now + r.wall;
-        Asked a = r.ask(r.open(), "k", body, 20_000, mark);
+        Asked a = r.ask(r.open(), "k", body, 20_000, key);
         r.pass(10);
         return a;
     }
@@ -124,12 +124,12 @@
     void noRunBeforeItsIntentAndNoAnswerBeforeItsResultIsOnTheDisk() {
         r.boot();
         Asked a = ask("m", "b");
-        assertFalse(r.jobs.containsKey(a.job), "it runs before its intent is on the disk");
+        assertFalse(r.jobs.containsKey(a.job), "the query runs before its intent is on the disk");
         disk(true);
         assertTrue(r.jobs.containsKey(a.job));
         r.reap(a.job, "good", "result");
         r.pass(10);
-        assertEquals(0, status(a), "it is answered before its result is on the disk");
+        assertEquals(0, status(a), "the query is answered before its result is on the disk");
         disk(true);
         assertEquals(200, status(a));
         assertEquals("result", a.answer.body());
@@ -148,10 +148,10 @@
         disk(true);
         assertEquals(200, status(b));
         assertEquals("result", b.answer.body());
-        assertTrue(r.jobs.isEmpty(), "it ran again");
+        assertTrue(r.jobs.isEmpty(), "the query ran again");
         Asked c = ask("m", "other");
         disk(true);
-        assertEquals(409, status(c), "another body under the same mark");
+        assertEquals(409, status(c), "another body under the same key");
     }
 
     @Test
@@ -186,7 +186,7 @@
         restart(true);
         Asked b = ask("m", "b");
         r.pass(50);
-        assertEquals(0, status(b), "it waits for what the kernel tells");
+        assertEquals(0, status(b), "the query must wait for the kernel's notice");
         r.kernel("{\"type\":\"REAP\",\"n\":1,\"job\":\"" + a.job
                 + "\",\"state\":\"good\",\"took\":5,\"data\":\"cmVzdWx0\"}");
         disk(true);
@@ -206,7 +206,7 @@
             disk(true);
             assertEquals(500, status(b));
         }
-        assertTrue(r.jobs.isEmpty(), "it ran again");
+        assertTrue(r.jobs.isEmpty(), "the query ran again");
     }
 
     @Test
@@ -232,7 +232,7 @@
         assertFalse(r.jobs.containsKey(a.job));
         Asked b = ask("m", "b");
         disk(true);
-        assertTrue(r.jobs.containsKey(b.job), "the later copy does not run");
+        assertTrue(r.jobs.containsKey(b.job), "the later query does not run");
     }
 
     @Test
@@ -258,10 +258,10 @@
         assertTrue(status(a) == 500 || status(a) == 503, "status " + status(a));
         disk(true);
         disk(true);
-        assertFalse(r.jobs.containsKey(a.job), "it runs after its caller has its answer");
+        assertFalse(r.jobs.containsKey(a.job), "the query runs after its caller was answered");
         Asked b = ask("m", "b");
         disk(true);
-        assertTrue(r.jobs.containsKey(b.job), "the later copy does not run");
+        assertTrue(r.jobs.containsKey(b.job), "the later query does not run");
     }
 
     @Test
