--- a/daemon/src/main/java/tallyweir/backend/ConnectionLimits.java
+++ b/daemon/src/main/java/tallyweir/backend/ConnectionLimits.java
@@ -1,9 +1,9 @@
 package tallyweir.backend;
 
 /**
- * How many connections of callers there may be at once.
+ * Limits on the number of open connections of callers.
  *
- * @param usual past so many, each new one makes another give way that is owed no answer
- * @param most so many are accepted; who comes then waits in the listener's queue
+ * @param usual above this number, each new connection closes another one without a pending answer
+ * @param most at this number, no more are accepted and further callers wait in the listener's queue
  */
 record ConnectionLimits(int usual, int most) {}
--- a/daemon/src/main/java/tallyweir/backend/Connections.java
+++ b/daemon/src/main/java/tallyweir/backend/Connections.java
@@ -23,18 +23,22 @@
 import tallyweir.ids.TenantId;
 import tallyweir.ids.WorkloadId;
 
-/** The FastCGI front: connections in numbered slots, requests on them, health checks, idle closing. */
+/**
+ * The FastCGI front end: the connections of callers in numbered slots, the requests on them, health checks and the closing of
+ * idle connections. All methods are called on the deciding thread. Times are tenths of a millisecond.
+ */
 final class Connections {
     private static final String RUN_PATH = "/do/";
     private static final String CHECK_PATH = "/check";
     private static final String COUNTERS_PATH = "/counters";
-    private static final double SIZE_MOST = 2_000; // KB, by the protocol
-    private static final long HALF_MOST = 20_000; // a silent or half sent thing is told so within three seconds
+    private static final double SIZE_MOST = 2_000; // limit of the protocol
+    private static final long HALF_MOST =
+            20_000; // a silent connection or incomplete request is ended within three seconds
     private static final int HALVES_MOST = 1_024;
-    private static final long END_AGAIN = 100; // what lies unread or unwritten on one that is to end goes first
-    private static final long NEWCOMER = 1_000; // a tenth of a second, in which its first request is on its way
-    private static final long LINGER = 10_000; // a second: the other side sees the end sooner, or never
-    private static final int LINGERS_APART = 8; // of the table, one in so many may linger
+    private static final long END_AGAIN = 100; // pending input and output are handled before the close
+    private static final long NEWCOMER = 1_000; // 0.1 s, in which the first request may be on its way
+    private static final long LINGER = 10_000; // 1 s: a peer that heeds the half-close does so sooner
+    private static final int LINGERS_APART = 8; // one in so many connections may be draining
     private static final byte[] NONE = {};
 
     private final Links links;
@@ -53,11 +57,11 @@
     private long idleFor;
     private int halves;
     private boolean good = true;
-    private boolean back; // stands back
-    private boolean leaving; // nothing more is taken in, as the stop is near
-    private Deadlines.Deadline makeRoomAgain; // null if it is not set
+    private boolean back; // the server is withdrawn: new queries are deferred
+    private boolean leaving; // the server shuts down soon: idle connections are closed
+    private Deadlines.Deadline makeRoomAgain; // null while no retry is scheduled
     private final ArrayDeque<Connection> lingering =
-            new ArrayDeque<>(); // ended by us and not yet by them, the oldest first
+            new ArrayDeque<>(); // half-closed by us and not yet closed by the peer, oldest first
 
     Connections(
             Links links,
@@ -81,7 +85,7 @@
         tellsPatience = settings.tellsPatience();
     }
 
-    /** A connection was accepted: its slot. Past the table's room others are to give way to it. */
+    /** Registers an accepted connection and returns its slot. Above the soft limit, another one is closed to make room. */
     ConnectionId accepted() {
         if (slots.size() >= limits.usual()) {
             makeRoom();
@@ -91,7 +95,7 @@
         c.slot = new ConnectionId(slots.add(c));
         c.accepted = queries.now();
         c.idleSince = queries.now();
-        c.rest(halfFor); // one that has sent nothing yet is about to
+        c.rest(halfFor); // the first request is expected within this timeout
         if (leaving) {
             deadlines.set(queries.now() + NEWCOMER, c::leave);
         }
@@ -99,9 +103,10 @@
     }
 
     /**
-     * Nobody more is let in: callers wait, with what they have written. Some are ended at once, so that those who heed it make
-     * room by themselves; once as many linger as may, each further one costs the oldest of these, or a flood of clients
-     * that heed nothing would keep all others out for as long as they may linger.
+     * Makes room when no further connection can be accepted and callers wait in the listener's queue with what they have
+     * written. Several idle connections are half-closed at once, and peers that heed it make room by closing their side. Once
+     * the maximum number of connections is draining, each further one drops the oldest of them: otherwise a flood of clients
+     * that ignore the half-close would keep all others out for the whole drain timeout.
      */
     void full() {
         boolean room = makeRoom();
@@ -117,7 +122,7 @@
         }
     }
 
-    /** An answer that was not written yet, or a request not read yet, kept a connection from giving way. */
+    /** Retries after unwritten answers or unread requests prevented all connections from being closed. */
     private void fullAgain() {
         makeRoomAgain = null;
         if (links.callersWait()) {
@@ -125,14 +130,17 @@
         }
     }
 
-    /** The stop is near: nobody more is let in. Until the listener is closed, who sees an end would come right back to it. */
+    /**
+     * Closes the listener before the shutdown. This comes before {@link #leave}, since a caller whose connection is closed
+     * while the listener is open would reconnect at once.
+     */
     void stopListening() {
         links.stopListening();
     }
 
     /**
-     * Nobody can connect any more: each connection ends once nothing is owed on it. What would come later would lie unread when
-     * the process is killed; who reads the end before has it sent elsewhere.
+     * Closes each connection as soon as no answer is pending on it; called once the listener is closed. A request that arrives
+     * later would be left unread when the process is killed, while a caller that sees the close before sends it elsewhere.
      */
     void leave() {
         if (!leaving) {
@@ -141,6 +149,7 @@
         }
     }
 
+    /** Handles bytes of a caller; those after our half-close are discarded. */
     void read(ConnectionId slot, ByteBuffer bytes) {
         Connection c = slots.get(slot.value());
         if (c == null) {
@@ -153,6 +162,7 @@
         }
     }
 
+    /** A connection is closed on both sides or broken; its slot is free again. */
     void closed(ConnectionId slot) {
         Connection c = slots.get(slot.value());
         if (c != null) {
@@ -162,17 +172,19 @@
         }
     }
 
+    /** Sets the result of health checks, as the decisions ask for it. */
     void health(boolean good) {
         this.good = good;
     }
 
-    /** From now on new queries are turned away at once, or no longer. */
+    /** Sets whether the server is withdrawn: while it is, new queries are deferred at once and the health check fails. */
     void standBack(boolean back) {
         this.back = back;
     }
 
-    void closeIdle(long span) {
-        idleFor = span;
+    /** Sets the idle timeout that the decisions ask for, and applies it to connections that are idle already. */
+    void closeIdle(long timeout) {
+        idleFor = timeout;
         for (Connection c : slots.all()) {
             if (c.idle != null && c.used && c.reader.betweenRecords()) {
                 c.idleOver();
@@ -181,9 +193,9 @@
     }
 
     /**
-     * How long a connection may be idle. A request that lies unread when its connection is closed is lost, and the
-     * shortest spans of the decisions are less than a round takes on a busy core; so none is closed within the time
-     * that a caller waits, nor before the longest span while there is room.
+     * How long a connection may be idle. A request that is unread when its connection is closed is lost, and the shortest
+     * timeouts that the decisions ask for are less than the duration of a round on a busy core. So no connection is closed
+     * within the longest time that a caller waits, nor before the maximum idle timeout while the table is at most half full.
      */
     private long idleFor() {
         return slots.size() > limits.usual() / 2 ? Math.max(idleFor, longestHard) : idleMost;
@@ -193,7 +205,7 @@
         return slots.size();
     }
 
-    /** How many connections are in each state now. */
+    /** The number of connections in each state, by the name of the state. */
     Map<String, Long> states() {
         Map<String, Long> byState = new TreeMap<>();
         slots.all().forEach(c -> byState.merge(c.state(), 1L, Long::sum));
@@ -204,7 +216,7 @@
         return limits.usual() / LINGERS_APART;
     }
 
-    /** Whether a query on this one would leave no connection that can give way, as an answer is owed on each. */
+    /** Whether a query on this connection would leave none that can be closed to make room, as each has a pending answer. */
     private boolean isLastWithNothingOwed(Connection c) {
         return slots.size() >= limits.most()
                 && c.owed.isEmpty()
@@ -212,11 +224,12 @@
     }
 
     /**
-     * Makes room for a new connection by closing one that owes and awaits no answer: of those that never sent a
-     * whole request the one silent longest, else the one idle longest, else the one whose last request was begun
-     * longest ago and is not whole yet. A newcomer keeps its place for as long as its first request may be on its way, and
-     * while there are any nobody who has asked before gives way. A table full of halves once turned everybody back until their time was
-     * over, and silent connections by hundreds would have closed the idle ones of callers in use.
+     * Makes room for a new connection by closing one without a pending answer. Connections that never sent a complete request
+     * come first, then those that did; within each group those that are silent or idle come before those with an incomplete
+     * request, longest first. A new connection is kept while its first request may be on its way, and as long as there are
+     * such connections none that has sent a complete request is closed. Before these rules, a table full of incomplete
+     * requests turned every caller away until they timed out, and hundreds of silent connections would have closed the idle
+     * connections of active callers.
      */
     private boolean makeRoom() {
         if (lingering.size() > lingersMost()) {
@@ -230,7 +243,7 @@
         boolean newcomers = false;
         for (Connection c : quiet) {
             if (c.isNewcomer()) {
-                newcomers = true; // silent or not, it will be known in a moment
+                newcomers = true; // whether it stays silent is known when its window ends
             } else if (newcomers && c.asked) {
                 break;
             } else if (c.closeIdle()) {
@@ -242,7 +255,6 @@
         return stuck;
     }
 
-    /** One connection. */
     private final class Connection implements Reader.Sink {
         private final Reader reader = new Reader(this);
         private final Map<RequestId, Responder> owed = new HashMap<>();
@@ -250,11 +262,11 @@
         private Deadlines.Deadline idle;
         private long accepted;
         private long idleSince;
-        private boolean used; // something came
-        private boolean asked; // a whole request came
-        private boolean ending; // it is read no more, what is owed is answered, then it is closed
-        private boolean closing; // we have ended our side
-        private boolean passedOver; // something came after that
+        private boolean used; // any bytes
+        private boolean asked; // a complete request
+        private boolean ending; // no longer read; closed once the pending answers are written
+        private boolean closing; // our side is half-closed
+        private boolean passedOver; // bytes arrived after the half-close
         private Deadlines.Deadline lingers;
         private ConnectionId slot;
 
@@ -285,9 +297,9 @@
                     : (idle != null) != (o.idle != null) ? idle != null : idleSince < o.idleSince;
         }
 
-        private void rest(long span) {
+        private void rest(long timeout) {
             deadlines.cancel(idle);
-            idle = deadlines.set(queries.now() + Math.max(0, span), this::idleOver);
+            idle = deadlines.set(queries.now() + Math.max(0, timeout), this::idleOver);
         }
 
         private void stir() {
@@ -300,7 +312,7 @@
                 return;
             }
             idleSince = queries.now();
-            // Part of a record is on its way: the rest of it gets the time of a half request.
+            // An incomplete record gets the timeout of an incomplete request.
             rest(reader.betweenRecords() ? idleFor() : halfFor);
             if (links.callersWait()) {
                 full();
@@ -312,26 +324,26 @@
             if (left > 0) {
                 rest(left);
             } else if (!closeIdle()) {
-                rest(halfFor); // something is about to be read, or to go out
+                rest(halfFor); // bytes are waiting to be read or written
             }
         }
 
-        /** False where something lies unread on it, or unwritten: a close now would lose that. */
+        /** Returns false without closing where bytes are unread or unwritten, which a close now would lose. */
         private boolean closeIdle() {
-            boolean quiet = links.endQuiet(slot);
-            if (quiet) {
+            boolean closed = links.endQuiet(slot);
+            if (closed) {
                 counters.add(Count.CONNECTIONS_CLOSED_IDLE);
                 closes();
             }
-            return quiet;
+            return closed;
         }
 
-        /** It is read no more; once what is owed is answered it is closed. */
-        private void end(Count why) {
+        /** Stops reading, and closes the connection once all pending answers are written. */
+        private void end(Count reason) {
             if (!ending && !closing) {
                 ending = true;
                 reader.stop();
-                counters.add(why);
+                counters.add(reason);
                 closeIfOver();
             }
         }
@@ -350,7 +362,7 @@
             lingers = deadlines.set(queries.now() + LINGER, this::drop);
         }
 
-        /** The other side does not end: what it sends is led nowhere, so nothing is lost by the close. */
+        /** Closes without waiting for the peer. What it sends is discarded anyway, so the close loses nothing. */
         private void drop() {
             lingering.remove(this);
             deadlines.cancel(lingers);
@@ -358,7 +370,7 @@
             links.dropCaller(slot);
         }
 
-        /** Idle ones end at once, others when nothing is owed any more. */
+        /** Closes an idle connection now; one with a pending answer is closed after that answer. */
         private void leave() {
             if (!closing && !ending && owed.isEmpty() && !links.endQuiet(slot)) {
                 deadlines.set(queries.now() + END_AGAIN, this::leave);
@@ -368,7 +380,7 @@
             }
         }
 
-        /** What comes after the end of our side is led nowhere; its sender sees the end. */
+        /** Discards bytes that arrive after the half-close; their sender sees the end of the stream. */
         private void passOver(ByteBuffer bytes) {
             counters.add(Count.CONNECTIONS_WRITTEN_TO_AFTER_END, passedOver ? 0 : 1);
             counters.add(Count.BYTES_READ_AFTER_END, bytes.remaining());
@@ -382,7 +394,7 @@
             restIfIdle();
         }
 
-        /** Nobody is there to take an answer any more. */
+        /** Cancels everything that waits for this connection: its answers can no longer be delivered. */
         private void closed() {
             closing = true;
             stir();
@@ -391,21 +403,21 @@
             half.values().forEach(deadlines::cancel);
             halves -= half.size();
             half.clear();
-            List<Responder> nobodyThere = List.copyOf(owed.values());
+            List<Responder> undeliverable = List.copyOf(owed.values());
             owed.clear();
-            nobodyThere.forEach(way -> gone(way, "its connection has ended"));
+            undeliverable.forEach(responder -> gone(responder, "the connection was closed"));
             if (queries.fleet() != null) {
                 queries.fleet().closed(slot);
             }
         }
 
-        /** Whatever becomes of the query, nothing of it goes this way any more: the id may be another's by then. */
-        private void gone(Responder way, String reason) {
-            way.over = true;
-            way.counted();
-            if (way.taken != null) {
-                endings.query(way.taken.job, reason, "a query ends without an answer");
-                queries.gone(way.taken);
+        /** Invalidates a responder: the request id may belong to another request by the time the query is done. */
+        private void gone(Responder responder, String reason) {
+            responder.over = true;
+            responder.counted();
+            if (responder.taken != null) {
+                endings.query(responder.taken.job, reason, "a query ends without an answer");
+                queries.gone(responder.taken);
             }
         }
 
@@ -429,9 +441,9 @@
         }
 
         private void whole(RequestId id) {
-            Deadlines.Deadline d = half.remove(id);
-            if (d != null) {
-                deadlines.cancel(d);
+            Deadlines.Deadline timeout = half.remove(id);
+            if (timeout != null) {
+                deadlines.cancel(timeout);
                 halves--;
             }
         }
@@ -466,7 +478,7 @@
             }
         }
 
-        /** Only what is whole and known becomes a query; anything else gets one answer and nothing runs. */
+        /** Turns a valid request for a known workload into a query; any other request is answered at once and nothing runs. */
         private void query(RequestId id, Fields fields, String path, byte[] body, boolean keep) {
             WorkloadId workload = new WorkloadId(path.startsWith(RUN_PATH) ? path.substring(RUN_PATH.length()) : "");
             if (!queries.knows(workload)) {
@@ -481,97 +493,97 @@
             JobId job;
             String tenant;
             String subject;
-            String mark;
+            String key;
             double size;
             double rank;
             long receivedAt;
-            long patience;
+            long timeout;
             CallerId caller;
             try {
                 job = new JobId(fields.text(fields.needed(Fields.ID)));
                 tenant = !tenants.isEmpty() ? fields.text(fields.needed(Fields.TENANT)) : null;
                 subject = fields.text(Fields.SUBJECT);
-                mark = effect == Effect.STAMPED ? fields.text(fields.needed(Fields.STAMP)) : subject;
+                key = effect == Effect.STAMPED ? fields.text(fields.needed(Fields.STAMP)) : subject;
                 size = fields.number(Fields.SIZE);
                 rank = fields.number(Fields.RANK);
                 receivedAt = fields.whole(Fields.RECEIVED) * 10;
-                patience = tellsPatience ? fields.whole(Fields.PATIENCE) * 10 : -1;
+                timeout = tellsPatience ? fields.whole(Fields.PATIENCE) * 10 : -1;
                 caller = new CallerId(fields.whole(Fields.CALLER));
                 inRange(Fields.ID, job.value().matches("[0-9a-fA-F]{16}"));
                 inRange(Fields.SIZE, size > 0 && size < SIZE_MOST);
                 inRange(Fields.RANK, rank < 1);
-                inRange(Fields.PATIENCE, patience <= longestHard);
+                inRange(Fields.PATIENCE, timeout <= longestHard);
                 inRange(Fields.RECEIVED, !queries.farAhead(receivedAt));
                 inRange(Fields.TENANT, tenant == null || tenants.contains(tenant));
             } catch (IllegalArgumentException e) {
                 malformed(id, 400, e.getMessage(), keep);
                 return;
             }
-            Responder way = new Responder(this, id, keep);
+            Responder responder = new Responder(this, id, keep);
             FleetMembership fleet = queries.fleet();
             if (back) {
                 counters.add(Count.STOOD_BACK);
-                way.deferred(fleet.backOff(), false);
+                responder.deferred(fleet.backOff(), false);
                 return;
             }
             if (fleet != null && tenant != null) {
                 if (!fleet.enter(slot, new TenantId(tenant))) {
                     counters.add(Count.CAPPED);
-                    way.deferred(fleet.backOff(), fleet.full(new TenantId(tenant)));
+                    responder.deferred(fleet.backOff(), fleet.full(new TenantId(tenant)));
                     return;
                 }
-                way.counts = new TenantId(tenant);
+                responder.counts = new TenantId(tenant);
             }
             boolean last = isLastWithNothingOwed(this);
             counters.add(Count.QUERIES_ON_LAST_CONNECTION, last ? 1 : 0);
-            owed.put(id, way);
-            way.taken = queries.read(
-                    way,
+            owed.put(id, responder);
+            responder.taken = queries.read(
+                    responder,
                     job,
                     workload,
                     body,
                     receivedAt,
                     caller,
                     subject == null ? null : new SubjectId(subject),
-                    mark == null ? null : new SubjectId(mark),
+                    key == null ? null : new SubjectId(key),
                     tenant == null ? null : new TenantId(tenant),
                     size,
                     rank,
-                    patience,
+                    timeout,
                     "1".equals(fields.text(Fields.AGAIN)),
                     last);
         }
 
-        private static void inRange(String field, boolean is) {
-            if (!is) {
+        private static void inRange(String field, boolean inRange) {
+            if (!inRange) {
                 throw new IllegalArgumentException(field + " is out of range");
             }
         }
 
-        private void malformed(RequestId id, int status, String why, boolean keep) {
+        private void malformed(RequestId id, int status, String reason, boolean keep) {
             counters.add(Count.QUERIES_MALFORMED);
-            warnings.warn("a query was not taken, " + status + ": " + why);
+            warnings.warn("a query was not taken, " + status + ": " + reason);
             write(id, Records.answer(id, status, "", NONE), keep);
         }
 
         @Override
-        public void refused(RequestId id, Reader.Refusal why, boolean keep) {
+        public void refused(RequestId id, Reader.Refusal reason, boolean keep) {
             whole(id);
-            switch (why) {
+            switch (reason) {
                 case OVERLOADED -> write(id, Records.overloaded(id), keep);
                 case ROLE -> write(id, Records.unknownRole(id), keep);
-                case TOO_BIG -> malformed(id, 413, "it is too big", keep);
-                default -> malformed(id, 400, "its parameters cannot be read", keep);
+                case TOO_BIG -> malformed(id, 413, "the request is too big", keep);
+                default -> malformed(id, 400, "the parameters cannot be parsed", keep);
             }
         }
 
         @Override
         public void aborted(RequestId id) {
             whole(id);
-            Responder way = owed.remove(id);
-            if (way != null) {
+            Responder responder = owed.remove(id);
+            if (responder != null) {
                 counters.add(Count.QUERIES_ABORTED);
-                gone(way, "its caller has given it up");
+                gone(responder, "the caller aborted the request");
             }
             write(id, Records.ended(id), true);
         }
@@ -584,20 +596,20 @@
         }
 
         @Override
-        public void bad(String why) {
-            warnings.warn("a connection is closed: " + why);
+        public void bad(String reason) {
+            warnings.warn("a connection is closed: " + reason);
             end(Count.CONNECTIONS_CLOSED_BAD);
         }
     }
 
-    /** The way back to a request of a connection, for one answer. */
+    /** Sends the one answer to a request of a connection. */
     private final class Responder implements Answer {
         private final Connection caller;
         private final RequestId id;
         private final boolean keep;
         private InFlight taken;
         private boolean over;
-        private TenantId counts; // against whose cap its connection counts while it is open, null for nobody's
+        private TenantId counts; // the tenant whose cap is charged until the query ends, or null
 
         private Responder(Connection caller, RequestId id, boolean keep) {
             this.caller = caller;
@@ -611,11 +623,11 @@
         }
 
         @Override
-        public void deferred(long keepOff, boolean nowhereElse) {
+        public void deferred(long backOff, boolean isFinal) {
             send(
                     503,
-                    (keepOff >= 10 ? "Back-Off-Ms: " + keepOff / 10 + "\r\n" : "")
-                            + (nowhereElse ? "Final-Refusal: 1\r\n" : ""),
+                    (backOff >= 10 ? "Back-Off-Ms: " + backOff / 10 + "\r\n" : "")
+                            + (isFinal ? "Final-Refusal: 1\r\n" : ""),
                     NONE);
         }
 
@@ -629,7 +641,7 @@
             send(409, "", NONE);
         }
 
-        /** It is open no more. */
+        /** Releases the tenant's cap, as the query is no longer open. */
         private void counted() {
             if (counts != null) {
                 queries.fleet().over(caller.slot, counts);
