--- a/daemon/src/main/java/tallyweir/backend/Watch.java
+++ b/daemon/src/main/java/tallyweir/backend/Watch.java
@@ -26,26 +26,42 @@
 import tallyweir.ids.WorkloadId;
 
 /**
- * The decisions in force, and beside them those of other settings, which hear the same news and get the same draws. What
- * the others ask for goes nowhere: after each piece of news it is compared with what was decided, and differences are
- * counted by kind. A query that one of the two has answered and the other has not is over for both from then on.
+ * The decisions in force and, beside them, those of a shadow: the same decisions under other settings, given the same events
+ * and the same random draws. The actions of the shadow have no effect. After each event they are compared with those of the
+ * settings in force, and differences are counted by kind. Once one of the two has answered a query, the query is over for
+ * both. Called on the deciding thread; times are tenths of a millisecond.
  */
 final class Watch extends Choice {
     private static final Logger LOG = LoggerFactory.getLogger(Watch.class);
 
-    /** DEFER: the others would have deferred it; TAKE: they would not; the rest: only one of the two, or otherwise. */
+    /**
+     * Kinds of differences; the counters show their names. Unless said otherwise, a kind counts actions that only one of the
+     * two took, or that both took with different values.
+     */
     enum Kind {
+        /** A query that only the shadow deferred. */
         DEFER,
+        /** A query that the settings in force deferred and the shadow did not. */
         TAKE,
+        /** A query that both deferred, with a different back-off or with different advice on trying elsewhere. */
         TOLD,
+        /** An errored answer. */
         FAIL,
+        /** The start of a run. */
         RUN,
+        /** The cancellation of a run. */
         STOP,
+        /** The sending of a call to the store. */
         CALL,
+        /** The choice of a degraded answer. */
         POORER,
+        /** The retention of a result. */
         KEEP,
+        /** An answer from a retained result. */
         REUSE,
+        /** Advertised load. */
         SAY,
+        /** The idle timeout of connections. */
         IDLE
     }
 
@@ -59,15 +75,15 @@
         }
     }
 
-    /** What each of the two has done with a query. */
+    /** What the settings in force and the shadow have done with one query. */
     private static final class Pair {
-        boolean over; // answered as decided, or its caller is gone
-        boolean runs; // as decided
+        boolean over; // answered under the settings in force, or its caller disconnected
+        boolean runs; // under the settings in force
         boolean othersOver;
         boolean othersRun;
         boolean parted;
-        final EnumSet<Kind> first = EnumSet.noneOf(Kind.class); // so far only by what is decided,
-        final EnumSet<Kind> others = EnumSet.noneOf(Kind.class); // or only by the others
+        final EnumSet<Kind> first = EnumSet.noneOf(Kind.class); // taken so far only under the settings in force
+        final EnumSet<Kind> others = EnumSet.noneOf(Kind.class); // taken so far only by the shadow
     }
 
     private static final class Others extends Choice {
@@ -86,10 +102,10 @@
     private final Tap decided;
     private final Tap asked = new Tap(Outgoing.nowhere());
     private final Map<QueryId, Pair> pairs = new HashMap<>();
-    private final Set<QueryId> ending = new LinkedHashSet<>(); // of which this news may be the last
+    private final Set<QueryId> ending = new LinkedHashSet<>(); // queries that the current event may have ended
     private final ArrayDeque<Runnable> news = new ArrayDeque<>();
     private final long[] counts = new long[Kind.values().length];
-    private Others others; // null while none are watched
+    private Others others; // null while there is no shadow
     private Settings settings;
     private double drawn;
     private long now;
@@ -105,23 +121,30 @@
         this.now = now;
     }
 
-    /** Others that begin later know nothing of what was read before. */
-    void watch(Settings watched, long seed, long since, boolean cold) {
+    /**
+     * Replaces the shadow and resets the counts. A new shadow takes no account of queries that were read before.
+     *
+     * @param newSettings of the new shadow; null for no shadow
+     * @param seed only needed to construct it; its draws are those of the settings in force
+     * @param since the time at which it counts as started, by the clock of the decisions
+     * @param cold whether the server counts as just started and not warmed up
+     */
+    void watch(Settings newSettings, long seed, long since, boolean cold) {
         pairs.clear();
         Arrays.fill(counts, 0);
-        settings = watched;
+        settings = newSettings;
         others = null;
-        if (watched != null) {
-            Others fresh = new Others(asked, seed, since);
-            fresh.clock(now);
-            watched.startWatched(fresh, cold);
-            others = fresh;
+        if (newSettings != null) {
+            Others started = new Others(asked, seed, since);
+            started.clock(now);
+            newSettings.startWatched(started, cold);
+            others = started;
         }
         decided.on = others != null;
         asked.on = others != null;
     }
 
-    /** Empty while nothing is watched. */
+    /** The differences so far, by the lower-case name of their kind; empty while there is no shadow. */
     Map<String, Long> counts() {
         Map<String, Long> all = new LinkedHashMap<>();
         for (Kind k : others == null ? new Kind[0] : Kind.values()) {
@@ -130,7 +153,7 @@
         return all;
     }
 
-    // ---- news, for the decisions first
+    // ---- events; the settings in force get each of them first
 
     @Override
     public void clock(long now) {
@@ -165,21 +188,21 @@
             double sizeKb,
             long age,
             double rank,
-            long patience,
-            boolean again,
+            long timeout,
+            boolean retry,
             TenantId tenant,
             long predicted) {
-        double[] drew = new double[1];
+        double[] draw = new double[1];
         both(
                 () -> {
                     super.read(
-                            id, earlier, caller, subject, workload, sizeKb, age, rank, patience, again, tenant,
+                            id, earlier, caller, subject, workload, sizeKb, age, rank, timeout, retry, tenant,
                             predicted);
-                    drew[0] = drawn;
+                    draw[0] = drawn;
                 },
                 () -> {
                     pairs.put(id, new Pair());
-                    others.drawn = drew[0];
+                    others.drawn = draw[0];
                     others.read(
                             id,
                             earlier,
@@ -189,23 +212,23 @@
                             sizeKb,
                             age,
                             rank,
-                            settings.tellsPatience() ? patience : 0,
-                            again && settings.marksTries(),
+                            settings.tellsPatience() ? timeout : 0,
+                            retry && settings.marksTries(),
                             tenant,
                             predicted);
                 });
     }
 
     @Override
-    public void ended(QueryId id, Outcome how) {
-        both(() -> super.ended(id, how), () -> {
+    public void ended(QueryId id, Outcome outcome) {
+        both(() -> super.ended(id, outcome), () -> {
             Pair p = pairs.get(id);
-            others.ended(id, how);
+            others.ended(id, outcome);
             if (p != null) {
                 ending.add(id);
                 p.runs = false;
-                p.over |= how != Outcome.RECALLED;
-                p.othersOver |= p.othersRun && how != Outcome.RECALLED;
+                p.over |= outcome != Outcome.RECALLED;
+                p.othersOver |= p.othersRun && outcome != Outcome.RECALLED;
                 p.othersRun = false;
             }
         });
@@ -217,8 +240,8 @@
     }
 
     @Override
-    public void callEnded(QueryId id, Outcome how, long took) {
-        both(() -> super.callEnded(id, how, took), () -> others.callEnded(id, how, took));
+    public void callEnded(QueryId id, Outcome outcome, long duration) {
+        both(() -> super.callEnded(id, outcome, duration), () -> others.callEnded(id, outcome, duration));
     }
 
     @Override
@@ -251,16 +274,19 @@
         both(() -> super.timer(timer), () -> others.timer(timer));
     }
 
-    /** What is decided may bring news of its own; the others hear all of it in its order once that is done with. */
-    private void both(Runnable decides, Runnable hears) {
+    /**
+     * Passes an event to the settings in force, then to the shadow. Handling an event may raise further events; the shadow gets
+     * all of them in order once the settings in force are done with the outermost one.
+     */
+    private void both(Runnable inForce, Runnable shadowed) {
         if (others == null) {
-            decides.run();
+            inForce.run();
             return;
         }
-        news.add(hears);
+        news.add(shadowed);
         within++;
         try {
-            decides.run();
+            inForce.run();
         } finally {
             within--;
         }
@@ -269,7 +295,7 @@
         }
     }
 
-    /** A fault in what is only watched must not reach what is decided. */
+    /** Runs the shadow and compares. A fault in the shadow must not affect the settings in force, so it ends the shadow. */
     private void compare() {
         try {
             while (!news.isEmpty()) {
@@ -282,7 +308,7 @@
             partedWays();
             count();
         } catch (RuntimeException | Error e) {
-            LOG.error("watching has failed and is off", e);
+            LOG.error("the shadow settings failed and are switched off", e);
             others = null;
             decided.on = false;
         }
@@ -292,9 +318,9 @@
         asked.acts.clear();
     }
 
-    private void note(Act act, boolean decides) {
+    private void note(Act act, boolean inForce) {
         Pair p = pairs.get(act.query);
-        if (p != null && decides) {
+        if (p != null && inForce) {
             p.over |= act.answers();
             p.runs |= act.kind == Kind.RUN;
             ending.add(act.query);
@@ -304,7 +330,10 @@
         }
     }
 
-    /** The others are told that what was answered is over, as if its caller had gone and its run never been. */
+    /**
+     * Ends queries in the shadow that only the settings in force have answered, as if the caller had disconnected and the run
+     * had never been.
+     */
     private void partedWays() {
         for (QueryId id : ending) {
             Pair p = pairs.get(id);
@@ -315,49 +344,52 @@
                 if (p.othersRun && !p.runs) {
                     others.ended(id, Outcome.SUPERSEDED);
                 }
-                List<Act> since = asked.acts.subList(before, asked.acts.size());
-                since.removeIf(a -> id.equals(a.query));
-                since.forEach(a -> note(a, false));
+                List<Act> caused = asked.acts.subList(before, asked.acts.size());
+                caused.removeIf(a -> id.equals(a.query));
+                caused.forEach(a -> note(a, false));
             }
         }
     }
 
     private void count() {
         asked.acts.removeIf(act -> act.query != null && !pairs.containsKey(act.query));
-        List<Act> only = new ArrayList<>(asked.acts);
-        List<Act> first = new ArrayList<>();
+        List<Act> onlyShadow = new ArrayList<>(asked.acts);
+        List<Act> onlyInForce = new ArrayList<>();
         for (Act act : decided.acts) {
-            Act same = only.stream().filter(act::sameAs).findFirst().orElse(null);
+            Act same = onlyShadow.stream().filter(act::sameAs).findFirst().orElse(null);
             if (same == null) {
-                first.add(act);
+                onlyInForce.add(act);
             } else {
-                only.remove(same);
+                onlyShadow.remove(same);
                 if (!same.equals(act)) {
                     counts[(act.kind == Kind.DEFER ? Kind.TOLD : act.kind).ordinal()]++;
                 }
             }
         }
         for (boolean answers : new boolean[] {true, false}) {
-            first.stream().filter(a -> a.answers() == answers).forEach(a -> alone(a, true));
-            only.stream().filter(a -> a.answers() == answers).forEach(a -> alone(a, false));
+            onlyInForce.stream().filter(a -> a.answers() == answers).forEach(a -> alone(a, true));
+            onlyShadow.stream().filter(a -> a.answers() == answers).forEach(a -> alone(a, false));
         }
         ending.removeIf(id -> !pairs.get(id).over || pairs.get(id).runs);
         pairs.keySet().removeAll(ending);
     }
 
-    /** Asked for by one of the two; what the other has asked for before, or asks for later, counts once. */
-    private void alone(Act act, boolean decides) {
+    /**
+     * Counts an action that only one of the two took for this event. It counts once, even if the other took it for an earlier
+     * event or takes it for a later one.
+     */
+    private void alone(Act act, boolean inForce) {
         Pair p = pairs.get(act.query);
         if (act.query == null) {
             counts[act.kind.ordinal()]++;
-        } else if (p != null && !p.parted && !(decides ? p.others : p.first).remove(act.kind)) {
-            counts[(decides && act.kind == Kind.DEFER ? Kind.TAKE : act.kind).ordinal()]++;
-            (decides ? p.first : p.others).add(act.kind);
+        } else if (p != null && !p.parted && !(inForce ? p.others : p.first).remove(act.kind)) {
+            counts[(inForce && act.kind == Kind.DEFER ? Kind.TAKE : act.kind).ordinal()]++;
+            (inForce ? p.first : p.others).add(act.kind);
             p.parted = act.answers();
         }
     }
 
-    /** Notes what is asked for, and passes it on. */
+    /** Records the actions of one of the two while there is a shadow, and passes them on. */
     private static final class Tap implements Outgoing {
         private final Outgoing to;
         private final List<Act> acts = new ArrayList<>();
@@ -367,9 +399,9 @@
             this.to = to;
         }
 
-        private void note(Kind kind, QueryId query, double value, boolean nowhereElse) {
+        private void note(Kind kind, QueryId query, double value, boolean isFinal) {
             if (on) {
-                acts.add(new Act(kind, query, value, nowhereElse));
+                acts.add(new Act(kind, query, value, isFinal));
             }
         }
 
@@ -380,9 +412,9 @@
         }
 
         @Override
-        public void defer(QueryId query, long keepOff, boolean nowhereElse) {
-            note(Kind.DEFER, query, keepOff, nowhereElse);
-            to.defer(query, keepOff, nowhereElse);
+        public void defer(QueryId query, long backOff, boolean isFinal) {
+            note(Kind.DEFER, query, backOff, isFinal);
+            to.defer(query, backOff, isFinal);
         }
 
         @Override
@@ -398,9 +430,9 @@
         }
 
         @Override
-        public void call(QueryId query, long timeOut) {
-            note(Kind.CALL, query, timeOut, false);
-            to.call(query, timeOut);
+        public void call(QueryId query, long timeout) {
+            note(Kind.CALL, query, timeout, false);
+            to.call(query, timeout);
         }
 
         @Override
@@ -410,9 +442,9 @@
         }
 
         @Override
-        public void keep(QueryId query, long span) {
-            note(Kind.KEEP, query, span, false);
-            to.keep(query, span);
+        public void keep(QueryId query, long duration) {
+            note(Kind.KEEP, query, duration, false);
+            to.keep(query, duration);
         }
 
         @Override
@@ -438,9 +470,9 @@
         }
 
         @Override
-        public void closeIdle(long span) {
-            note(Kind.IDLE, null, span, false);
-            to.closeIdle(span);
+        public void closeIdle(long timeout) {
+            note(Kind.IDLE, null, timeout, false);
+            to.closeIdle(timeout);
         }
 
         @Override
--- a/daemon/src/test/java/tallyweir/WatchTest.java
+++ b/daemon/src/test/java/tallyweir/WatchTest.java
@@ -23,7 +23,7 @@
 import tallyweir.config.Operators;
 import tallyweir.config.Settings;
 
-/** Settings that are watched beside those in force: counted, and never felt. */
+/** Shadow settings beside those in force: differences are counted, and nothing else is affected. */
 class WatchTest {
     private static final String OTHERS = """
             {"Callers":{"MarksRetry":false},"Rules":{"FallMultiple":5},"Permissions":{"MaxRetryAfterUs":200000},
@@ -44,9 +44,9 @@
         return r;
     }
 
-    private static void steps(Round r, SplittableRandom chance) {
+    private static void steps(Round r, SplittableRandom random) {
         for (int i = 0; i < 160; i++) {
-            BackendTest.step(r, chance);
+            BackendTest.step(r, random);
             r.check();
             r.closings();
         }
@@ -58,7 +58,7 @@
                 .collect(Collectors.toMap(e -> e.getKey().substring(6), Map.Entry::getValue));
     }
 
-    /** What is watched sends nothing, answers nothing and keeps nothing: all that left is the same with and without. */
+    /** Guards against a shadow that sends, answers or retains anything: output and all other counters are the same without it. */
     @Property(tries = 60, seed = "20261203", shrinking = ShrinkingMode.OFF)
     void whatIsWatchedIsNeverFelt(@ForAll long seed) {
         Round without = day(null, seed);
@@ -106,7 +106,10 @@
         assertTrue(n > 0, kind);
     }
 
-    /** A run that begins later counts once, and what has ended as decided takes no core of the others any more. */
+    /**
+     * Guards against counting a run twice that the shadow starts later, and against a query that ended under the settings in force
+     * but still occupies a core of the shadow.
+     */
     @Test
     void whatPartsWaysCountsOnceAndIsOverForBoth() {
         Round r = new Round();
@@ -116,14 +119,14 @@
         for (int i = 0; i < 3; i++) {
             String one = r.ask(conn, "c", "b", 20_000, null).job;
             String two = r.ask(conn, "c", "b", 20_000, null).job;
-            assertEquals(i + 1, counts(r).get("run"), "with one core the second would wait");
+            assertEquals(i + 1, counts(r).get("run"), "with one core the second query would wait");
             r.reap(i == 0 ? one : two, "good", "made");
             r.reap(i == 0 ? two : one, "good", "made");
         }
         assertEquals(3, counts(r).get("run"));
     }
 
-    /** A marked try that is deferred is told not to try elsewhere; without marks it would not be. */
+    /** A deferred retry gets the advice not to try elsewhere; where callers do not mark retries, it does not. */
     @Test
     void marksThatAreNotToComeAreNotHeard() {
         Round r = new Round();
@@ -140,15 +143,15 @@
     @Test
     void whatIsWatchedCanBeTakenUpAndLaidDownAtAnyTime() {
         Round r = new Round();
-        SplittableRandom chance = new SplittableRandom(5);
+        SplittableRandom random = new SplittableRandom(5);
         r.boot();
-        steps(r, chance);
+        steps(r, random);
         assertEquals(Map.of(), counts(r));
         r.backend.watch(watched(OTHERS));
-        steps(r, chance);
+        steps(r, random);
         assertTrue(counts(r).values().stream().anyMatch(n -> n > 0), "" + counts(r));
         r.backend.watch(watched("{}"));
-        assertTrue(counts(r).values().stream().allMatch(n -> n == 0), "others begin at zero");
+        assertTrue(counts(r).values().stream().allMatch(n -> n == 0), "new shadow settings start with counts of zero");
         r.backend.watch(null);
         assertEquals(Map.of(), counts(r));
         assertEquals(0, r.number("faults"));
@@ -163,8 +166,8 @@
             {"Classes":[{"Name":"c","Effect":"write"}]}; watch.settings.Classes[0].Effect is 'write'
             {"Classes":[{"Name":"c","Effect":"safe"}]};  watch.settings.Classes lacks the class
             """)
-    void aFaultyKeyIsNamed(String others, String said) {
-        String text = assertThrows(BadSetting.class, () -> watched(others)).getMessage();
-        assertTrue(text.contains(said), text);
+    void aFaultyKeyIsNamed(String others, String expected) {
+        String message = assertThrows(BadSetting.class, () -> watched(others)).getMessage();
+        assertTrue(message.contains(expected), message);
     }
 }
