--- a/daemon/src/main/java/tallyweir/backend/Routes.java
+++ b/daemon/src/main/java/tallyweir/backend/Routes.java
@@ -11,18 +11,18 @@
 import tallyweir.ids.WorkloadId;
 
 /**
- * Where queries call, under one revision: an index of its stores by the workloads of this server. It is immutable and is
- * built beside the deciding thread; a query keeps the store that it was given at read until its end.
+ * The stores that queries call under one revision, indexed by the workloads of this server. Immutable, and built outside the
+ * deciding thread. A query keeps the store that it was assigned when it was read until its end.
  */
 public final class Routes {
     private final Table table;
     private final Set<WorkloadId> own;
-    private final int size; // stores in all
-    private final StoreGroup ofAll; // those for all workloads
-    private final Map<WorkloadId, StoreGroup> ofSome; // those for some, by the workloads of this server
-    private final Map<WorkloadId, Integer> unknown; // how many stores name workloads that are not of this server
+    private final int size; // number of stores, also of those for workloads of other servers
+    private final StoreGroup ofAll; // stores without a list of workloads, which serve all of them
+    private final Map<WorkloadId, StoreGroup> ofSome; // stores with a list of workloads, by those of this server
+    private final Map<WorkloadId, Integer> unknown; // number of stores by workload that this server does not have
 
-    /** For {@link RoutesBuilder}. */
+    /** Called by {@link RoutesBuilder}. */
     Routes(
             Table table,
             Set<WorkloadId> own,
@@ -38,26 +38,31 @@
         this.unknown = unknown;
     }
 
-    /** Under no revision: each server calls where it was configured to. */
+    /** Routes without any revision: queries call the store of the configuration. */
     public static Routes none(Set<WorkloadId> own) {
         return new Routes(Table.EMPTY, Set.copyOf(own), 0, StoreGroup.EMPTY, Map.of(), Map.of());
     }
 
-    /** Those of a whole table, for a server with these workloads; this walks the table. */
+    /** Builds the routes of a table for a server with the given workloads; walks the whole table. */
     public static Routes of(Table table, Set<WorkloadId> own) {
         RoutesBuilder builder = new RoutesBuilder(none(own));
         table.forEach(entry -> builder.add(entry.key(), entry.value()));
         return builder.build(table);
     }
 
-    /** Those of the next table; of what is not in the difference nothing is looked at, and groups that are equal are shared. */
+    /**
+     * Builds the routes of another table from these. Only the entries in the difference are visited, and unchanged groups are
+     * shared.
+     *
+     * @param difference from the table of these routes to {@code next}
+     */
     public Routes with(Table next, Collection<Change> difference) {
         RoutesBuilder builder = new RoutesBuilder(this);
         difference.forEach(builder::change);
         return builder.build(next);
     }
 
-    /** The table that they are of. */
+    /** The table that these routes were built from. */
     public Table table() {
         return table;
     }
@@ -82,18 +87,21 @@
         return unknown;
     }
 
-    /** The store of a query, drawn by weight; null where no revision names any. */
-    InetSocketAddress store(WorkloadId workload, SplittableRandom chance) {
+    /**
+     * Picks a store for a query at random by weight. Returns null if the revision lists none for the workload; its queries then
+     * call the store of the configuration.
+     */
+    InetSocketAddress store(WorkloadId workload, SplittableRandom random) {
         StoreGroup some = ofSome.getOrDefault(workload, StoreGroup.EMPTY);
         int weight = ofAll.weight() + some.weight();
         if (weight == 0) {
             return null;
         }
-        int place = chance.nextInt(weight);
-        return place < ofAll.weight() ? ofAll.at(place) : some.at(place - ofAll.weight());
+        int position = random.nextInt(weight);
+        return position < ofAll.weight() ? ofAll.at(position) : some.at(position - ofAll.weight());
     }
 
-    /** Why this server could not act on them, empty if it could. */
+    /** The reason why this server cannot use these routes; empty if it can. */
     public String cannot() {
         if (!unknown.isEmpty()) {
             String first = unknown.keySet().stream()
@@ -114,7 +122,7 @@
         return "";
     }
 
-    /** All stores that a workload may be sent to. */
+    /** All stores that queries of a workload may call. */
     List<WeightedStore> stores(WorkloadId workload) {
         List<WeightedStore> all = ofAll.stores();
         all.addAll(ofSome.getOrDefault(workload, StoreGroup.EMPTY).stores());
--- a/daemon/src/main/java/tallyweir/backend/RoutesBuilder.java
+++ b/daemon/src/main/java/tallyweir/backend/RoutesBuilder.java
@@ -13,9 +13,9 @@
 import tallyweir.fleet.table.Value;
 import tallyweir.ids.WorkloadId;
 
-/** Makes routes of the ones before and of what differs. Only groups in which something differs are made anew. */
+/** Builds routes from previous ones and a difference between tables. Only groups that differ are rebuilt; not thread-safe. */
 final class RoutesBuilder {
-    /** What differs in a group. */
+    /** The stores removed from and added to a group. */
     private static final class GroupDifference {
         final List<WeightedStore> removed = new ArrayList<>();
         final List<WeightedStore> added = new ArrayList<>();
@@ -32,21 +32,21 @@
     private final Map<WorkloadId, Integer> unknown = new HashMap<>();
     private int size;
 
-    /** @param before what they are made of, for the same server */
+    /** @param before the routes to start from, for the same server */
     RoutesBuilder(Routes before) {
         this.before = before;
         own = before.own();
         size = before.size();
     }
 
-    /** Takes an entry in that was not there; one that is about no store changes nothing. */
+    /** Adds an entry that the table did not have; ignores one that is not a store. */
     void add(Key key, Value value) {
         if (key.kind() == Kind.STORE) {
             put(StoreName.of(key), value, 1);
         }
     }
 
-    /** Takes the change of an entry in. */
+    /** Applies the change of an entry; ignores one that is not a store. */
     void change(Change change) {
         if (change.key().kind() == Kind.STORE) {
             StoreName store = StoreName.of(change.key());
@@ -55,7 +55,7 @@
         }
     }
 
-    /** @param count 1 for a store that comes, -1 for one that goes */
+    /** @param count 1 for a store that is added, -1 for one that is removed */
     private void put(StoreName name, Value value, int count) {
         WeightedStore store = new WeightedStore(name.address(), ((Value.Weight) value).weight());
         size += count;
@@ -75,7 +75,7 @@
         (count > 0 ? group.added : group.removed).add(store);
     }
 
-    /** The routes of the next table. */
+    /** Builds the routes of the table that all the changes lead to. */
     Routes build(Table next) {
         boolean same = ofAll.added.isEmpty() && ofAll.removed.isEmpty();
         StoreGroup all = same ? before.ofAll() : ofAll.appliedTo(before.ofAll());
--- a/daemon/src/main/java/tallyweir/backend/Store.java
+++ b/daemon/src/main/java/tallyweir/backend/Store.java
@@ -17,11 +17,12 @@
 import tallyweir.store.Replies;
 
 /**
- * Calls to the store: each is sent once, ends once, and is timed here. A link carries one call at a time, and is
- * used again only after a whole reply to it: whatever is spoilt, late or broken costs that one call.
+ * Calls to the store. Each is sent at most once, ends once and is timed here. A link carries one call at a time and is reused
+ * only after a complete reply, so a malformed or late reply or a broken link costs only that one call. Called on the deciding
+ * thread; times are tenths of a millisecond.
  */
 final class Store {
-    // A store may forget an idle link and reset it at the next call, which then is lost: none waits as long.
+    // A store may drop an idle link and reset it at the next call, which is then lost: no link is idle for that long.
     private static final long IDLE_MOST = 5_000;
 
     private static final class Call {
@@ -51,35 +52,37 @@
     private final PeerMonitor monitor;
     private final Map<JobId, Call> calls = new LinkedHashMap<>();
     private final Map<LinkId, Line> lines = new HashMap<>();
-    private final ArrayDeque<Line> idle = new ArrayDeque<>(); // the one used last comes first
-    private final ArrayDeque<Call> waiting = new ArrayDeque<>(); // for a link, the table being full
+    private final ArrayDeque<Line> idle = new ArrayDeque<>(); // most recently used first
+    private final ArrayDeque<Call> waiting = new ArrayDeque<>(); // for a link, as the maximum number is open
 
-    Store(Links links, LongSupplier numbers, Deadlines deadlines, Counters counters, Queries queries, int most) {
+    Store(Links links, LongSupplier linkIds, Deadlines deadlines, Counters counters, Queries queries, int maxLinks) {
         this.links = links;
-        this.numbers = numbers;
+        this.numbers = linkIds;
         this.deadlines = deadlines;
         this.counters = counters;
         this.queries = queries;
-        this.most = most;
+        this.most = maxLinks;
         warnings = new RateLimitedLog(Store.class, queries::now);
         monitor = new PeerMonitor(links, deadlines, counters, Peer.STORE);
     }
 
+    /** The number of open and opening links. */
     int size() {
         return lines.size();
     }
 
-    void call(InFlight t, byte[] body, long timeOut) {
+    /** Sends a call on an idle or a new link; it waits for one while the maximum number of links is in use. */
+    void call(InFlight query, byte[] body, long timeout) {
         counters.add(Count.CALLS_ASKED);
-        Call c = new Call(t, body, queries.now(), queries.now() + timeOut);
-        calls.put(t.job, c);
+        Call c = new Call(query, body, queries.now(), queries.now() + timeout);
+        calls.put(query.job, c);
         c.end = deadlines.set(c.until, () -> timedOut(c));
         place(c);
     }
 
     /**
-     * A second copy of a reply may still come on the link that brought the first. It would be taken for the reply
-     * to a later call of the same query, so that goes another way.
+     * Assigns a link to a call. A duplicate reply may still arrive on the link that delivered the first one and would be taken
+     * for the reply to a later call of the same query, so each call of a query uses another link.
      */
     private void place(Call c) {
         Line free = idle.stream()
@@ -103,15 +106,15 @@
         return lines.size() < most;
     }
 
-    /** The run that called has ended: whatever the store still does for it is not wanted. */
-    void giveUp(InFlight t) {
-        Call c = calls.get(t.job);
-        if (c != null && c.of == t) {
+    /** Cancels the call of a query whose run has ended, so that its result is no longer needed. */
+    void giveUp(InFlight query) {
+        Call c = calls.get(query.job);
+        if (c != null && c.of == query) {
             end(c);
         }
     }
 
-    /** A link whose call has not had its reply is closed, which also gives the call up at the store. */
+    /** Ends a call. If it still awaits its reply, the link is closed, which also cancels the call at the store. */
     private void end(Call c) {
         calls.remove(c.of.job);
         deadlines.cancel(c.end);
@@ -128,17 +131,18 @@
         }
     }
 
-    /** A call that was never sent has surely not run, whatever became of the link. */
+    /** A call that was never sent has certainly not run, so its outcome is not that of a timeout. */
     private void timedOut(Call c) {
         end(c, Count.CALLS_TIMED_OUT, Outcome.OVERDUE);
     }
 
-    private void end(Call c, Count count, Outcome how) {
+    private void end(Call c, Count count, Outcome outcome) {
         end(c);
         counters.add(c.sent ? count : Count.CALLS_NEVER_SENT);
-        queries.callEnded(c.of, c.sent ? how : Outcome.REFUSED_CONN, queries.now() - c.since, null);
+        queries.callEnded(c.of, c.sent ? outcome : Outcome.REFUSED_CONN, queries.now() - c.since, null);
     }
 
+    /** A link is open: sends the call that waits for it. */
     void up(LinkId id) {
         Line line = lines.get(id);
         if (line != null) {
@@ -148,7 +152,11 @@
         }
     }
 
-    /** Refused or broken: what was sent may have run, what was not, or of which nothing left this process, has not. */
+    /**
+     * A link was refused or broken. A call that was sent on it may have run; one that was not has certainly not run.
+     *
+     * @param unwritten whether no byte of what was sent has left this process
+     */
     void down(LinkId id, boolean unwritten) {
         Line line = lines.get(id);
         if (line != null) {
@@ -163,11 +171,14 @@
         }
     }
 
-    /** The store has another address: a call in hand may still end on its old link, no other begins there. */
+    /**
+     * The address in the configuration has changed. A call that was sent may still end on its old link; other calls get links to
+     * the new address.
+     */
     void moved() {
         for (Line line : List.copyOf(lines.values())) {
             if (line.to != null) {
-                continue; // the fleet says where that one is
+                continue; // its address comes from a revision of the fleet
             }
             Call c = line.call;
             if (c != null && c.sent) {
@@ -181,11 +192,11 @@
         }
     }
 
-    /** One link; it is given back in release and nowhere else. */
+    /** One link to a store; it leaves the tables only in release. */
     private final class Line implements Replies.Sink {
         private final LinkId id = new LinkId(numbers.getAsLong());
         private final Replies replies = new Replies(this);
-        private final InetSocketAddress to; // by a revision of the fleet, null for where it was configured
+        private final InetSocketAddress to; // from a revision of the fleet, null for the configured address
         private Call call;
         private boolean old;
         private Deadlines.Deadline idleEnd;
@@ -235,7 +246,7 @@
                 monitor.gone(queries.now());
             }
             if (c != null && unwritten) {
-                c.sent = false; // an idle link that the store closed in the moment in which it was taken
+                c.sent = false; // the store closed the idle link at the moment the call was sent
             }
             release();
             if (c != null) {
@@ -243,7 +254,7 @@
             }
         }
 
-        /** What belongs to no call of this link, an unknown id or a second copy, is passed over. */
+        /** Ignores a reply that does not belong to the current call: one with an unknown id, or a duplicate. */
         @Override
         public void replied(JobId job, String word, byte[] body) {
             Call c = call;
@@ -268,16 +279,16 @@
             }
         }
 
-        private void over(Call c, Count count, Outcome how, byte[] body) {
+        private void over(Call c, Count count, Outcome outcome, byte[] body) {
             Store.this.end(c);
             counters.add(count);
-            queries.callEnded(c.of, how, queries.now() - c.since, body);
+            queries.callEnded(c.of, outcome, queries.now() - c.since, body);
         }
 
         @Override
-        public void bad(String why) {
+        public void bad(String reason) {
             counters.add(Count.REPLIES_SPOILT);
-            warnings.warn("store: " + why + "; its link is dropped");
+            warnings.warn("store: " + reason + "; the link is dropped");
             links.drop(id);
             broken(false);
         }
--- a/daemon/src/main/java/tallyweir/backend/StoreGroup.java
+++ b/daemon/src/main/java/tallyweir/backend/StoreGroup.java
@@ -11,20 +11,20 @@
 import java.util.Map;
 
 /**
- * An immutable group of stores among which one is drawn by weight; a draw costs a binary search. A server can have tens of
- * thousands of stores, so addresses are kept as their bytes.
+ * An immutable group of stores, from which one is picked at random by weight with a binary search. A server can have tens of
+ * thousands of stores, so addresses are stored as bytes in arrays.
  */
 final class StoreGroup {
     static final StoreGroup EMPTY = new StoreGroup(List.of());
 
     private static final int IPV4_BYTES = 4;
     private static final int IPV6_BYTES = 16;
-    private static final int IPV4_IN_IPV6 = 0xff; // twice before the address, after zeros
+    private static final int IPV4_IN_IPV6 = 0xff; // in IPv4-mapped IPv6: twice before the address, after zeros
 
-    private final int hostBytes; // of each host
+    private final int hostBytes; // per address
     private final byte[] hosts;
     private final char[] ports;
-    private final int[] upTo; // the sum of the weights of a store and of all before it
+    private final int[] upTo; // the weight of each store plus those of all stores before it
 
     StoreGroup(Collection<WeightedStore> stores) {
         boolean ipv4 = stores.stream().allMatch(store -> hostOf(store).length == IPV4_BYTES);
@@ -33,13 +33,13 @@
         ports = new char[stores.size()];
         upTo = new int[stores.size()];
         int sum = 0;
-        int at = 0;
+        int index = 0;
         for (WeightedStore store : stores) {
             sum = Math.addExact(sum, store.weight());
-            putHost(hostOf(store), at);
-            ports[at] = (char) store.address().getPort();
-            upTo[at] = sum;
-            at++;
+            putHost(hostOf(store), index);
+            ports[index] = (char) store.address().getPort();
+            upTo[index] = sum;
+            index++;
         }
     }
 
@@ -47,8 +47,8 @@
         return store.address().getAddress().getAddress();
     }
 
-    private void putHost(byte[] host, int at) {
-        int end = (at + 1) * hostBytes;
+    private void putHost(byte[] host, int index) {
+        int end = (index + 1) * hostBytes;
         System.arraycopy(host, 0, hosts, end - host.length, host.length);
         if (host.length < hostBytes) {
             Arrays.fill(hosts, end - host.length - 2, end - host.length, (byte) IPV4_IN_IPV6);
@@ -65,25 +65,25 @@
     }
 
     /**
-     * The store at a place on the line on which every store takes as much as its weight.
+     * Returns the store at a position in the range of all weights, in which each store occupies as many positions as its weight.
      *
-     * @param place from 0 to less than the sum of all weights
+     * @param position from 0 to less than the sum of all weights
      */
-    InetSocketAddress at(int place) {
-        int found = Arrays.binarySearch(upTo, place + 1);
+    InetSocketAddress at(int position) {
+        int found = Arrays.binarySearch(upTo, position + 1);
         return address(found >= 0 ? found : -found - 1);
     }
 
-    private InetSocketAddress address(int at) {
-        byte[] host = Arrays.copyOfRange(hosts, at * hostBytes, (at + 1) * hostBytes);
+    private InetSocketAddress address(int index) {
+        byte[] host = Arrays.copyOfRange(hosts, index * hostBytes, (index + 1) * hostBytes);
         try {
-            return new InetSocketAddress(InetAddress.getByAddress(host), ports[at]);
+            return new InetSocketAddress(InetAddress.getByAddress(host), ports[index]);
         } catch (UnknownHostException e) {
             throw new IllegalStateException("addresses have 4 or 16 bytes", e);
         }
     }
 
-    /** All stores, in the order of their places. */
+    /** All stores, in the order of their positions. */
     List<WeightedStore> stores() {
         List<WeightedStore> all = new ArrayList<>();
         int before = 0;
@@ -94,7 +94,7 @@
         return all;
     }
 
-    /** The group without some of its stores, and with others. */
+    /** Returns a group with some stores removed, one occurrence for each element, and others added at the end. */
     StoreGroup with(Collection<WeightedStore> removed, Collection<WeightedStore> added) {
         Map<WeightedStore, Integer> toRemove = new HashMap<>();
         removed.forEach(store -> toRemove.merge(store, 1, Integer::sum));
--- a/daemon/src/main/java/tallyweir/backend/TableCaps.java
+++ b/daemon/src/main/java/tallyweir/backend/TableCaps.java
@@ -8,7 +8,7 @@
 import tallyweir.fleet.table.Value;
 import tallyweir.ids.TenantId;
 
-/** The caps that a revision's table has, found by their keys. */
+/** The connection caps of tenants in a revision's table, looked up by key. */
 public record TableCaps(Table table) implements Caps {
     private static final int UNCAPPED = -1;
 
@@ -18,7 +18,7 @@
         try {
             key = new Key(Kind.CAP, tenant.value());
         } catch (FleetException e) {
-            return UNCAPPED; // callers choose the name; no entry can have this one
+            return UNCAPPED; // callers choose the tenant name, and no entry can have one that is not a valid key
         }
         return table.get(key).map(value -> ((Value.Cap) value).connections()).orElse(UNCAPPED);
     }
--- a/daemon/src/main/java/tallyweir/backend/WeightedStore.java
+++ b/daemon/src/main/java/tallyweir/backend/WeightedStore.java
@@ -2,5 +2,9 @@
 
 import java.net.InetSocketAddress;
 
-/** A store, and the share of calls that it gets beside others. */
+/**
+ * A store of a group.
+ *
+ * @param weight its share of the calls, relative to the weights of the other stores
+ */
 record WeightedStore(InetSocketAddress address, int weight) {}
--- a/daemon/src/test/java/tallyweir/backend/RoutesTest.java
+++ b/daemon/src/test/java/tallyweir/backend/RoutesTest.java
@@ -24,6 +24,7 @@
 import tallyweir.fleet.table.Value;
 import tallyweir.ids.WorkloadId;
 
+/** Routes: which store a query calls, and how routes follow the changes of a table. */
 class RoutesTest {
     private static final WorkloadId A = new WorkloadId("a");
     private static final WorkloadId B = new WorkloadId("b");
@@ -63,18 +64,18 @@
                 + "{\"address\":\"1.0.0.3:1\",\"workloads\":[\"a\",\"b\"],\"weight\":2},"
                 + "{\"address\":\"1.0.0.4:1\",\"workloads\":[\"z\"],\"weight\":1000}]}");
         Map<String, Integer> drawn = new HashMap<>();
-        SplittableRandom chance = new SplittableRandom(1);
+        SplittableRandom random = new SplittableRandom(1);
         for (int i = 0; i < 100_000; i++) {
-            drawn.merge(routes.store(A, chance).getAddress().getHostAddress(), 1, Integer::sum);
+            drawn.merge(routes.store(A, random).getAddress().getHostAddress(), 1, Integer::sum);
         }
         assertEquals(Set.of("1.0.0.1", "1.0.0.2", "1.0.0.3"), drawn.keySet());
         assertEquals(0.3, drawn.get("1.0.0.1") / 1e5, 0.01);
         assertEquals(0.5, drawn.get("1.0.0.2") / 1e5, 0.01);
         assertEquals(0.2, drawn.get("1.0.0.3") / 1e5, 0.01);
         assertEquals(2, routes.stores(B).size());
-        assertNull(Routes.none(OWN).store(A, chance));
+        assertNull(Routes.none(OWN).store(A, random));
         assertNull(routes("{\"stores\":[{\"address\":\"1.0.0.1:1\",\"workloads\":[\"a\"]}]}")
-                .store(B, chance));
+                .store(B, random));
     }
 
     @Test
@@ -108,15 +109,15 @@
 
     @Test
     void changesInAnyOrderComeToWhatTheWholeTableComesTo() {
-        SplittableRandom chance = new SplittableRandom(7);
+        SplittableRandom random = new SplittableRandom(7);
         Table table = Table.EMPTY;
         Routes routes = Routes.of(table, OWN);
         String[] workloads = {"", " a", " b", " a,b", " a,z", " z"};
-        for (int turn = 0; turn < 500; turn++) {
+        for (int round = 0; round < 500; round++) {
             Map<Key, Change> changes = new HashMap<>();
-            for (int i = chance.nextInt(4); i >= 0; i--) {
-                String name = "1.0.0." + chance.nextInt(4) + ":1" + workloads[chance.nextInt(workloads.length)];
-                Change change = chance.nextBoolean() ? put(table, name, 1 + chance.nextInt(3)) : remove(table, name);
+            for (int i = random.nextInt(4); i >= 0; i--) {
+                String name = "1.0.0." + random.nextInt(4) + ":1" + workloads[random.nextInt(workloads.length)];
+                Change change = random.nextBoolean() ? put(table, name, 1 + random.nextInt(3)) : remove(table, name);
                 changes.put(change.key(), change);
             }
             table = table.apply(changes.values());
