--- a/daemon/src/main/java/tallyweir/backend/RevisionParts.java
+++ b/daemon/src/main/java/tallyweir/backend/RevisionParts.java
@@ -3,7 +3,10 @@
 import tallyweir.fleet.Digest;
 import tallyweir.fleet.Gate;
 
-/** The parts of this server that go by a revision. They are exchanged together, between two rounds of the deciding thread. */
+/**
+ * The parts of this server that depend on the revision in use. All are replaced together, between two rounds of the deciding
+ * thread.
+ */
 final class RevisionParts {
     private final Queries queries;
     private final Links links;
@@ -16,7 +19,7 @@
         this.gate = gate;
     }
 
-    /** From now on every part goes by this revision. */
+    /** Switches every part to a revision. */
     void use(PreparedRevision next) {
         queries.route(next.routes());
         gate.caps(new TableCaps(next.table()));
@@ -27,12 +30,12 @@
         }
     }
 
-    /** Whether the revision has this server stand back. */
+    /** Whether the revision in use withdraws this server. */
     boolean standsBack() {
         return entries.standsBack();
     }
 
-    /** The root of the table that all parts in use are of; where they are of several, a digest that no table has. */
+    /** The root of the table that all parts were built from; if they differ in that, a digest that no table has. */
     Digest digest() {
         Digest ofRoutes = queries.routes().table().root();
         Digest ofCaps = gate.caps() instanceof TableCaps caps ? caps.table().root() : Digest.NONE;
--- a/daemon/src/main/java/tallyweir/backend/RevisionPreparer.java
+++ b/daemon/src/main/java/tallyweir/backend/RevisionPreparer.java
@@ -14,12 +14,12 @@
 import tallyweir.ids.WorkloadId;
 
 /**
- * Fetches revisions and makes them ready to be used. All work that grows with a table or with what differs is done on the
- * client's thread; the deciding thread is only told of the outcome.
+ * Fetches revisions and prepares them for use. All work that grows with the size of a table or of a difference is done on the
+ * client's thread; the deciding thread only gets the outcome.
  */
 final class RevisionPreparer {
     private static final Logger LOG = LoggerFactory.getLogger(RevisionPreparer.class);
-    private static final int DIFFERENCE_MOST = 4_096; // entries; beyond it the index is made anew, entry by entry
+    private static final int DIFFERENCE_MOST = 4_096; // above it, the routes are rebuilt from the whole table
 
     private final FleetClient client;
     private final Executor deciding;
@@ -27,42 +27,48 @@
     private final Set<WorkloadId> workloads;
 
     /**
-     * @param deciding tells outcomes on the deciding thread
+     * @param decidingExecutor runs the callbacks on the deciding thread
      * @param server the name of this server
-     * @param workloads those that this server knows
+     * @param workloads the workloads of this server
      */
-    RevisionPreparer(FleetClient client, Executor deciding, String server, Set<WorkloadId> workloads) {
+    RevisionPreparer(FleetClient client, Executor decidingExecutor, String server, Set<WorkloadId> workloads) {
         this.client = client;
-        this.deciding = deciding;
+        this.deciding = decidingExecutor;
         this.server = server;
         this.workloads = Set.copyOf(workloads);
     }
 
     /**
-     * Fetches a revision and prepares it.
+     * Fetches a revision and prepares it. Runs exactly one of the two callbacks, on the deciding thread, unless the client is
+     * closed first.
      *
-     * @param inUse the routes that are in use, of which as much as possible is kept
-     * @param to takes the revision
-     * @param failed takes the reason why it could not be had
+     * @param inUse the routes in use, of which as much as possible is shared
+     * @param onPrepared takes the prepared revision
+     * @param onFailed takes the reason why it could not be fetched or prepared
      */
-    void prepare(Routes inUse, RevisionRoot revision, Consumer<PreparedRevision> to, Consumer<String> failed) {
+    void prepare(
+            Routes inUse, RevisionRoot revision, Consumer<PreparedRevision> onPrepared, Consumer<String> onFailed) {
         client.fetch(
                 inUse.table(),
                 revision,
                 Runnable::run, // on the client's thread
-                table -> prepared(inUse, revision, table, to, failed),
-                fault -> deciding.execute(() -> failed.accept(fault.what())));
+                table -> prepared(inUse, revision, table, onPrepared, onFailed),
+                fault -> deciding.execute(() -> onFailed.accept(fault.what())));
     }
 
     private void prepared(
-            Routes inUse, RevisionRoot revision, Table table, Consumer<PreparedRevision> to, Consumer<String> failed) {
+            Routes inUse,
+            RevisionRoot revision,
+            Table table,
+            Consumer<PreparedRevision> onPrepared,
+            Consumer<String> onFailed) {
         try {
             Routes routes = routes(inUse, table);
             PreparedRevision prepared = new PreparedRevision(revision, routes, ServerEntries.of(table, server));
-            deciding.execute(() -> to.accept(prepared));
+            deciding.execute(() -> onPrepared.accept(prepared));
         } catch (RuntimeException e) {
-            LOG.warn("a revision cannot be used", e);
-            deciding.execute(() -> failed.accept("it cannot be used: " + e.getMessage()));
+            LOG.warn("a revision could not be prepared", e);
+            deciding.execute(() -> onFailed.accept("it cannot be used: " + e.getMessage()));
         }
     }
 
--- a/daemon/src/main/java/tallyweir/backend/ServerEntries.java
+++ b/daemon/src/main/java/tallyweir/backend/ServerEntries.java
@@ -10,18 +10,18 @@
 import tallyweir.fleet.table.Value;
 
 /**
- * What a revision says about one server, beside its routes and caps.
+ * The entries of a revision that concern one server, apart from its routes and caps.
  *
- * @param table of the revision
- * @param kernel of the server, null for the one that it was configured with
- * @param announce the announce service, null for the one that it was configured with
- * @param standsBack whether the server is to turn new queries away and be announced no more
+ * @param table the table of the revision
+ * @param kernel address of the server's kernel, null for the one in its configuration
+ * @param announce address of the announce service, null for the one in its configuration
+ * @param standsBack whether the server is withdrawn: it defers new queries and is no longer announced
  */
 record ServerEntries(Table table, InetSocketAddress kernel, InetSocketAddress announce, boolean standsBack) {
-    /** Under no revision. */
+    /** The entries without any revision. */
     static final ServerEntries NONE = new ServerEntries(Table.EMPTY, null, null, false);
 
-    /** Those of the server of this name; found by their keys, however large the table is. */
+    /** Looks up the entries of the named server by key, which does not grow with the size of the table. */
     static ServerEntries of(Table table, String server) {
         return new ServerEntries(
                 table,
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Whether kernel and announce service are reached where the others say. */
+    /** Whether the addresses of the kernel and of the announce service are the same as in other entries. */
     boolean sameAddresses(ServerEntries other) {
         return Objects.equals(kernel, other.kernel) && Objects.equals(announce, other.announce);
     }
--- a/daemon/src/test/java/tallyweir/backend/FleetMembershipTest.java
+++ b/daemon/src/test/java/tallyweir/backend/FleetMembershipTest.java
@@ -29,7 +29,7 @@
 import tallyweir.fleet.table.Table;
 import tallyweir.fleet.table.Value;
 
-/** A server's side of its fleet, from what the fleet answers to what it reports. */
+/** The membership of a server in its fleet, from the answers of the fleet to the reports of the server. */
 class FleetMembershipTest {
     private static final String CONFIG = """
             {"name":"n3","listen":"127.0.0.1:0","kernel":"127.0.0.1:1","announce":"127.0.0.1:2","store":"127.0.0.1:3",
@@ -47,7 +47,7 @@
 
     private final IdleLinks links = new IdleLinks();
     private final RecordedFleetClient client = new RecordedFleetClient();
-    private final Deque<Runnable> told = new ArrayDeque<>(); // for the deciding thread
+    private final Deque<Runnable> told = new ArrayDeque<>(); // callbacks for the deciding thread
     private final Backend backend;
     private long now = 1_000_000;
     private RevisionRoot inForce = RevisionRoot.NONE;
@@ -67,9 +67,9 @@
         return new RevisionRoot(new RevisionId(id), table.root());
     }
 
-    /** Rounds of the deciding thread over a span, in which the fleet answers at once. */
-    private void rounds(long span) {
-        for (long end = now + span; now < end; now += 100) {
+    /** Runs rounds of the deciding thread for a duration in tenths of a millisecond; the fleet answers at once. */
+    private void rounds(long duration) {
+        for (long end = now + duration; now < end; now += 100) {
             backend.clock(now, now);
             backend.pass();
             while (!client.sent.isEmpty()) {
@@ -100,7 +100,7 @@
     void aRevisionInForceIsFetchedUsedAndReportedByTheRootOfItsTable() {
         inForce = revision(1, FIRST);
         rounds(5_000);
-        assertEquals(RevisionId.NONE, last().acting(), "without its table it goes on as before");
+        assertEquals(RevisionId.NONE, last().acting(), "it does not act on a revision before it has its table");
         RecordedFleetClient.Fetch fetch = client.fetches.poll();
         assertEquals(Table.EMPTY.root(), fetch.have().root());
         assertEquals(inForce, fetch.wanted());
@@ -126,12 +126,12 @@
         rounds(5_000);
         assertEquals(proposed.id(), last().checked());
         assertEquals("", last().cannot());
-        assertEquals(FIRST.root(), last().inForce(), "only looked at yet");
+        assertEquals(FIRST.root(), last().inForce(), "only checked so far");
         inForce = proposed;
         proposed = RevisionRoot.NONE;
         rounds(5_000);
         assertEquals(second.root(), last().inForce());
-        assertTrue(client.fetches.isEmpty(), "what was looked at is used");
+        assertTrue(client.fetches.isEmpty(), "the checked revision is used without another fetch");
         assertEquals(1, links.routed);
     }
 
@@ -144,7 +144,7 @@
         rounds(5_000);
         assertEquals(proposed.id(), last().checked());
         assertTrue(last().cannot().contains("z is unknown"), last().cannot());
-        inForce = proposed; // by force
+        inForce = proposed; // although this server rejected it
         rounds(5_000);
         assertEquals(RevisionId.NONE, last().acting());
     }
@@ -171,7 +171,7 @@
         assertEquals(RevisionId.NONE, last().acting());
         client.fetches.poll().answer(FIRST);
         rounds(2_000);
-        assertEquals(FIRST.root(), last().inForce(), "it is tried again until it is had");
+        assertEquals(FIRST.root(), last().inForce(), "the fetch is retried until it succeeds");
     }
 
     private String cannotSoFar() {
--- a/daemon/src/test/java/tallyweir/backend/FleetMemoryProbe.java
+++ b/daemon/src/test/java/tallyweir/backend/FleetMemoryProbe.java
@@ -13,7 +13,7 @@
 import tallyweir.ids.TenantId;
 import tallyweir.ids.WorkloadId;
 
-/** Holds what a server keeps of a large revision, in a process of its own, and prints how much heap that takes. */
+/** Holds the parts of a large revision that a server keeps, in a separate process, and prints their heap use. */
 final class FleetMemoryProbe {
     static final int ROUTES = 31_000;
     static final int CAPS = 400_000;
@@ -25,7 +25,7 @@
 
     private FleetMemoryProbe() {}
 
-    /** Prints the bytes that the parts take, and those while the next revision is prepared beside the one in use. */
+    /** Prints whether the parts are correct, their bytes, and the bytes with the prepared parts of the next revision. */
     public static void main(String[] args) {
         long before = used();
         Table table = table();
@@ -35,12 +35,12 @@
 
         Table next = table.apply(difference());
         Routes nextRoutes = routes.with(next, table.differenceTo(next));
-        long both = used() - before;
+        long withNext = used() - before;
 
-        boolean right = routes.size() == ROUTES
+        boolean correct = routes.size() == ROUTES
                 && nextRoutes.table().size() == ROUTES + CAPS
                 && caps.of(new TenantId(cap(7).name())) == 1;
-        System.out.println(right + " " + inUse + " " + both);
+        System.out.println(correct + " " + inUse + " " + withNext);
     }
 
     private static Table table() {
@@ -93,13 +93,13 @@
     }
 
     private static long used() {
-        long least = Long.MAX_VALUE;
+        long min = Long.MAX_VALUE;
         for (int i = 0; i < COLLECTIONS; i++) {
             System.gc();
-            least = Math.min(
-                    least,
+            min = Math.min(
+                    min,
                     Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory());
         }
-        return least;
+        return min;
     }
 }
--- a/daemon/src/test/java/tallyweir/backend/FleetMemoryTest.java
+++ b/daemon/src/test/java/tallyweir/backend/FleetMemoryTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What a large revision takes of a server's heap, in a process with the heap and collector that the server is run with. */
+/** Limits the heap use of a large revision, measured in a process with the heap size and collector of a server. */
 class FleetMemoryTest {
     private static final long MOST = 16 << 20;
 
@@ -24,13 +24,13 @@
                         FleetMemoryProbe.class.getName()))
                 .redirectErrorStream(true)
                 .start();
-        List<String> said = probe.inputReader().lines().toList();
-        assertEquals(0, probe.waitFor(), said.toString());
-        String[] figures = said.get(said.size() - 1).split(" ");
+        List<String> output = probe.inputReader().lines().toList();
+        assertEquals(0, probe.waitFor(), output.toString());
+        String[] figures = output.get(output.size() - 1).split(" ");
         assertEquals("true", figures[0]);
         long inUse = Long.parseLong(figures[1]);
         long withNext = Long.parseLong(figures[2]);
-        System.out.println("fleet part of a server: " + inUse + " bytes, with the next revision " + withNext);
+        System.out.println("heap of the fleet parts: " + inUse + " bytes, with the next revision " + withNext);
         assertTrue(inUse < MOST, "in use: " + inUse);
         assertTrue(withNext < MOST, "with the next revision: " + withNext);
     }
--- a/daemon/src/test/java/tallyweir/backend/IdleLinks.java
+++ b/daemon/src/test/java/tallyweir/backend/IdleLinks.java
@@ -4,7 +4,7 @@
 import tallyweir.ids.ConnectionId;
 import tallyweir.ids.LinkId;
 
-/** Links that lead nowhere, and tell where a revision has led them. */
+/** Links that send nothing and record the addresses that a revision routes them to. */
 final class IdleLinks implements Links {
     InetSocketAddress kernel;
     InetSocketAddress announce;
--- a/daemon/src/test/java/tallyweir/backend/RecordedFleetClient.java
+++ b/daemon/src/test/java/tallyweir/backend/RecordedFleetClient.java
@@ -13,16 +13,16 @@
 import tallyweir.fleet.ServerId;
 import tallyweir.fleet.table.Table;
 
-/** A client that leaves it to the test what is answered. */
+/** Records commands and fetches, which the test answers. */
 final class RecordedFleetClient implements FleetClient {
-    /** A command that waits for its answer. */
+    /** A command without an answer yet. */
     record Sent(Command command, Executor deciding, Consumer<Answer> to, Runnable failed) {
         void answer(Answer answer) {
             deciding.execute(() -> to.accept(answer));
         }
     }
 
-    /** A fetch that waits for its table. */
+    /** A fetch without a result yet. */
     record Fetch(Table have, RevisionRoot wanted, Executor deciding, Consumer<Table> to, Consumer<Fault> failed) {
         void answer(Table table) {
             deciding.execute(() -> to.accept(table));
@@ -37,13 +37,14 @@
     final Deque<Fetch> fetches = new ArrayDeque<>();
 
     @Override
-    public void send(Command command, Executor deciding, Consumer<Answer> to, Runnable failed) {
-        sent.add(new Sent(command, deciding, to, failed));
+    public void send(Command command, Executor executor, Consumer<Answer> onAnswer, Runnable onFailure) {
+        sent.add(new Sent(command, executor, onAnswer, onFailure));
     }
 
     @Override
-    public void fetch(Table have, RevisionRoot wanted, Executor deciding, Consumer<Table> to, Consumer<Fault> failed) {
-        fetches.add(new Fetch(have, wanted, deciding, to, failed));
+    public void fetch(
+            Table have, RevisionRoot wanted, Executor executor, Consumer<Table> onTable, Consumer<Fault> onFailure) {
+        fetches.add(new Fetch(have, wanted, executor, onTable, onFailure));
     }
 
     @Override
