--- a/daemon/src/main/java/tallyweir/cli/Leaving.java
+++ b/daemon/src/main/java/tallyweir/cli/Leaving.java
@@ -9,28 +9,34 @@
 import tallyweir.net.Server;
 
 /**
- * What the virtual machine waits for before it ends, from the first moment on: the notice to leave may come before there is
- * anything to leave, and in the moment in which the server begins to listen. Then either nobody could connect, or all
- * who did are seen off.
+ * The JVM's shutdown hook, registered before anything else is started. The notice to shut down may come before the
+ * server exists, or at the moment it begins to listen. In either case the server does not listen at all, or every
+ * caller that could connect is answered.
  */
 final class Leaving implements Runnable {
-    private static final long LAST_WORDS_MS = 100; // before the stop: the counters are out by then
-    private static final long PAST_STOP_MS = 2_000; // for whoever sends the notice and never kills
+    private static final long LAST_WORDS_MS = 100; // before the stop; long enough to print the counters
+    private static final long PAST_STOP_MS = 2_000; // after the stop; then the process ends without a kill
 
     private static final DateTimeFormatter TIME = DateTimeFormatter.ofPattern("HH:mm:ss.SSS");
 
     private final long stopMs;
     private final PrintStream err;
     private boolean told;
-    private Server server; // null while nobody can connect
+    private Server server; // null until it listens
     private FileStore store; // null for none
 
+    /** @param stopMs milliseconds between the notice to shut down and the kill */
     Leaving(long stopMs, PrintStream err) {
         this.stopMs = stopMs;
         this.err = err;
     }
 
-    /** Listens, unless the notice came before: then false. */
+    /**
+     * Makes the server listen, unless the notice to shut down has come.
+     *
+     * @param store closed at the shutdown, null for none
+     * @return whether the server listens
+     */
     synchronized boolean begins(Server server, FileStore store) throws IOException {
         if (told) {
             return false;
@@ -46,19 +52,19 @@
         return server;
     }
 
-    /** Logging may have ended by now, so the last words are printed. */
+    /** Prints instead of logging, as the JVM may have shut logging down by now. */
     @Override
     public void run() {
         Server leaves = told();
         if (leaves == null) {
             return;
         }
-        leaves.whenListenerCloses(() -> say("listens no more; " + leaves.counters()));
+        leaves.whenListenerCloses(() -> say("listener closed; " + leaves.counters()));
         leaves.drain();
-        say("told to leave; " + leaves.counters());
+        say("shutting down; " + leaves.counters());
         long words = Math.max(0, stopMs - LAST_WORDS_MS);
         pause(words);
-        say("at the stop; " + leaves.counters());
+        say("final counters; " + leaves.counters());
         leaves.leaveFleet();
         if (store != null) {
             store.close();
--- a/daemon/src/main/java/tallyweir/cli/Main.java
+++ b/daemon/src/main/java/tallyweir/cli/Main.java
@@ -2,11 +2,11 @@
 
 import tallyweir.wirehost.WireHost;
 
-/** The command of the platform: its first argument names what is to be done. */
+/** The entry point that the platform starts; the first argument is the subcommand. */
 public final class Main {
     private static final String USAGE = """
             usage: java -jar tallyweir.jar SUBCOMMAND
-              serve      one real backend on sockets, told by EDGE_CONFIG
+              serve      run one backend on sockets, configured by EDGE_CONFIG
               wirehost   host decision instances on the simulator's wire (standard input and output)
               help       print this text""";
 
--- a/daemon/src/main/java/tallyweir/cli/Reload.java
+++ b/daemon/src/main/java/tallyweir/cli/Reload.java
@@ -16,14 +16,15 @@
 import tallyweir.net.Server;
 
 /**
- * Reads the configuration again: when told to, when a peer is missing, and, where no notice can come, when its file changes. On a thread of its own that is there from the
- * start, so that reading the file holds up no decision and a notice needs no new thread; one at a time, so that of two
- * notices the one that read the newer file comes last. What is faulty changes nothing, and is looked at again.
+ * Reads the configuration again on SIGHUP, when a peer cannot be reached, and when its file changes if SIGHUP is
+ * ignored. It has its own thread from the start, so that reading the file delays no decision and a signal needs no new
+ * thread. The file is read by that thread only, so that the newer of two versions is applied last. A faulty
+ * configuration changes nothing and is read again later.
  */
 final class Reload {
     private static final Logger LOG = LoggerFactory.getLogger(Reload.class);
-    private static final long AGAIN_MS = 250; // a file that is being written is whole by then
-    private static final int DOUBLED_MOST = 7; // then every half minute
+    private static final long AGAIN_MS = 250; // a file that was being written is usually complete by then
+    private static final int DOUBLED_MOST = 7; // then a retry every half minute
     private static final long WATCH_MS = 250;
 
     private final Server server;
@@ -31,7 +32,7 @@
     private final Semaphore asked = new Semaphore(0);
     private volatile boolean told;
     private volatile boolean watches;
-    private String file = ""; // how it looked when it was read last
+    private String file = ""; // the file's state when a change was last found
     private int faults;
     private String lastFault = "";
 
@@ -43,36 +44,40 @@
         t.start();
     }
 
-    /** The notice came. */
+    /** Reads the configuration again after a signal, and logs that. Any thread may call it. */
     void told() {
         told = true;
         asked.release();
     }
 
-    /** A peer is missing. */
+    /** Reads the configuration again because a peer cannot be reached. Any thread may call it. */
     void look() {
         asked.release();
     }
 
-    /** From now on the file is looked at every quarter of a second; it may have changed since the start, so at once. */
+    /**
+     * Polls the file for changes from now on, every quarter of a second. Reads it at once, as it may have changed since
+     * the start.
+     */
     void watchFile() {
         watches = true;
         asked.release();
     }
 
-    private static String look(Path at) {
+    /** The file's modification time, size and identity as one text. */
+    private static String fileState(Path path) {
         try {
-            BasicFileAttributes is = Files.readAttributes(at, BasicFileAttributes.class);
-            return is.lastModifiedTime() + " " + is.size() + " " + is.fileKey();
+            BasicFileAttributes attributes = Files.readAttributes(path, BasicFileAttributes.class);
+            return attributes.lastModifiedTime() + " " + attributes.size() + " " + attributes.fileKey();
         } catch (IOException e) {
-            return ""; // between the old one and the new one
+            return ""; // for example while it is being replaced
         }
     }
 
-    /** Waits until the file has changed or somebody asks. */
+    /** Waits until the file has changed or a reload is requested. */
     private void awaitChange() throws InterruptedException {
         while (!asked.tryAcquire(WATCH_MS, TimeUnit.MILLISECONDS)) {
-            String is = look(Path.of(environment.get("EDGE_CONFIG")));
+            String is = fileState(Path.of(environment.get("EDGE_CONFIG")));
             if (!is.equals(file)) {
                 file = is;
                 told = true;
@@ -113,27 +118,27 @@
                     .addKeyValue("kernel", config.kernel)
                     .addKeyValue("store", config.store)
                     .addKeyValue("announce", config.announce)
-                    .log("told to read the configuration again");
+                    .log("configuration reloaded");
         }
     }
 
-    /** Logged once for each kind of fault, however often it is found. */
+    /** Logs a fault, but not again while successive attempts fail with the same one. */
     private void fault(Throwable e) {
         String is = e instanceof BadSetting ? e.getMessage() : e.toString();
         if (faults++ == 0 || !is.equals(lastFault)) {
-            LOG.atWarn()
-                    .addKeyValue("fault", is)
-                    .log("told to read the configuration again, the old one stays in force");
+            LOG.atWarn().addKeyValue("fault", is).log("the configuration was not reloaded, the old one stays in force");
         }
         lastFault = is;
     }
 
-    /** What operators want watched holds up no move of the platform's. */
+    /** A fault in the operators' shadow settings must not delay new peer addresses, so it is only logged. */
     private void watch(Settings inForce) {
         try {
             server.watch(Operators.read(environment).watched(inForce));
         } catch (BadSetting e) {
-            LOG.atWarn().addKeyValue("fault", e.getMessage()).log("what is watched stays as it was");
+            LOG.atWarn()
+                    .addKeyValue("fault", e.getMessage())
+                    .log("the shadow settings were not reloaded, the old ones stay in force");
         }
     }
 }
--- a/daemon/src/main/java/tallyweir/cli/Serve.java
+++ b/daemon/src/main/java/tallyweir/cli/Serve.java
@@ -27,13 +27,18 @@
 import tallyweir.results.Marks;
 import tallyweir.results.Settling;
 
-/** One real backend: starts it, and sees it off when it is told to leave. */
+/** The subcommand that starts one backend and runs it until it is told to shut down. */
 public final class Serve {
     private static final Logger LOG = LoggerFactory.getLogger(Serve.class);
 
     private Serve() {}
 
-    /** Returns only where it cannot start: 2 for a faulty configuration, 1 for an address it cannot have. */
+    /**
+     * Runs the backend on the calling thread.
+     *
+     * @return the exit code: 2 for a faulty configuration; 1 if the store, the fleet or the address cannot be opened,
+     *     or if the server ends by itself; 0 if the notice to shut down came before it listened
+     */
     public static int serve(Map<String, String> environment, PrintStream err) {
         System.setProperty("java.util.logging.SimpleFormatter.format", "%1$tH:%1$tM:%1$tS.%1$tL %4$s %5$s%6$s%n");
         Config config;
@@ -75,7 +80,7 @@
         }
         try {
             if (!leaving.begins(server, store)) {
-                return 0; // told to leave before anybody could have come
+                return 0; // told to shut down before anybody could connect
             }
         } catch (IOException e) {
             err.println("tallyweir: cannot listen on " + config.listen + ": " + e.getMessage());
@@ -83,18 +88,17 @@
         }
         Reload reload = new Reload(server, environment);
         server.lookAgain(reload::look);
-        // Whoever starts it may ignore the signal (nohup does), which is inherited: the virtual machine then leaves it
-        // so,
-        // and no notice would ever come.
+        // The parent process may ignore the signal (nohup does). That is inherited and the JVM does not change it, so
+        // no signal would ever arrive.
         if (Signal.handle(new Signal("HUP"), signal -> reload.told()) == SignalHandler.SIG_IGN) {
-            LOG.warn("SIGHUP is ignored since the start: the configuration's file is watched instead");
+            LOG.warn("SIGHUP was ignored when the process started; the configuration file is polled instead");
             reload.watchFile();
         }
         if (store != null) {
             store.committer().onFenced(() -> new Thread(Serve::takenOver, "taken over").start());
         }
-        // Logging loads what it needs at its first line. Where that came only once no descriptor was left, its
-        // failure ended the thread that accepts.
+        // Logging loads its classes at the first line. When the first line came only after descriptors had run out, the
+        // load failed and ended the accepting thread.
         LOG.atInfo()
                 .addKeyValue("name", config.name)
                 .addKeyValue("address", server.address())
@@ -103,7 +107,7 @@
         return 1;
     }
 
-    /** Gives the server its place in the fleet, where the operators' file has one. */
+    /** Makes the server a member of the fleet, if the operators' file configures one. */
     private static void joinFleet(Server server, Config config, Operators operators) {
         if (!operators.inFleet()) {
             return;
@@ -112,7 +116,7 @@
         FleetClients clients = ServiceLoader.load(FleetClients.class)
                 .findFirst()
                 .orElseThrow(() -> new BadSetting(
-                        "fleet needs the program with all its libraries: start it by bin/tallyweir serve"));
+                        "fleet needs the program with all its libraries: start it with bin/tallyweir serve"));
         server.joinFleet(
                 operators.openFleet(clients, config.name, config.settings.longestHard(), without),
                 operators.fleetName(),
@@ -122,7 +126,7 @@
                 without);
     }
 
-    /** The store, null where there is to be none. */
+    /** Opens the store; null if none is configured. */
     private static FileStore open(Operators operators) throws IOException {
         if (!operators.hasDurable()) {
             return null;
@@ -138,18 +142,18 @@
                     operators.adminSocket(),
                     operators.keepsResults() ? Settling.commands(store.store(), store.committer()) : Map.of());
         } catch (IOException e) {
-            LOG.atWarn().addKeyValue("fault", e.getMessage()).log("operators cannot ask this process about its store");
+            LOG.atWarn().addKeyValue("fault", e.getMessage()).log("the admin socket of the store could not be opened");
         }
         return store;
     }
 
-    /** What a drill has switched off, to show that it is needed. */
+    /** The guards that a drill has disabled by a system property, to show that they are needed. */
     private static <G extends Enum<G>> Set<G> off(String property, Class<G> guards) {
         Set<G> off = EnumSet.noneOf(guards);
         for (String name : System.getProperty(property, "").split(",")) {
             if (!name.isEmpty()) {
                 off.add(Enum.valueOf(guards, name));
-                LOG.atWarn().addKeyValue("guard", name).log("a drill has switched a guard off: results can be wrong");
+                LOG.atWarn().addKeyValue("guard", name).log("a guard is disabled for a drill: results can be wrong");
             }
         }
         return off;
@@ -174,9 +178,11 @@
                         off("tallyweir.drill.without", Marks.Guard.class)));
     }
 
-    /** Another process has the store now: whoever has been asked here is answered, and then it ends as on notice. */
+    /**
+     * Another process owns the store now. The shutdown hook answers the queries that are pending here, as on a notice.
+     */
     private static void takenOver() {
-        LOG.error("another process has taken the store over; this one leaves");
+        LOG.error("another process has taken over the store; this one shuts down");
         System.exit(1);
     }
 }
--- a/daemon/src/main/java/tallyweir/net/Arrivals.java
+++ b/daemon/src/main/java/tallyweir/net/Arrivals.java
@@ -7,26 +7,30 @@
 import java.util.concurrent.locks.ReentrantLock;
 
 /**
- * What arrived and the deciding thread has not taken yet: first what the peers say, then a piece of each caller in
- * turn. Who has a few pieces here is not read until some are taken, so a flood fills its own connection only; nor is
- * a caller whose answers stand because it does not read them.
+ * The queue of events between MINA's threads and the decision thread. Events of the peers come first, then one chunk of
+ * each caller in turn. A connection with its maximum of chunks queued is not read until some are taken, so a flood
+ * fills only its own connection. A caller that does not read its answers is not read either.
  */
 final class Arrivals {
-    static final int PIECES_MOST = 2; // of one caller
-    static final int PEER_PIECES_MOST = 64; // of one peer: guards against a reply without end, taken too slowly
-    static final int TURNS_MOST = 64; // of callers, between two looks at the peers
+    static final int PIECES_MOST = 2;
+    static final int PEER_PIECES_MOST = 64; // bounds the memory of an endless reply that is processed too slowly
+    static final int TURNS_MOST = 64; // so that events of the peers do not wait for all callers
 
-    /** The pieces of one connection; suspend and resume say whether it may be read. */
+    /** The queued chunks of one connection. */
     static final class Inbox {
         private final ArrayDeque<Runnable> pieces = new ArrayDeque<>(PIECES_MOST);
         private final Runnable suspend;
         private final Runnable resume;
-        private int waiting; // pieces here, of a caller or a peer
-        private final AtomicInteger unread = new AtomicInteger(); // the same, and those taken whose turn has not come
-        private volatile boolean reading; // bytes have left the socket and are not here yet
-        private boolean stands; // what was written to it has not gone out
+        private int waiting; // chunks of a caller not taken yet, or of a peer not processed yet
+        private final AtomicInteger unread = new AtomicInteger(); // of a caller: queued, or taken and not processed
+        private volatile boolean reading; // bytes may have left the socket and are not queued yet
+        private boolean stands; // too much of its output has not been sent
         private boolean suspended;
 
+        /**
+         * @param suspend stops reading from the connection; called with the queue's lock held
+         * @param resume the reverse of suspend
+         */
         Inbox(Runnable suspend, Runnable resume) {
             this.suspend = suspend;
             this.resume = resume;
@@ -37,8 +41,9 @@
     private final Condition something = lock.newCondition();
     private final ArrayDeque<Runnable> first = new ArrayDeque<>();
     private final ArrayDeque<Inbox> turns = new ArrayDeque<>();
-    private int peerPieces; // of all peers, whose turn has not come
+    private int peerPieces; // of all peers, not processed yet
 
+    /** Queues an event that belongs to no inbox, before those of callers. */
     void put(Runnable news) {
         lock.lock();
         try {
@@ -49,7 +54,7 @@
         }
     }
 
-    /** A piece of a peer, which comes before those of callers. */
+    /** Queues a chunk of a peer, before those of callers. */
     void putFirst(Inbox from, Runnable piece) {
         lock.lock();
         try {
@@ -77,7 +82,7 @@
         }
     }
 
-    /** Pieces of the peers that have arrived and that the deciding thread has not gone through. */
+    /** Chunks of the peers that have arrived and that the decision thread has not processed yet. */
     int peerPieces() {
         lock.lock();
         try {
@@ -87,6 +92,7 @@
         }
     }
 
+    /** Queues a chunk of a caller. */
     void put(Inbox from, Runnable piece) {
         lock.lock();
         try {
@@ -103,17 +109,17 @@
         }
     }
 
-    /** Bytes of a caller are about to leave its socket, or have come here. */
+    /** Notes that bytes of a caller are about to be read from its socket, or that they have been queued. */
     static void reading(Inbox of, boolean reading) {
         of.reading = reading;
     }
 
-    /** Whether nothing that has left a caller's socket is unread. */
+    /** Whether all bytes that were read from a caller's socket have been processed. */
     static boolean isEmpty(Inbox of) {
         return !of.reading && of.unread.get() == 0;
     }
 
-    /** Output of a caller stands, or no longer: meanwhile it is not read. */
+    /** Notes whether too much output of a caller is unsent. While it is, the caller is not read. */
     void stands(Inbox of, boolean stands) {
         lock.lock();
         try {
@@ -132,7 +138,7 @@
         }
     }
 
-    /** Takes what there is, or waits so long for something to come. */
+    /** Takes the next batch of events, and waits up to that many nanoseconds for the first. */
     void take(List<Runnable> into, long nanos) throws InterruptedException {
         lock.lock();
         try {
--- a/daemon/src/main/java/tallyweir/net/CallersProcessor.java
+++ b/daemon/src/main/java/tallyweir/net/CallersProcessor.java
@@ -4,7 +4,10 @@
 import org.apache.mina.core.buffer.IoBuffer;
 import org.apache.mina.transport.socket.nio.NioSession;
 
-/** Tells of bytes between the socket and their inbox, where else nobody would see them. */
+/**
+ * The I/O processor of the callers' connections. It marks an inbox while bytes move from the socket to it, when neither
+ * the socket nor the inbox would show them.
+ */
 final class CallersProcessor extends SocketProcessor {
     CallersProcessor(Executor executor, SocketFailures failures) {
         super(executor, failures);
--- a/daemon/src/main/java/tallyweir/net/GatedAcceptor.java
+++ b/daemon/src/main/java/tallyweir/net/GatedAcceptor.java
@@ -11,27 +11,30 @@
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
 
 /**
- * Accepts while there is a descriptor for one caller more; who comes then waits in the listener's queue with all it
- * has written. A close there would lose a request that the machine has accepted, and a descriptor more would be
- * missing at the peers' links. A failed accept or wait is tried again within a millisecond, and before the listener is
- * closed whoever stands in its queue is let in.
+ * Accepts callers up to a maximum of open connections. Beyond it, callers wait in the listener's queue with what they
+ * have written: accepting and closing them would lose requests that the machine had already taken in, and keeping them
+ * open would use descriptors that the links to the peers need. A failed accept or select is retried within a
+ * millisecond. Before the listener is closed, the callers in its queue are accepted.
  */
 final class GatedAcceptor extends NioSocketAcceptor {
     private static final long LOOK_MILLIS = 100;
     private static final long FOR_EVER = 0;
-    private static final int FAILED_TO_MAKE_ROOM = 20; // in a row: something has to give way
-    private static final int NOBODY_IN_A_ROW = 2; // an interrupted accept looks as if nobody were there
+    private static final int FAILED_TO_MAKE_ROOM = 20; // consecutive; another connection then has to be closed
+    private static final int NOBODY_IN_A_ROW = 2; // an interrupted accept also returns null, as for an empty queue
 
     private final IoProcessor<NioSession> processor;
     private final int most;
     private final Runnable shut;
     private final SocketFailures failures;
     private final AtomicInteger open = new AtomicInteger();
-    private volatile boolean proven; // somebody has come since the listener was registered with the system
-    private int failedInARow; // of the accepting thread
-    private volatile SelectionKey waits; // the listener's, while nobody is let in
+    private volatile boolean proven; // a caller was accepted since the listener was registered with epoll
+    private int failedInARow; // belongs to the accepting thread
+    private volatile SelectionKey waits; // the listener's key while accepting is suspended, else null
 
-    /** @param shut told each time that nobody more is let in */
+    /**
+     * @param most the maximum of open connections
+     * @param shut called by the accepting thread each time that accepting is suspended or keeps failing
+     */
     GatedAcceptor(IoProcessor<NioSession> processor, int most, Runnable shut, SocketFailures failures) {
         super(processor);
         this.processor = processor;
@@ -56,7 +59,7 @@
         }
     }
 
-    /** The virtual machine does not tell that a registration with the system failed. */
+    /** Registers the listener with epoll again, as the JVM does not report that a registration failed. */
     private void registerAgain() throws IOException {
         for (SelectionKey key : selector.keys()) {
             if (key.isValid() && waits == null) {
@@ -73,7 +76,7 @@
     @Override
     protected NioSession accept(IoProcessor<NioSession> processor, ServerSocketChannel listener) {
         if (listener == null) {
-            return null; // it has been closed meanwhile
+            return null; // the listener has been closed in the meantime
         }
         if (open.get() >= most) {
             SelectionKey key = listener.keyFor(selector);
@@ -81,14 +84,17 @@
             waits = key;
             shut.run();
             if (open.get() < most) {
-                letIn(); // one has ended meanwhile
+                letIn(); // a connection was closed in the meantime
             }
             return null;
         }
         return accept(listener);
     }
 
-    /** Null where nobody is there, or where the system says that it cannot: the listener stays ready, so it is asked again. */
+    /**
+     * Returns null if the queue is empty or accept fails. After a failure the listener stays ready, so that accept is
+     * retried.
+     */
     private NioSession accept(ServerSocketChannel listener) {
         SocketChannel channel = null;
         try {
@@ -128,14 +134,14 @@
             try {
                 channel.close();
             } catch (IOException e) {
-                return; // it has gone all the same
+                return; // the descriptor is released all the same
             }
         }
     }
 
     /**
-     * What stands in the listener's queue is reset by its close, so that comes right after the last look into it. While it is
-     * registered, the virtual machine would put the close off.
+     * Closing the listener resets the connections in its queue, so it is closed right after the queue was found empty.
+     * It is deregistered first, as the JVM defers the close of a registered channel.
      */
     @Override
     protected void close(ServerSocketChannel listener) throws Exception {
@@ -152,10 +158,11 @@
         try {
             selector.selectNow();
         } catch (IOException e) {
-            failures.add(SocketFailures.Call.SELECT, e); // cancelled keys were taken off before it failed
+            failures.add(SocketFailures.Call.SELECT, e); // cancelled keys were removed before it failed
         }
     }
 
+    /** Accepts the callers in the listener's queue, for at most as long as failing calls are retried. */
     private void takeIn(ServerSocketChannel listener) {
         long end = System.nanoTime() + SocketFailures.PATIENCE_NANOS;
         int nobody = 0;
@@ -181,11 +188,11 @@
             key.interestOps(SelectionKey.OP_ACCEPT);
             wakeup();
         } catch (CancelledKeyException e) {
-            // It listens no more.
+            // The listener has been closed.
         }
     }
 
-    /** Whether somebody may be waiting to be let in. */
+    /** Whether accepting is suspended, so that callers may be waiting in the listener's queue. */
     boolean isShut() {
         return waits != null;
     }
--- a/daemon/src/main/java/tallyweir/net/PeerConnector.java
+++ b/daemon/src/main/java/tallyweir/net/PeerConnector.java
@@ -17,7 +17,10 @@
 import org.apache.mina.transport.socket.SocketSessionConfig;
 import org.apache.mina.transport.socket.nio.NioSession;
 
-/** Opens links to the peers. As MINA's own connector, but that a failed wait is tried again at once, and failures are counted. */
+/**
+ * Opens links to the peers. Unlike MINA's own connector it retries a failed select after a millisecond and counts
+ * failures.
+ */
 final class PeerConnector extends AbstractPollingIoConnector<NioSession, SocketChannel> {
     private final SocketFailures failures;
     private volatile Selector selector;
@@ -130,7 +133,7 @@
         return key != null && key.isValid() ? request(key) : null;
     }
 
-    @SuppressWarnings("unchecked") // only register attaches anything
+    @SuppressWarnings("unchecked") // register is the only method that attaches an object
     private ConnectionRequest request(SelectionKey key) {
         return (ConnectionRequest) key.attachment();
     }
@@ -140,7 +143,7 @@
         return channels(selector.keys()).iterator();
     }
 
-    /** Those that are ready, each once: a key that is handed over is no longer selected. */
+    /** The channels that are ready. Clears the selected keys, so that each is returned once. */
     @Override
     protected Iterator<SocketChannel> selectedHandles() {
         List<SocketChannel> ready = channels(selector.selectedKeys());
--- a/daemon/src/main/java/tallyweir/net/Server.java
+++ b/daemon/src/main/java/tallyweir/net/Server.java
@@ -47,39 +47,44 @@
 import tallyweir.results.ResultStore;
 
 /**
- * The sockets round one backend. MINA's threads only lay down what arrived; one thread takes it up,
- * reads the clocks once, hands it to the backend, does what is due and writes what came of it.
+ * Connects one backend to its sockets. MINA's threads only queue events. One decision thread takes them in batches; for
+ * each batch it reads the clocks once, passes the events to the backend, runs the timers that have expired and writes
+ * the output.
+ *
+ * <p>Times are in tenths of a millisecond unless the name says otherwise. The state belongs to the decision thread;
+ * other threads only queue events.
  */
 public final class Server implements Links {
     private static final Logger LOG = LoggerFactory.getLogger(Server.class);
-    private static final AttributeKey SLOT = new AttributeKey(Server.class, "slot");
+    private static final AttributeKey SLOT = new AttributeKey(Server.class, "connection");
     private static final AttributeKey LINK = new AttributeKey(Server.class, "link");
     private static final AttributeKey INBOX = new AttributeKey(Server.class, "inbox");
     private static final AttributeKey WRITTEN =
-            new AttributeKey(Server.class, "written"); // bytes, before what was written last
-    private static final AttributeKey WAITS = new AttributeKey(Server.class, "waits"); // for what was written to go out
-    private static final int READ_MOST = 8 << 10; // a piece; a few of each caller lie here at the most
+            // Bytes written before the last write was queued, or -1 where earlier output was still queued at that time.
+            new AttributeKey(Server.class, "bytes before last write");
+    private static final AttributeKey WAITS = new AttributeKey(Server.class, "wake when sent");
+    private static final int READ_MOST = 8 << 10; // per chunk; only a few chunks of each caller are queued
     private static final int UNWRITTEN_MOST =
-            64 << 10; // of one connection, then it is not read until that has gone out
-    private static final int UNWRITTEN_ALL = 4 << 20; // of all, then the one with most is closed
-    private static final int WRITE_SECONDS = 10; // that a peer may take nothing
-    private static final int NO_PROGRESS_MILLIS = 1_000; // then a caller that takes nothing may give way to others
+            64 << 10; // per connection; above it the connection is not read until the output has been sent
+    private static final int UNWRITTEN_ALL = 4 << 20; // of all callers; above it the connection with the most is closed
+    private static final int WRITE_SECONDS = 10; // for a peer that reads nothing
+    private static final int NO_PROGRESS_MILLIS = 1_000; // a caller that reads nothing for longer may be closed
     private static final int CONNECT_MILLIS = 2_000;
     private static final int BACKLOG = 4_096;
-    private static final long FAR = 10_000; // no sleep is longer than a second
+    private static final long FAR = 10_000; // upper bound of one wait for events
 
     private Config config;
     private final Arrivals arrived = new Arrivals();
-    private final ArrayDeque<Runnable> own = new ArrayDeque<>(); // what the deciding thread told itself
+    private final ArrayDeque<Runnable> own = new ArrayDeque<>(); // queued by the decision thread itself
     private final Map<ConnectionId, IoSession> callers = new HashMap<>();
-    private final Map<LinkId, Long> opening = new LinkedHashMap<>(); // since when, the oldest first
+    private final Map<LinkId, Long> opening = new LinkedHashMap<>(); // start of each connection attempt, oldest first
     private final Map<LinkId, IoSession> peers = new HashMap<>();
     private final Map<IoSession, ByteArrayOutputStream> toWrite = new LinkedHashMap<>();
     private final Set<IoSession> toEnd = new LinkedHashSet<>();
-    private final Set<IoSession> standing = new LinkedHashSet<>(); // callers with answers that do not go out
-    // Peers have a thread of their own, so that no flood of callers stands before them.
+    private final Set<IoSession> standing = new LinkedHashSet<>(); // callers over the limit of unwritten bytes
     private final SocketFailures failures = new SocketFailures();
     private final Executor processorThreads = Executors.newCachedThreadPool();
+    // Peers have an I/O thread of their own, so that a flood of callers cannot delay them.
     private IoProcessor<NioSession> peersProcessor;
     private final CompletableFuture<Void> listenerClosed = new CompletableFuture<>();
     private final GatedAcceptor acceptor;
@@ -90,22 +95,31 @@
     private final Thread deciding = Thread.currentThread();
     private final Backend backend;
     private IoSession reports;
-    private long reportsOpening; // since when, 0 for not
+    private long reportsOpening; // start of the attempt to connect, 0 for none
     private Runnable lookAgain = () -> {};
-    private InetSocketAddress kernelAt; // by a revision of the fleet, null for where it was configured
-    private InetSocketAddress announceAt;
+    private InetSocketAddress kernelAt; // set by a revision of the fleet, null for the configured address
+    private InetSocketAddress announceAt; // likewise
 
-    /** Made and run by the thread that is to decide. */
+    /** A server without a result store. The constructing thread is its decision thread and has to call {@link #run}. */
     public Server(Config config) {
         this(config, server -> null);
     }
 
-    /** Makes the result store on which results are kept over restarts, null for none. */
+    /** Creates the result store, which retains results across restarts. */
     public interface Shelves {
+        /**
+         * Returns null for a server that retains no results.
+         *
+         * @param deciding runs tasks on the decision thread
+         */
         ResultStore make(Executor deciding) throws IOException;
     }
 
-    /** @param shelves given what runs news on the deciding thread, which is the one that makes this server */
+    /**
+     * A server whose decision thread is the one that constructs it, and that has to call {@link #run}.
+     *
+     * @param shelves called once, by this constructor
+     */
     public Server(Config config, Shelves shelves) {
         this.config = config;
         try {
@@ -120,14 +134,14 @@
         }
     }
 
-    /** Listens; the address being taken is the one thing that ends the start. */
+    /** Starts to listen. The only failure that is passed on is that of the listener, for example an address in use. */
     public void bind() throws IOException {
         acceptor.getSessionConfig().setMaxReadBufferSize(READ_MOST);
-        acceptor.getSessionConfig().setWriteTimeout(0); // one that reads slowly gets all its answers
+        acceptor.getSessionConfig().setWriteTimeout(0); // a caller that reads slowly still gets all its answers
         acceptor.getSessionConfig().setTcpNoDelay(true);
         acceptor.setReuseAddress(true);
         acceptor.setBacklog(BACKLOG);
-        acceptor.setCloseOnDeactivation(false); // or the close of the listener would reset every caller
+        acceptor.setCloseOnDeactivation(false); // otherwise closing the listener would reset every caller
         acceptor.setHandler(callerHandler());
         counts("failed_", failures::counts);
         counts("callers_", this::pendingBytes);
@@ -149,15 +163,16 @@
     }
 
     /**
-     * An opening ends in time, well or not, by MINA's word. Where that does not come, its threads for the peers have ended
-     * or stand, and nothing would be reached any more: others take their place. Links that are up stay where they are.
+     * Replaces the connectors if they are stuck. MINA reports the success or failure of each connection attempt within
+     * the timeout. If it does not, its threads for the peers have ended or hang, and no peer could be reached any more.
+     * Links that are up stay with the old processor.
      */
     private void lookAfterPeers() {
         long before = now() - 2 * 10L * CONNECT_MILLIS;
         boolean stuck = !opening.isEmpty() && opening.values().iterator().next() < before
                 || reportsOpening > 0 && reportsOpening < before;
         if (stuck) {
-            LOG.error("the sockets to the peers are stuck and are made anew");
+            LOG.error("connecting to the peers hangs; the connectors are replaced");
             connector.dispose();
             datagrams.dispose();
             openPeers();
@@ -172,11 +187,12 @@
         of.setWriteTimeout(WRITE_SECONDS);
     }
 
-    /** Where it listens. */
+    /** The address it listens on, null while it does not. */
     public SocketAddress address() {
         return acceptor.getLocalAddress();
     }
 
+    /** Processes events until the thread is interrupted. To be called by the thread that constructed this server. */
     public void run() {
         backend.start();
         List<Runnable> batch = new ArrayList<>();
@@ -186,8 +202,8 @@
             } catch (InterruptedException e) {
                 return;
             } catch (RuntimeException | Error e) {
-                // Whatever fails here must not end the process, which others count on.
-                LOG.error("a round failed", e);
+                // The process has to survive any failure here, as callers depend on it.
+                LOG.error("processing a batch of events failed", e);
             }
         }
     }
@@ -203,7 +219,7 @@
             try {
                 news.run();
             } catch (RuntimeException | Error e) {
-                LOG.error("news was passed over", e);
+                LOG.error("an event was skipped because processing it failed", e);
             }
         }
         backend.pass();
@@ -215,12 +231,13 @@
         return startWall + (System.nanoTime() - startNanos) / 100_000;
     }
 
-    /** Tenths of a millisecond since 1970, rounded up: ages come rounded up, dues down. */
+    /** Tenths of a millisecond since 1970, rounded up, so that ages are rounded up and remaining times down. */
     private static long wall() {
         Instant t = Instant.now();
         return t.getEpochSecond() * 10_000 + (t.getNano() + 99_999) / 100_000;
     }
 
+    /** Queues an event for the decision thread. Any thread may call it; its own events need no lock. */
     private void tell(Runnable news) {
         if (Thread.currentThread() == deciding) {
             own.add(news);
@@ -239,12 +256,12 @@
         return inbox;
     }
 
-    /** What a caller's connection tells, in its turn. */
+    /** Queues an event of a caller's connection behind the earlier ones of that connection. */
     private void tell(IoSession caller, Runnable news) {
         arrived.put(inbox(caller), news);
     }
 
-    /** MINA's thread sees only at its next turn that it may read again, so it is woken. */
+    /** Wakes MINA's thread too, which would otherwise notice only on its next pass that it may read again. */
     private static void resume(IoSession session) {
         session.resumeRead();
         ((NioSession) session).getProcessor().flush((NioSession) session);
@@ -269,13 +286,16 @@
                 session -> !session.isConnected() || session.getScheduledWriteBytes() == 0 && endOutput(session));
     }
 
-    /** Whether nothing has left this process since the last time that something was to be written. */
+    /** Whether no byte of the last output for this session has left the process. */
     private boolean unwritten(IoSession session) {
         return toWrite.remove(session) != null
                 || session.getAttribute(WRITTEN) instanceof Long before && before == session.getWrittenBytes();
     }
 
-    /** Callers whose answers have gone out are read again; of those that take too much memory one is given up. */
+    /**
+     * Resumes reading from callers whose output has been sent. If the unwritten output of all takes too much memory,
+     * closes the connection with the most of it.
+     */
     private void goneOut() {
         standing.removeIf(session -> {
             boolean over = !session.isConnected() || session.getScheduledWriteBytes() <= UNWRITTEN_MOST;
@@ -290,21 +310,22 @@
             IoSession most = standing.stream()
                     .max(Comparator.comparingLong(IoSession::getScheduledWriteBytes))
                     .orElseThrow();
-            LOG.warn("a connection is closed: answers that are not read take too much memory");
+            LOG.warn("a connection is closed: its unread answers take too much memory");
             backend.unread();
             most.closeNow();
         }
     }
 
     /**
-     * The end of what is written, where a close would reset the connection over bytes that lie unread, or come the next moment,
-     * and take with it what the other side has not read yet. MINA has no word for it, its session gives the channel.
+     * Half-closes the connection. A full close would reset it if unread bytes were in the socket or arrived a moment
+     * later, and the peer would lose what it had not read yet. MINA has no such operation, so the session's channel is
+     * used.
      */
     private static boolean endOutput(IoSession session) {
         try {
             channel(session).shutdownOutput();
         } catch (IOException e) {
-            session.closeNow(); // it has ended by itself
+            session.closeNow(); // the connection has already ended
         }
         return true;
     }
@@ -313,7 +334,7 @@
         return (SocketChannel) ((NioSession) session).getChannel();
     }
 
-    // ---- what MINA's threads tell
+    // ---- events from MINA's threads
 
     private abstract class Handler extends IoHandlerAdapter {
         @Override
@@ -342,7 +363,7 @@
             @Override
             public void exceptionCaught(IoSession session, Throwable cause) {
                 if (!channel(session).socket().isOutputShutdown()) {
-                    tell(backend::reset); // else it is how some answer the end of our side
+                    tell(backend::reset); // after our half-close some callers reply with a reset, which is not counted
                 }
                 super.exceptionCaught(session, cause);
             }
@@ -350,7 +371,7 @@
             @Override
             public void messageSent(IoSession session, Object message) {
                 if (session.containsAttribute(WAITS)) {
-                    tell(() -> {}); // a round looks what has gone out
+                    tell(() -> {}); // makes the decision thread check what has been sent
                 }
             }
 
@@ -392,7 +413,7 @@
                         peers.put(link, session);
                         backend.up(link);
                     } else {
-                        session.closeNow(); // dropped meanwhile
+                        session.closeNow(); // dropped while it was being opened
                     }
                 });
             }
@@ -429,7 +450,7 @@
         };
     }
 
-    // ---- what the core asks for
+    // ---- requests of the backend
 
     @Override
     public void toCaller(ConnectionId caller, byte[] bytes) {
@@ -444,7 +465,10 @@
         }
     }
 
-    /** Looked at and ended in one go: what comes in between has crossed by less than a round. */
+    /**
+     * A request that arrives between the check and the half-close is not answered; that window is much shorter than a
+     * batch.
+     */
     @Override
     public boolean endQuiet(ConnectionId caller) {
         IoSession session = callers.get(caller);
@@ -479,7 +503,7 @@
         return longest != null;
     }
 
-    /** MINA waits until that is done, so another thread does it. */
+    /** Runs on a thread of its own, since MINA's unbind blocks until the listener is closed. */
     @Override
     public void stopListening() {
         Thread t = new Thread(
@@ -515,7 +539,7 @@
         opening.put(link, now());
         SocketAddress to =
                 at != null ? at : peer == Peer.STORE ? config.store : kernelAt != null ? kernelAt : config.kernel;
-        if (to == null) { // a run calls though no workload was to
+        if (to == null) { // no store is configured as no workload was expected to call it, but a run does
             tell(() -> refused(link));
             return;
         }
@@ -563,7 +587,7 @@
         }
     }
 
-    /** A report that cannot go out now is left out; the next one follows soon. */
+    /** A report that cannot be sent now is dropped; the next one follows soon. */
     @Override
     public void report(byte[] datagram) {
         if (reports != null) {
@@ -580,8 +604,7 @@
             reportsOpening = now();
             opening.addListener(future -> tell(() -> reportsOpened(opening, to, first)));
         } catch (RuntimeException | Error e) {
-            failures.add(
-                    SocketFailures.Call.CONNECT, e); // the virtual machine throws an Error where connect is interrupted
+            failures.add(SocketFailures.Call.CONNECT, e); // the JVM throws an Error if connect is interrupted (EINTR)
         }
     }
 
@@ -591,7 +614,7 @@
             return;
         }
         if (!to.equals(announceAt())) {
-            opening.getSession().closeNow(); // the service has moved meanwhile
+            opening.getSession().closeNow(); // the service's address has changed in the meantime
             report(first);
             return;
         }
@@ -599,9 +622,13 @@
         reports.write(IoBuffer.wrap(first));
     }
 
-    // ---- from other threads
+    // ---- called by other threads
 
-    /** What looks the addresses of the peers up again; to be called before it runs. */
+    /**
+     * Sets what reads the peers' addresses again when a peer cannot be reached. To be called before {@link #run}.
+     *
+     * @param how called by the decision thread; must not block
+     */
     public void lookAgain(Runnable how) {
         lookAgain = how;
     }
@@ -611,7 +638,10 @@
         lookAgain.run();
     }
 
-    /** Where the kernel, the store and the announce service are from now on; all else stays as at the start. */
+    /**
+     * Takes over the addresses of the kernel, the store and the announce service; everything else stays as at the
+     * start. Any thread may call it.
+     */
     public void move(Config to) {
         tell(() -> {
             if (to.kernel.equals(config.kernel)
@@ -624,12 +654,22 @@
         });
     }
 
-    /** The notice to leave. Goes on accepting and answering to the very end. */
+    /**
+     * Begins to drain on the notice to shut down. The server accepts and answers until the end. Any thread may call it.
+     */
     public void drain() {
         tell(backend::drain);
     }
 
-    /** This server is in a fleet; to be called before it runs. */
+    /**
+     * Makes this server a member of a fleet. To be called before {@link #run}, by the decision thread.
+     *
+     * @param fleet the fleet's name
+     * @param linger how long a connection counts for a tenant after its last query
+     * @param again the minimum wait before an unanswered request to the fleet is repeated
+     * @param backWhole whether the server withdraws completely while it is out of the fleet
+     * @param without guards that are disabled, for drills only
+     */
     public void joinFleet(
             FleetClient client, String fleet, long linger, long again, boolean backWhole, Set<Guard> without) {
         backend.joinFleet(
@@ -645,7 +685,10 @@
                 without);
     }
 
-    /** All is answered: the fleet need not find out by itself that this server has ended. */
+    /**
+     * Tells the fleet that this server has answered everything, so that the fleet need not detect its end by itself.
+     * Waits at most one second for the decision thread, which must not call it.
+     */
     public void leaveFleet() {
         CompletableFuture<Void> left = new CompletableFuture<>();
         tell(() -> {
@@ -655,17 +698,17 @@
         left.completeOnTimeout(null, 1, TimeUnit.SECONDS).join();
     }
 
-    /** From now on these settings are watched beside those in force, null for none. */
+    /** Compares these settings with those in force from now on; null for none. Any thread may call it. */
     public void watch(Settings watched) {
         tell(() -> backend.watch(watched));
     }
 
-    /** Has this done once nobody can connect any more. */
+    /** Runs the action once the listener is closed and nobody can connect any more, or at once if it is. */
     public void whenListenerCloses(Runnable then) {
         listenerClosed.thenRun(then);
     }
 
-    /** What lies between the callers' sockets and the decisions, either way. */
+    /** Bytes between the callers' sockets and the decision thread, in both directions. */
     private Map<String, Long> pendingBytes() {
         Map<String, Long> bytes = new LinkedHashMap<>();
         for (IoSession caller : callers.values()) {
@@ -677,21 +720,29 @@
         return bytes;
     }
 
-    /** Figures of something else that are to be printed with the counters; to be called before it runs. */
+    /**
+     * Adds figures that are printed with the counters. To be called before {@link #run}.
+     *
+     * @param prefix put before each name
+     * @param figures read by the decision thread
+     */
     public void counts(String prefix, Supplier<Map<String, Long>> figures) {
         backend.counters().also(prefix, figures);
     }
 
-    /** Pieces of the peers, ends of their links too, that have arrived and that the deciding thread has not gone through. */
+    /**
+     * Chunks from the peers, and closes of their links, that have arrived and are not processed yet. Any thread may
+     * call it.
+     */
     public int peerPieces() {
         return arrived.peerPieces();
     }
 
-    /** The counters as they are. */
+    /** The counters as one line of text. Waits at most one second for the decision thread, which must not call it. */
     public String counters() {
         CompletableFuture<String> line = new CompletableFuture<>();
         tell(() -> line.complete(backend.counters().line()));
-        return line.completeOnTimeout("no counters: the server is stuck", 1, TimeUnit.SECONDS)
+        return line.completeOnTimeout("no counters: the server does not respond", 1, TimeUnit.SECONDS)
                 .join();
     }
 }
--- a/daemon/src/main/java/tallyweir/net/SocketError.java
+++ b/daemon/src/main/java/tallyweir/net/SocketError.java
@@ -3,7 +3,10 @@
 import java.util.EnumSet;
 import java.util.Set;
 
-/** Errors that Linux documents for system calls on sockets, as the virtual machine's messages tell them. */
+/**
+ * Errors that Linux documents for system calls on sockets. The JVM passes them on only as the text of its exceptions.
+ * The names are printed in the counters.
+ */
 enum SocketError {
     EINTR("Interrupted system call"),
     EIO("Input/output error"),
@@ -36,22 +39,25 @@
         this.message = message;
     }
 
-    /** Whether a failed accept says nothing of the next one. */
+    /** Whether a failed accept concerns that connection only, so that the next accept may succeed at once. */
     boolean isOfOneConnection() {
         return OF_ONE_CONNECTION.contains(this);
     }
 
-    /** Whether it says only that the other side has gone. */
+    /** Whether it means only that the peer has disconnected or cannot be reached. */
     boolean isEndOfConnection() {
         return END_OF_CONNECTION.contains(this);
     }
 
-    /** Whether the same call on the same socket may work a moment later. */
+    /** Whether the same call on the same socket may succeed a moment later. */
     boolean mayPass() {
         return MAY_PASS.contains(this);
     }
 
-    /** The first whose message the cause begins with, so that a longer one stands before what it begins with. */
+    /**
+     * The first constant with whose text the exception's message begins. A longer text is therefore declared before a
+     * shorter one that it begins with.
+     */
     static SocketError of(Throwable cause) {
         String text = cause.getMessage() == null ? "" : cause.getMessage();
         for (SocketError error : values()) {
--- a/daemon/src/main/java/tallyweir/net/SocketFailures.java
+++ b/daemon/src/main/java/tallyweir/net/SocketFailures.java
@@ -9,11 +9,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Failures of system calls on sockets, counted by call and error and logged at a bounded rate. Any thread may tell of one.
- * All that counting needs is loaded beforehand, since without descriptors no class can be.
+ * Counts failed system calls on sockets by call and error, and logs them at most once per second. Safe for use by any
+ * thread. All classes that counting needs are loaded beforehand, since no class can be loaded once descriptors have run
+ * out.
  */
 final class SocketFailures {
-    /** The calls that are counted. */
+    /** The calls that are counted; the names are printed in the counters. */
     enum Call {
         ACCEPT,
         SELECT,
@@ -24,10 +25,10 @@
         CONNECT
     }
 
-    /** For so long a socket whose calls fail in a row, for want of something, is kept. */
+    /** How long a socket is kept while its calls keep failing with transient errors, such as a lack of memory. */
     static final long PATIENCE_NANOS = 1_000_000_000;
 
-    /** Short next to any caller's patience, long enough that a shortage does not take a core. */
+    /** Much shorter than any caller's timeout, but long enough that retries during a shortage do not take up a core. */
     private static final long PAUSE_NANOS = 1_000_000;
 
     private static final Logger LOG = LoggerFactory.getLogger(SocketFailures.class);
@@ -43,6 +44,7 @@
         return call.ordinal() * ERRORS.length + error.ordinal();
     }
 
+    /** Counts a failed call, and logs it unless it means only that the peer has disconnected. */
     void add(Call call, Throwable cause) {
         SocketError error = SocketError.of(cause);
         counts.incrementAndGet(place(call, error));
@@ -67,12 +69,12 @@
         notLogged = 0;
     }
 
-    /** Waits before a call is made again. */
+    /** Waits before a failed call is retried. */
     static void pause() {
         LockSupport.parkNanos(PAUSE_NANOS);
     }
 
-    /** By call and error, such as {@code accept_enfile}; without those that never failed. */
+    /** The counts by call and error, such as {@code accept_enfile}; without those that are zero. */
     Map<String, Long> counts() {
         Map<String, Long> byName = new TreeMap<>();
         for (Call call : CALLS) {
--- a/daemon/src/main/java/tallyweir/net/SocketProcessor.java
+++ b/daemon/src/main/java/tallyweir/net/SocketProcessor.java
@@ -15,17 +15,17 @@
 import org.apache.mina.transport.socket.nio.NioSession;
 
 /**
- * Reads and writes sockets. A system call that fails for no lasting reason is tried again: MINA itself would stand for a second
- * after a failed wait, and close the connection after a failed read or write.
+ * Reads and writes sockets, and retries system calls that fail with a transient error. MINA itself would block for a
+ * second after a failed select, and close the connection after a failed read or write.
  */
 class SocketProcessor extends NioProcessor {
-    private static final AttributeKey FAILS_SINCE = new AttributeKey(SocketProcessor.class, "fails since");
-    private static final int END_OF_STREAM = -1; // the channel says less than that of an interrupted call
+    private static final AttributeKey FAILS_SINCE = new AttributeKey(SocketProcessor.class, "failing since");
+    private static final int END_OF_STREAM = -1; // the channel returns a smaller number for an interrupted call
     private static final long LOOK_EVERY_MILLIS = 100;
 
-    /** What a session had read and written, and what lay in its socket, at the last look. */
+    /** The bytes that a session had read and written, and those unread in its socket, at the last check. */
     private record Seen(long read, long written, int unread) {
-        /** Spelled out, since a record's own comparison is linked at its first use, which may be when no descriptor is left. */
+        /** Replaces equals, which the JVM links at its first use, possibly when no descriptor is left. */
         boolean isAs(Seen other) {
             return read == other.read && written == other.written && unread == other.unread;
         }
@@ -34,7 +34,8 @@
     private static final Seen NOTHING_SEEN = new Seen(-1, -1, 0);
 
     private final SocketFailures failures;
-    // Nothing has come since they were registered. Whoever suspends or resumes a session adds to it, on any thread.
+    // Sessions that have read nothing since they were registered with epoll. Any thread that suspends or resumes one
+    // adds to it.
     private final Map<NioSession, Seen> unproven = new ConcurrentHashMap<>();
     private long nextLook = System.nanoTime();
 
@@ -43,7 +44,7 @@
         this.failures = failures;
     }
 
-    /** Returns only once it has worked: MINA takes one that returns nothing at once for a broken selector. */
+    /** Returns only once select has succeeded: MINA takes a select that returns 0 at once for a broken selector. */
     @Override
     protected int select(long timeout) throws Exception {
         while (true) {
@@ -94,10 +95,10 @@
         }
     }
 
-    /** Returns where the call is to be made again. */
+    /** Pauses and returns if the call is to be retried; rethrows the cause if not. */
     private void failed(SocketFailures.Call call, NioSession session, IOException cause) throws IOException {
         if (session.getTransportMetadata().isConnectionless()) {
-            throw cause; // nobody takes the reports just now
+            throw cause; // the announce service does not take reports at the moment
         }
         failures.add(call, cause);
         long now = System.nanoTime();
@@ -109,7 +110,7 @@
         SocketFailures.pause();
     }
 
-    /** Whoever suspends or resumes a session does so on its own thread, so each change is made as a whole. */
+    /** Synchronized, since several threads suspend and resume a session. */
     @Override
     protected void setInterestedInRead(NioSession session, boolean interested) throws Exception {
         synchronized (session) {
@@ -118,7 +119,10 @@
         unproven.put(session, NOTHING_SEEN);
     }
 
-    /** Another thread may have seen an empty queue just before part of a write was left over. */
+    /**
+     * Keeps the interest in writing while a write is unfinished: another thread may have seen an empty queue just
+     * before part of a write was left over.
+     */
     @Override
     protected void setInterestedInWrite(NioSession session, boolean interested) throws Exception {
         synchronized (session) {
@@ -128,8 +132,8 @@
     }
 
     /**
-     * The virtual machine does not tell that a registration with the system failed. Where bytes lie in a socket, or wait for it, and
-     * nothing has moved between two looks, the registration is made anew.
+     * Registers sessions with epoll again whose registration seems to have failed, as the JVM does not report that. It
+     * is assumed to have failed if bytes wait to be read or written and none was transferred between two checks.
      */
     private void lookForUnregistered() throws IOException {
         if (System.nanoTime() - nextLook < 0) {
@@ -146,7 +150,7 @@
                     unproven.remove(session);
                 }
             } catch (CancelledKeyException e) {
-                unproven.remove(session); // it has ended meanwhile
+                unproven.remove(session); // closed in the meantime
             }
         }
     }
@@ -162,8 +166,9 @@
         if (before.read != now.read && !unwritten) {
             unproven.remove(session);
         } else if (now.isAs(before) && (unread > 0 || unwritten)) {
-            if (unread > 0) { // else the other side may be slow to read
-                failures.add(SocketFailures.Call.REGISTER, new IOException("no word of a socket with bytes to read"));
+            if (unread > 0) { // for output alone the peer may just be slow to read
+                failures.add(
+                        SocketFailures.Call.REGISTER, new IOException("not notified of a socket with unread bytes"));
             }
             registerAgain(session, key);
         }
@@ -178,7 +183,7 @@
             int wanted = key.interestOps();
             key.interestOps(0);
             try {
-                selector.selectNow(); // takes the registration back, if there is one
+                selector.selectNow(); // removes the registration, if there is one
             } finally {
                 if (key.isValid()) {
                     key.interestOps(wanted);
@@ -187,7 +192,7 @@
         }
     }
 
-    /** How many bytes lie in the socket. Where that cannot be told, none are said to. */
+    /** How many bytes are unread in the socket; 0 if the system does not say. */
     static int unreadBytes(NioSession session) {
         try {
             return ((SocketChannel) session.getChannel())
--- a/daemon/src/main/java/tallyweir/net/SocketSession.java
+++ b/daemon/src/main/java/tallyweir/net/SocketSession.java
@@ -14,7 +14,10 @@
 import org.apache.mina.transport.socket.SocketSessionConfig;
 import org.apache.mina.transport.socket.nio.NioSession;
 
-/** A session of one TCP socket. MINA makes its own only inside its acceptor and connector, whose errors cannot be treated. */
+/**
+ * A session of one TCP socket. MINA's own class can be created only inside its acceptor and connector, which leave no
+ * way to handle errors.
+ */
 final class SocketSession extends NioSession {
     static final TransportMetadata METADATA = new DefaultTransportMetadata(
             "nio", "socket", false, true, InetSocketAddress.class, SocketSessionConfig.class, IoBuffer.class);
@@ -22,7 +25,7 @@
     private final SocketAddress local;
     private final SocketAddress remote;
 
-    /** Takes the settings of the service over; whatever it throws, the channel is left open. */
+    /** Copies the settings of the service. Does not close the channel if it throws. */
     SocketSession(IoProcessor<NioSession> processor, IoService service, SocketChannel channel) throws IOException {
         super(processor, service, channel);
         config = new DefaultSocketSessionConfig();
--- a/daemon/src/test/java/tallyweir/CrossingsTest.java
+++ b/daemon/src/test/java/tallyweir/CrossingsTest.java
@@ -33,7 +33,9 @@
 import tallyweir.config.Config;
 import tallyweir.net.Server;
 
-/** Two events that cross on real sockets, each crossing forced: the deciding thread is held while the other side acts. */
+/**
+ * Races between two events on real sockets. Each is forced by holding the decision thread while the other side acts.
+ */
 class CrossingsTest {
     private static final byte[] SPOILT = {7, 7, 7, 7, 7, 7, 7, 7};
 
@@ -57,8 +59,8 @@
     @AfterEach
     void end() throws IOException {
         release();
-        deciding.interrupt(); // or it would look for its peers for ever, and find those of a later test at the same
-        // port
+        // Otherwise the thread would go on connecting to its peers, and reach those of a later test on the same port.
+        deciding.interrupt();
         kernelAt.close();
         storeAt.close();
         if (kernel != null) {
@@ -66,7 +68,7 @@
         }
     }
 
-    /** @param changes of the configuration, from and to in turn */
+    /** @param changes replacements in the configuration's text, alternately the old and the new text */
     private void start(int sockets, String... changes) throws Exception {
         String text = BackendTest.CONFIG
                 .replace("127.0.0.1:1\"", "127.0.0.1:" + kernelAt.getLocalPort() + "\"")
@@ -110,7 +112,7 @@
         }
     }
 
-    /** Returns once the deciding thread stands, in the midst of a round. */
+    /** Returns once the decision thread is blocked, in the middle of a batch of events. */
     private void hold() {
         held = new CountDownLatch(1);
         holds = new CountDownLatch(1);
@@ -139,14 +141,14 @@
         return Model.request(id, new byte[0], false, 0, "SCRIPT_NAME", "/check");
     }
 
-    /** The same without the wish that the connection stays open. */
+    /** The request without the flag that keeps the connection open. */
     private static byte[] last(byte[] request) {
         byte[] bytes = request.clone();
         bytes[10] = 0;
         return bytes;
     }
 
-    /** A close over unread bytes resets the connection, and with it goes what the other side has not read yet. */
+    /** Closing a socket with unread bytes resets the connection, and the peer loses the answers it has not read yet. */
     @Test
     void whatWasAnsweredBeforeASpoiltRecordIsReadAndThenAnEndThatIsNoReset() throws Exception {
         start(64);
@@ -167,7 +169,10 @@
         }
     }
 
-    /** A request that wants the connection closed, or a spoilt record, took the answers of all others with it. */
+    /**
+     * After a request that ends the connection, or a malformed record, the answers to all other requests on it were
+     * lost.
+     */
     @Test
     void whatIsOwedIsAnsweredBeforeTheConnectionIsClosed() throws Exception {
         start(64);
@@ -185,28 +190,28 @@
                 reap(job);
                 Model.Answered w = answer(caller.getInputStream());
                 assertEquals(List.of(1, 200, "made"), List.of(w.id(), w.status(), w.body()));
-                assertEquals(-1, caller.getInputStream().read(), "nothing that came later");
+                assertEquals(-1, caller.getInputStream().read(), "later requests are not answered");
             }
         }
     }
 
-    /** Past so many bytes unwritten a connection that was only slow was closed, with all its answers. */
+    /** A slow reader was closed with all its answers once too many bytes were unwritten. */
     @Test
     void whoeverReadsSlowlyIsReadNoMoreUntilItHasAllItsAnswers() throws Exception {
         start(64);
         int many = 10_000;
-        AtomicInteger asked = new AtomicInteger();
+        AtomicInteger written = new AtomicInteger();
         try (Socket caller = new Socket()) {
             caller.setReceiveBufferSize(4 << 10);
             caller.connect(server.address(), PATIENCE_MS);
             caller.setSoTimeout(PATIENCE_MS);
             CompletableFuture<Void> sent = CompletableFuture.runAsync(() -> {
                 try {
-                    while (asked.get() < many) {
+                    while (written.get() < many) {
                         caller.getOutputStream()
                                 .write(Model.request(
-                                        1 + asked.get() % 32, new byte[0], false, 0, "SCRIPT_NAME", "/counters"));
-                        asked.incrementAndGet();
+                                        1 + written.get() % 32, new byte[0], false, 0, "SCRIPT_NAME", "/counters"));
+                        written.incrementAndGet();
                     }
                 } catch (IOException e) {
                     throw new UncheckedIOException(e);
@@ -215,7 +220,7 @@
             AtomicInteger before = new AtomicInteger(-1);
             Awaitility.await()
                     .pollInterval(Duration.ofMillis(500))
-                    .until(() -> asked.get() == before.getAndSet(asked.get()));
+                    .until(() -> written.get() == before.getAndSet(written.get()));
             assertEquals(200, ServerTest.check(server.address()), "others are served meanwhile");
             for (int i = 0; i < many; i++) {
                 assertEquals(1 + i % 32, answer(caller.getInputStream()).id());
@@ -224,61 +229,61 @@
         }
     }
 
-    /** What the machine had accepted beyond the limit was closed at once, with the request that lay on it. */
+    /** Connections beyond the limit were accepted and closed at once, and their requests were lost. */
     @Test
     void whoeverConnectsWhileTheTableIsFullWaitsAndIsAnswered() throws Exception {
         start(64);
-        List<Socket> crowd = new ArrayList<>();
+        List<Socket> callers = new ArrayList<>();
         hold();
         for (int i = 0; i < 120; i++) {
             Socket s = dial(server.address());
             s.getOutputStream().write(check(1));
-            crowd.add(s);
+            callers.add(s);
         }
         release();
-        assertEquals(List.of(), answeredAll(crowd));
+        assertEquals(List.of(), answeredAll(callers));
     }
 
-    /** Connections that were idle for long were closed though a request lay unread on them. */
+    /** Connections past the idle timeout were closed although a request on them was still unread. */
     @Test
     void anIdleConnectionOnWhichARequestLiesIsNotClosed() throws Exception {
         start(1_024, "\"IdleUs\":30000000", "\"IdleUs\":1000000");
-        List<Socket> crowd = new ArrayList<>();
+        List<Socket> callers = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
             Socket s = dial(server.address());
             s.getOutputStream().write(check(1));
             answer(s.getInputStream());
-            crowd.add(s);
+            callers.add(s);
         }
         hold();
-        for (Socket s : crowd) {
+        for (Socket s : callers) {
             s.getOutputStream().write(check(2));
         }
-        TimeUnit.MILLISECONDS.sleep(1_500); // past the idle time of all of them
+        TimeUnit.MILLISECONDS.sleep(1_500); // past the idle timeout of all of them
         release();
-        assertEquals(List.of(), answeredAll(crowd));
+        assertEquals(List.of(), answeredAll(callers));
     }
 
-    /** With an answer owed on each connection a check waited until one of the queries had ended. */
+    /** When every connection had an unanswered query, a check waited until one of the queries had ended. */
     @Test
     void aCheckIsAnsweredWhileEveryOtherConnectionIsOwedAnAnswer() throws Exception {
         start(64, "\"TargetUs\":1800000", "\"TargetUs\":4600000", "\"Cpus\":2", "\"Cpus\":64"); // all run at once
-        List<Socket> crowd = new ArrayList<>();
+        List<Socket> callers = new ArrayList<>();
         for (int i = 0; i < Backend.callersMost(64); i++) {
             Socket s = dial(server.address());
             s.getOutputStream().write(query(1, "00000000000000" + (10 + i)));
-            crowd.add(s);
+            callers.add(s);
         }
         CompletableFuture<Integer> check = CompletableFuture.supplyAsync(() -> statusOfCheck(server.address()));
-        Awaitility.await().until(() -> !answered(crowd).isEmpty());
-        try (Socket givesWay = answered(crowd).get(0)) {
-            assertEquals(503, answer(givesWay.getInputStream()).status());
-            assertEquals(-1, givesWay.getInputStream().read());
-            crowd.remove(givesWay);
+        Awaitility.await().until(() -> !answered(callers).isEmpty());
+        try (Socket refused = answered(callers).get(0)) {
+            assertEquals(503, answer(refused.getInputStream()).status());
+            assertEquals(-1, refused.getInputStream().read());
+            callers.remove(refused);
         }
         assertEquals(200, check.get(PATIENCE_MS, TimeUnit.MILLISECONDS));
-        assertEquals(List.of(), answered(crowd), "no other gave way: " + server.counters());
-        for (Socket s : crowd) {
+        assertEquals(List.of(), answered(callers), "no other connection was closed: " + server.counters());
+        for (Socket s : callers) {
             s.close();
         }
     }
@@ -291,10 +296,10 @@
         }
     }
 
-    /** Those on which something can be read. */
-    private static List<Socket> answered(List<Socket> crowd) throws IOException {
+    /** The sockets with bytes to read. */
+    private static List<Socket> answered(List<Socket> callers) throws IOException {
         List<Socket> answered = new ArrayList<>();
-        for (Socket s : crowd) {
+        for (Socket s : callers) {
             if (s.getInputStream().available() > 0) {
                 answered.add(s);
             }
@@ -302,20 +307,23 @@
         return answered;
     }
 
-    /** Closes each once it has its answer; returns what went wrong. */
-    private static List<String> answeredAll(List<Socket> crowd) {
+    /** Reads an answer from each and closes it; returns the failures. */
+    private static List<String> answeredAll(List<Socket> callers) {
         List<String> lost = new ArrayList<>();
-        for (Socket s : crowd) {
+        for (Socket s : callers) {
             try (s) {
                 answer(s.getInputStream());
             } catch (IOException | AssertionError e) {
-                lost.add(crowd.indexOf(s) + ": " + e.getMessage());
+                lost.add(callers.indexOf(s) + ": " + e.getMessage());
             }
         }
         return lost;
     }
 
-    /** An idle link that the store closed in the round in which it was taken: nothing of the call was written, so none ran. */
+    /**
+     * The store closes an idle link while a call is being assigned to it. Nothing was written, so the call did not run
+     * and is sent again.
+     */
     @Test
     void aCallOfWhichNothingWasWrittenGoesAnotherWay() throws Exception {
         start(64);
@@ -330,25 +338,26 @@
             Socket link = storeAt.accept();
             replyTo(first, link);
             command("IODONE");
-            hold(); // soon enough: an idle link is dropped after half a second
+            hold(); // in time, as an idle link is dropped after half a second
             int before = server.peerPieces();
             needs(second);
             arrived(before + 1);
             link.close();
             arrived(before + 2);
             release();
-            CompletableFuture<Socket> taken = CompletableFuture.supplyAsync(() -> accept(storeAt));
-            while (!taken.isDone()) { // calls are made again when the gauges are read
+            CompletableFuture<Socket> accepted = CompletableFuture.supplyAsync(() -> accept(storeAt));
+            while (!accepted.isDone()) { // calls are retried when the gauges are read
                 answerGauges(next(commands, "SYSINFO"));
             }
-            try (Socket other = taken.get()) {
+            try (Socket other = accepted.get()) {
                 replyTo(second, other);
                 command("IODONE");
                 for (String job : List.of(first, second)) {
                     reap(job);
                     assertEquals(200, answer(caller.getInputStream()).status());
                 }
-                assertTrue(server.counters().contains(" calls_never_sent=1 "), "the idle link had taken it");
+                assertTrue(
+                        server.counters().contains(" calls_never_sent=1 "), "the call was assigned to the idle link");
             }
         }
     }
@@ -360,7 +369,7 @@
         link.getOutputStream().write((job + " OK 5\r\nreply\r\n").getBytes(UTF_8));
     }
 
-    /** The next one of that type; gauges that are asked for before are answered, or the link would be given up. */
+    /** The next command of that type. Requests for gauges before it are answered, or the server would drop the link. */
     private String command(String type) throws IOException {
         String line = commands.readLine();
         while (!line.contains("\"" + type + "\"")) {
@@ -391,7 +400,7 @@
                 .getBytes(java.nio.charset.StandardCharsets.ISO_8859_1);
     }
 
-    /** Returns once the server has so many pieces of its peers that it cannot go through, as its deciding thread is held. */
+    /** Returns once this many chunks of the peers are queued while the decision thread is held. */
     private void arrived(int pieces) {
         Awaitility.await()
                 .atMost(Duration.ofMillis(PATIENCE_MS))
--- a/daemon/src/test/java/tallyweir/ProcessTest.java
+++ b/daemon/src/test/java/tallyweir/ProcessTest.java
@@ -41,7 +41,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Whole processes under signals and without descriptors. */
+/** Server processes that receive signals or run out of descriptors. */
 class ProcessTest {
     @TempDir
     private Path dir;
@@ -53,7 +53,7 @@
                 .replace("127.0.0.1:2\"", "127.0.0.1:" + announce + "\"");
     }
 
-    /** The other end of a kernel's link: gauges are told as they are asked for, all else by the test. */
+    /** The kernel's end of a link. Answers requests for gauges by itself; the test sends everything else. */
     private static final class KernelEnd {
         private final Socket link;
         private final BlockingQueue<String> commands = new LinkedBlockingQueue<>();
@@ -81,7 +81,7 @@
                     }
                 }
             } catch (IOException e) {
-                // The link has ended.
+                // The link is closed.
             }
         }
 
@@ -89,7 +89,7 @@
             assertTrue(hears(type, PATIENCE_MS), type);
         }
 
-        /** Whether it hears such a command before it has heard nothing for so long. */
+        /** Whether a command of that type arrives; false once no command at all has arrived for that long. */
         boolean hears(String type, int millis) throws InterruptedException {
             String line = commands.poll(millis, TimeUnit.MILLISECONDS);
             while (line != null && !line.contains("\"" + type + "\"")) {
@@ -105,8 +105,9 @@
     }
 
     /**
-     * Idle clients took every descriptor while the registry was down: neither kernel nor store nor the new configuration could be
-     * reached any more. They give way, also where they do not heed the end of their connection.
+     * While the announce service was down, idle callers used up all descriptors, so that the server could open neither
+     * the kernel nor the store nor the new configuration. Idle connections have to be closed, also those whose caller
+     * ignores the half-close.
      */
     @Test
     @Timeout(60)
@@ -115,25 +116,25 @@
                 .filter(p -> p.endsWith(".jar"))
                 .count();
         Path file = dir.resolve("config.json");
-        int deaf;
-        try (DatagramSocket gone = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
-            deaf = gone.getLocalPort();
+        int closedPort;
+        try (DatagramSocket closedSocket = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
+            closedPort = closedSocket.getLocalPort();
         }
-        List<Socket> crowd = new ArrayList<>();
+        List<Socket> idleCallers = new ArrayList<>();
         try (ServerSocket first = listener();
                 ServerSocket second = listener();
-                ServerSocket storeAt = listener();
+                ServerSocket storeListener = listener();
                 DatagramSocket announce = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
-            Files.writeString(file, config(first, storeAt, deaf));
+            Files.writeString(file, config(first, storeListener, closedPort));
             Process backend = program("ulimit -n " + (64 + jars) + "; ", file, dir.resolve("none"));
             try (BufferedReader log = backend.inputReader(UTF_8);
                     Socket old = first.accept()) {
                 new KernelEnd(old).await("OPEN");
                 InetSocketAddress at = listens(log);
                 for (int i = 0; i < 300; i++) {
-                    crowd.add(dial(at));
+                    idleCallers.add(dial(at));
                 }
-                Files.writeString(file, config(second, storeAt, announce.getLocalPort()));
+                Files.writeString(file, config(second, storeListener, announce.getLocalPort()));
                 signal("HUP", backend);
                 try (Socket kernel = second.accept();
                         Socket caller = dial(at)) {
@@ -142,7 +143,7 @@
                     announce.receive(new DatagramPacket(new byte[64], 64));
                     String job = running(caller, end);
                     end.tell("IOREQ", 1, job, "Y2FsbA==");
-                    try (Socket link = storeAt.accept()) {
+                    try (Socket link = storeListener.accept()) {
                         link.getOutputStream().write((job + " OK 5\r\nreply\r\n").getBytes(UTF_8));
                         end.await("IODONE");
                     }
@@ -155,13 +156,16 @@
                 backend.destroyForcibly();
             }
         } finally {
-            for (Socket s : crowd) {
+            for (Socket s : idleCallers) {
                 s.close();
             }
         }
     }
 
-    /** Asks until a query runs: one that has waited too long behind the crowd is refused, and then the next one's turn is short. */
+    /**
+     * Sends queries until one runs. One that waited too long behind the other connections is refused; the next waits
+     * less.
+     */
     private static String running(Socket caller, KernelEnd end) throws Exception {
         for (int i = 1; ; i++) {
             String job = String.format("%016x", 160 + i);
@@ -175,20 +179,22 @@
         }
     }
 
-    /** Many that are killed and begin again at once, under their names and addresses, before their kernels are up. */
+    /**
+     * Servers are killed and restarted side by side, with the same names and addresses, before their kernels are up.
+     */
     @Test
     void nineInTenThatBeginAgainSideBySideAreReadyInTime() throws Exception {
-        int many = 12;
+        int serverCount = 12;
         List<Process> backends = new ArrayList<>();
         List<Path> files = new ArrayList<>();
         List<Long> millis = new ArrayList<>();
         try {
-            for (int i = 0; i < many; i++) {
+            for (int i = 0; i < serverCount; i++) {
                 Process first =
                         program(Files.writeString(dir.resolve("c" + i), BackendTest.CONFIG), dir.resolve("none"));
                 backends.add(first);
             }
-            for (int i = 0; i < many; i++) {
+            for (int i = 0; i < serverCount; i++) {
                 InetSocketAddress at;
                 try (BufferedReader log = backends.get(i).inputReader(UTF_8)) {
                     at = listens(log);
@@ -199,7 +205,7 @@
                 backends.get(i).destroyForcibly().waitFor();
             }
             long from = System.nanoTime();
-            for (int i = 0; i < many; i++) {
+            for (int i = 0; i < serverCount; i++) {
                 backends.set(i, program(files.get(i), dir.resolve("none")));
             }
             List<CompletableFuture<Long>> ready = new ArrayList<>();
@@ -217,9 +223,9 @@
             backends.forEach(Process::destroyForcibly);
         }
         Collections.sort(millis);
-        System.out.println("ready after ms: p50 " + millis.get(many / 2) + ", p90 " + millis.get(many * 9 / 10)
-                + ", max " + millis.get(many - 1));
-        assertTrue(millis.get(many * 9 / 10) <= 10_000, millis.toString());
+        System.out.println("ready after ms: p50 " + millis.get(serverCount / 2) + ", p90 "
+                + millis.get(serverCount * 9 / 10) + ", max " + millis.get(serverCount - 1));
+        assertTrue(millis.get(serverCount * 9 / 10) <= 10_000, millis.toString());
     }
 
     private static long ready(Process backend, long from) {
@@ -231,17 +237,17 @@
         }
     }
 
-    /** At the kill nothing lay unread any more: connections have ended before, without a reset, and nobody can connect. */
+    /** Before the kill every connection has ended without a reset, nothing is left unread and nobody can connect. */
     @Test
     void theNoticeToLeaveTwiceWithAQueryInHand() throws Exception {
-        try (ServerSocket kernelAt = listener();
-                ServerSocket storeAt = listener()) {
+        try (ServerSocket kernelListener = listener();
+                ServerSocket storeListener = listener()) {
             Path file = Files.writeString(
                     dir.resolve("config.json"),
-                    config(kernelAt, storeAt, 2).replace("\"stop_ms\":3200", "\"stop_ms\":2500"));
+                    config(kernelListener, storeListener, 2).replace("\"stop_ms\":3200", "\"stop_ms\":2500"));
             Process backend = program(file, dir.resolve("none"));
             try (BufferedReader log = backend.inputReader(UTF_8);
-                    Socket kernel = kernelAt.accept()) {
+                    Socket kernel = kernelListener.accept()) {
                 KernelEnd end = new KernelEnd(kernel);
                 InetSocketAddress at = listens(log);
                 logged(log, "the kernel is up");
@@ -250,16 +256,17 @@
                     caller.getOutputStream().write(query(1, "00000000000000aa"));
                     end.await("SCHED");
                     signal("TERM", backend);
-                    logged(log, "told to leave");
+                    logged(log, "shutting down");
                     signal("TERM", backend);
-                    assertEquals(503, check(at), "at once");
+                    assertEquals(503, check(at), "at once after the notice");
                     end.tell("REAP", 1, "00000000000000aa", "bWFkZQ==");
                     assertEquals(200, answer(caller.getInputStream()).status());
                     caller.getOutputStream().write(Model.request(2, new byte[0], false, 0, "SCRIPT_NAME", "/check"));
-                    assertEquals(503, answer(caller.getInputStream()).status(), "it stays open and is answered");
+                    assertEquals(
+                            503, answer(caller.getInputStream()).status(), "the connection stays open and is answered");
                     assertEquals(-1, caller.getInputStream().read());
                     assertEquals(-1, idle.getInputStream().read());
-                    logged(log, "at the stop");
+                    logged(log, "final counters");
                     assertThrows(ConnectException.class, () -> dial(at).close());
                     assertTrue(backend.isAlive());
                 }
@@ -269,15 +276,15 @@
         }
     }
 
-    /** The close of the listener ended every connection, also those that were owed an answer. */
+    /** Closing the listener ended every connection, also those with a pending answer. */
     @Test
     void aQueryInHandIsAnsweredAfterTheListenerIsClosed() throws Exception {
-        try (ServerSocket kernelAt = listener();
-                ServerSocket storeAt = listener()) {
-            Path file = Files.writeString(dir.resolve("config.json"), config(kernelAt, storeAt, 2));
+        try (ServerSocket kernelListener = listener();
+                ServerSocket storeListener = listener()) {
+            Path file = Files.writeString(dir.resolve("config.json"), config(kernelListener, storeListener, 2));
             Process backend = program(file, dir.resolve("none"));
             try (BufferedReader log = backend.inputReader(UTF_8);
-                    Socket kernel = kernelAt.accept()) {
+                    Socket kernel = kernelListener.accept()) {
                 KernelEnd end = new KernelEnd(kernel);
                 InetSocketAddress at = listens(log);
                 logged(log, "the kernel is up");
@@ -285,10 +292,10 @@
                     caller.getOutputStream().write(query(1, "00000000000000aa", "u"));
                     end.await("SCHED");
                     signal("TERM", backend);
-                    logged(log, "listens no more");
+                    logged(log, "listener closed");
                     end.tell("REAP", 1, "00000000000000aa", "bWFkZQ==");
                     assertEquals(200, answer(caller.getInputStream()).status());
-                    assertEquals(-1, caller.getInputStream().read(), "and then its connection ends");
+                    assertEquals(-1, caller.getInputStream().read(), "then the connection ends");
                 }
             } finally {
                 backend.destroyForcibly();
--- a/daemon/src/test/java/tallyweir/ServerTest.java
+++ b/daemon/src/test/java/tallyweir/ServerTest.java
@@ -31,11 +31,11 @@
 import tallyweir.config.Config;
 import tallyweir.net.Server;
 
-/** The configuration, and one server on loopback sockets with a kernel that this test plays. */
+/** The configuration, and one server on loopback sockets whose kernel is played by the test. */
 public class ServerTest {
-    static final int PATIENCE_MS = 20_000; // only so that a failure ends; nothing is timed
+    static final int PATIENCE_MS = 20_000; // only bounds a failing test; no test measures time by it
 
-    /** A customer with one class, which is one-shot, no tenants, nothing below and so no store. */
+    /** A configuration with one class, which is one-shot, without tenants, calls and therefore a store. */
     private static final String NOTHING_BELOW = """
             {"name":"n3","listen":"127.0.0.1:0","kernel":"127.0.0.1:1","announce":"127.0.0.1:2",
              "seed":"8c1f30d27a5be964","stop_ms":3200,"limits":{"cores":1.0,"memory_mb":192,"sockets":64},
@@ -46,7 +46,9 @@
 
     private final List<Thread> begun = new ArrayList<>();
 
-    /** Or they would look for their peers for ever, and find those of a later test at the same port. */
+    /**
+     * Otherwise the threads would go on connecting to their peers, and reach those of a later test on the same port.
+     */
     @AfterEach
     void end() {
         begun.forEach(Thread::interrupt);
@@ -98,7 +100,7 @@
 
     private Server started(String config) throws Exception {
         CompletableFuture<Server> bound = new CompletableFuture<>();
-        Thread deciding = new Thread(() -> {
+        Thread decisionThread = new Thread(() -> {
             Server server = new Server(Config.parse(config.getBytes(UTF_8), Map.of()));
             try {
                 server.bind();
@@ -108,9 +110,9 @@
                 bound.completeExceptionally(e);
             }
         });
-        deciding.setDaemon(true);
-        deciding.start();
-        begun.add(deciding);
+        decisionThread.setDaemon(true);
+        decisionThread.start();
+        begun.add(decisionThread);
         return bound.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
     }
 
@@ -128,7 +130,7 @@
         return s;
     }
 
-    /** Reads records up to the next end of a request. */
+    /** Reads records up to the end of the next answer. */
     static Model.Answered answer(InputStream in) throws IOException {
         byte[] all = {};
         while (true) {
@@ -182,16 +184,16 @@
 
     @Test
     void aQueryGoesThroughToTheKernelAndItsResultBackAlsoUnderTheNoticeToLeave() throws Exception {
-        try (ServerSocket kernelAt = listener();
+        try (ServerSocket kernelListener = listener();
                 DatagramSocket announce = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
-            Server server = started(kernelAt.getLocalPort(), announce.getLocalPort());
+            Server server = started(kernelListener.getLocalPort(), announce.getLocalPort());
             announce.setSoTimeout(PATIENCE_MS);
             DatagramPacket report = new DatagramPacket(new byte[64], 64);
             announce.receive(report);
             assertEquals("announce n3 true", new String(report.getData(), 0, report.getLength(), UTF_8));
-            try (Socket kernel = kernelAt.accept();
+            try (Socket kernel = kernelListener.accept();
                     Socket caller = dial(server.address());
-                    Socket spoilt = dial(server.address())) {
+                    Socket malformed = dial(server.address())) {
                 BufferedReader commands = new BufferedReader(new InputStreamReader(kernel.getInputStream(), UTF_8));
                 assertEquals("{\"type\":\"OPEN\",\"n\":0}", commands.readLine());
                 kernel.getOutputStream().write("{\"type\":\"BOOTED\",\"state\":\"old\",\"took\":1}\n".getBytes(UTF_8));
@@ -207,17 +209,20 @@
                                     .getBytes(UTF_8));
                     Model.Answered w = answer(caller.getInputStream());
                     assertEquals(List.of(7, 200, "made"), List.of(w.id(), w.status(), w.body()));
-                    server.drain(); // what comes within the grace still runs
+                    server.drain(); // queries that arrive within the drain grace still run
                 }
-                spoilt.getOutputStream().write(new byte[8]);
-                assertEquals(-1, spoilt.getInputStream().read(), "closed after a bad record");
-                assertEquals(503, check(server.address()), "leaving");
+                malformed.getOutputStream().write(new byte[8]);
+                assertEquals(-1, malformed.getInputStream().read(), "closed after a bad record");
+                assertEquals(503, check(server.address()), "draining");
                 assertTrue(server.counters().contains("answered_handled=2"), server.counters());
             }
         }
     }
 
-    /** Out of descriptors, the first line of the log failed for want of one, and nobody was accepted again. */
+    /**
+     * When descriptors had run out before the first line was logged, logging it failed and no caller was accepted
+     * again.
+     */
     @Test
     void runningOutOfDescriptorsEndsWhenTheyAreGivenBack(@TempDir Path dir) throws Exception {
         Path config = Files.writeString(
@@ -225,14 +230,14 @@
         Process backend = program("ulimit -n 100; ", config, dir.resolve("none"));
         try (BufferedReader log = backend.inputReader(UTF_8)) {
             InetSocketAddress at = listens(log);
-            assertEquals(200, check(at)); // loads the classes, which takes descriptors where they lie in a folder
-            List<Socket> crowd = new ArrayList<>();
+            assertEquals(200, check(at)); // loads the classes, which needs descriptors if they are in a directory
+            List<Socket> idleCallers = new ArrayList<>();
             for (int i = 0; i < 150; i++) {
-                crowd.add(new Socket());
-                crowd.get(i).connect(at, PATIENCE_MS);
+                idleCallers.add(new Socket());
+                idleCallers.get(i).connect(at, PATIENCE_MS);
             }
             logged(log, "Too many open files");
-            for (Socket s : crowd) {
+            for (Socket s : idleCallers) {
                 s.close();
             }
             assertEquals(200, check(at));
@@ -241,7 +246,7 @@
         }
     }
 
-    /** SIGHUP ended the program; the new addresses are taken, a faulty file changes nothing. */
+    /** SIGHUP used to end the process. It has to apply new addresses, and a faulty file must change nothing. */
     @Test
     void aNewConfigurationIsTakenOnTheSignal(@TempDir Path dir) throws Exception {
         Path file = dir.resolve("config.json");
@@ -282,7 +287,10 @@
         }
     }
 
-    /** The notice of a move may be lost, or come before the file is whole: nothing looked again, and the server was lost. */
+    /**
+     * When the signal was lost, or came before the file was complete, the file was not read again and the server stayed
+     * without its kernel.
+     */
     @Test
     void whoeverMissesItsKernelLooksForItAgain(@TempDir Path dir) throws Exception {
         Path file = dir.resolve("config.json");
@@ -297,7 +305,7 @@
                 first.close();
                 old.close();
                 assertTrue(logged(log, "cannot be reached").contains("KERNEL"));
-                Files.writeString(file, moved(second)); // and no signal
+                Files.writeString(file, moved(second)); // without a signal
                 try (Socket kernel = second.accept()) {
                     assertEquals('{', kernel.getInputStream().read());
                 }
@@ -308,7 +316,10 @@
         }
     }
 
-    /** A file that was being written when the signal came is read again until it is whole; of two moves the last counts. */
+    /**
+     * A file that was being written when the signal came is read again until it is complete. Of two changes the last
+     * one is applied.
+     */
     @Test
     void aFileThatIsNotWholeYetIsReadAgainAndTheLastOfTwoMovesCounts(@TempDir Path dir) throws Exception {
         Path file = dir.resolve("config.json");
@@ -341,7 +352,10 @@
         }
     }
 
-    /** Started with the signal ignored, as by nohup, no notice ever came and a move was missed; the file is watched then. */
+    /**
+     * A process started with SIGHUP ignored, as by nohup, never got the signal and missed new addresses. It has to poll
+     * the file.
+     */
     @Test
     void aMoveIsTakenThoughTheSignalIsIgnoredSinceTheStart(@TempDir Path dir) throws Exception {
         Path file = dir.resolve("config.json");
@@ -369,15 +383,15 @@
         return BackendTest.CONFIG.replace("127.0.0.1:1\"", "127.0.0.1:" + to.getLocalPort() + "\"");
     }
 
-    /** What is watched is checked at the start, and on the signal a faulty key is logged and the old ones stay. */
+    /** Shadow settings are checked at the start. On the signal a faulty key is logged and the old settings stay. */
     @Test
     void watchedSettingsAreCheckedAndTakenOnTheSignal(@TempDir Path dir) throws Exception {
         Path operators = dir.resolve("operators.json");
         String watch = "{\"watch\":{\"settings\":{\"FamilyInfo\":{\"Cpus\":%s}}}}";
-        try (ServerSocket kernelAt = listener()) {
+        try (ServerSocket kernelListener = listener()) {
             Path file = Files.writeString(
                     dir.resolve("config.json"),
-                    BackendTest.CONFIG.replace("127.0.0.1:1\"", "127.0.0.1:" + kernelAt.getLocalPort() + "\""));
+                    BackendTest.CONFIG.replace("127.0.0.1:1\"", "127.0.0.1:" + kernelListener.getLocalPort() + "\""));
             Files.writeString(operators, watch.formatted("0.5"));
             Process refused = program(file, operators);
             assertTrue(new String(refused.getInputStream().readAllBytes(), UTF_8)
@@ -386,7 +400,7 @@
             Files.writeString(operators, watch.formatted("1"));
             Process backend = program(file, operators);
             try (BufferedReader log = backend.inputReader(UTF_8);
-                    Socket kernel = kernelAt.accept()) {
+                    Socket kernel = kernelListener.accept()) {
                 BufferedReader commands = new BufferedReader(new InputStreamReader(kernel.getInputStream(), UTF_8));
                 InetSocketAddress at = listens(log);
                 kernel.getOutputStream().write("{\"type\":\"BOOTED\",\"state\":\"old\",\"took\":1}\n".getBytes(UTF_8));
@@ -395,16 +409,17 @@
                     two.getOutputStream().write(Model.join(query(1, "00000000000000aa"), query(2, "00000000000000ab")));
                     next(commands, "SCHED");
                     next(commands, "SCHED");
-                    assertEquals(1, watched(at), "with one core the second would not run at once");
+                    assertEquals(1, watched(at), "with one core the second query would have to wait");
                     Files.writeString(operators, watch.formatted("\"x\""));
                     hangUp(backend);
-                    assertTrue(logged(log, "stays as it was").contains("watch.settings.FamilyInfo.Cpus"));
-                    logged(log, "told to read the configuration again"); // the platform's move is not held up
-                    assertEquals(1, watched(at), "the old ones stay");
+                    assertTrue(logged(log, "the shadow settings were not reloaded")
+                            .contains("watch.settings.FamilyInfo.Cpus"));
+                    logged(log, "configuration reloaded"); // new addresses are applied all the same
+                    assertEquals(1, watched(at), "the old shadow settings stay");
                     Files.writeString(operators, "{}");
                     hangUp(backend);
-                    logged(log, "told to read the configuration again");
-                    assertEquals(-1, watched(at), "none are watched");
+                    logged(log, "configuration reloaded");
+                    assertEquals(-1, watched(at), "no shadow settings");
                 }
             } finally {
                 backend.destroyForcibly();
@@ -412,7 +427,7 @@
         }
     }
 
-    /** How many runs would have begun otherwise by the counters, -1 where they do not show it. */
+    /** The counter of runs that the shadow settings would have decided otherwise, -1 if it is not printed. */
     private static long watched(SocketAddress at) throws IOException {
         try (Socket s = dial(at)) {
             s.getOutputStream().write(Model.request(1, new byte[0], false, 0, "SCRIPT_NAME", "/counters"));
@@ -431,9 +446,10 @@
     }
 
     /**
-     * SIGHUP has its default, also where the tests themselves were started with it ignored, unless the shell is to ignore it.
+     * Starts the program with the default action for SIGHUP, even if the tests run with it ignored, unless the shell
+     * commands set it.
      *
-     * @param before what the shell does before it starts the program
+     * @param before shell commands to run before the program
      */
     static Process program(String before, Path config, Path operators) throws IOException {
         String exec = before.contains("HUP") ? "exec " : "exec env --default-signal=HUP ";
@@ -473,13 +489,16 @@
                         .waitFor());
     }
 
-    /** Where nothing calls below no store is told of; such a backend refused to start. A run that calls all the same is failed. */
+    /**
+     * A backend none of whose workloads calls the store has none configured; it refused to start. A run that calls it
+     * all the same has to fail.
+     */
     @Test
     void whereNothingCallsBelowThereNeedsToBeNoStore() throws Exception {
-        try (ServerSocket kernelAt = listener()) {
-            Server server =
-                    started(NOTHING_BELOW.replace("127.0.0.1:1\"", "127.0.0.1:" + kernelAt.getLocalPort() + "\""));
-            try (Socket kernel = kernelAt.accept();
+        try (ServerSocket kernelListener = listener()) {
+            Server server = started(
+                    NOTHING_BELOW.replace("127.0.0.1:1\"", "127.0.0.1:" + kernelListener.getLocalPort() + "\""));
+            try (Socket kernel = kernelListener.accept();
                     Socket caller = dial(server.address())) {
                 BufferedReader commands = new BufferedReader(new InputStreamReader(kernel.getInputStream(), UTF_8));
                 kernel.getOutputStream()
@@ -506,14 +525,14 @@
 
     @Test
     void theKernelMayComeUpLateAndItsLinkMayBreak() throws Exception {
-        try (ServerSocket kernelAt = listener()) {
-            Server server = started(kernelAt.getLocalPort(), 2);
+        try (ServerSocket kernelListener = listener()) {
+            Server server = started(kernelListener.getLocalPort(), 2);
             try (Socket caller = dial(server.address())) {
                 caller.getOutputStream().write(query(1, "00000000000000aa"));
-                assertEquals(503, answer(caller.getInputStream()).status(), "not up yet");
+                assertEquals(503, answer(caller.getInputStream()).status(), "the kernel is not up yet");
             }
             for (int i = 0; i < 2; i++) {
-                try (Socket kernel = kernelAt.accept()) {
+                try (Socket kernel = kernelListener.accept()) {
                     kernel.setSoTimeout(PATIENCE_MS);
                     byte[] first = kernel.getInputStream().readNBytes(22);
                     assertEquals("{\"type\":\"OPEN\",\"n\":" + i + "}", new String(first, UTF_8).strip());
--- a/daemon/src/test/java/tallyweir/cli/LeavingTest.java
+++ b/daemon/src/test/java/tallyweir/cli/LeavingTest.java
@@ -17,12 +17,12 @@
 import tallyweir.ServerTest;
 import tallyweir.net.Server;
 
-/** The notice to leave before anything listens, and the moment after. */
+/** The notice to shut down before the server listens, and just after. */
 class LeavingTest {
     private final ByteArrayOutputStream words = new ByteArrayOutputStream();
     private final Leaving leaving = new Leaving(200, new PrintStream(words, true, UTF_8));
 
-    /** Told while it rehearsed, a server would have begun to listen and then ended with what it had been sent. */
+    /** A server that was notified during its warm-up would begin to listen, and then end with requests unanswered. */
     @Test
     void toldBeforeItListensItNeverDoes() throws Exception {
         Server server = new Server(ServerTest.config());
@@ -32,7 +32,10 @@
         assertEquals("", words.toString(UTF_8));
     }
 
-    /** Between listening and the hook the notice ended the process at once, with what it had accepted. */
+    /**
+     * A notice after the server listened and before its hook was registered ended the process at once, with accepted
+     * requests unanswered.
+     */
     @Test
     void toldOnceItListensItSeesEveryoneOff() throws Exception {
         CompletableFuture<Server> begun = new CompletableFuture<>();
@@ -53,9 +56,9 @@
         Thread told = new Thread(leaving);
         told.setDaemon(true);
         told.start();
-        Awaitility.await().until(() -> words.toString(UTF_8).contains("told to leave; connections_accepted="));
-        Awaitility.await().until(() -> words.toString(UTF_8).contains("at the stop; "));
-        assertTrue(told.isAlive(), "it waits to be killed");
+        Awaitility.await().until(() -> words.toString(UTF_8).contains("shutting down; connections_accepted="));
+        Awaitility.await().until(() -> words.toString(UTF_8).contains("final counters; "));
+        assertTrue(told.isAlive(), "the hook waits for the kill");
         deciding.interrupt();
     }
 }
--- a/daemon/src/test/java/tallyweir/net/ArrivalsTest.java
+++ b/daemon/src/test/java/tallyweir/net/ArrivalsTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The queue between MINA's threads and the deciding one. */
+/** The queue between MINA's threads and the decision thread. */
 class ArrivalsTest {
     private final Arrivals arrivals = new Arrivals();
     private final List<String> log = new ArrayList<>();
@@ -30,7 +30,7 @@
         return all;
     }
 
-    /** One queue for all held up the kernel and the store while callers flooded it. */
+    /** With a single queue for all connections a flood of callers delayed the kernel and the store. */
     @Test
     void peersComeFirstAndCallersInTurn() throws InterruptedException {
         Arrivals.Inbox a = inbox("a");
@@ -46,7 +46,7 @@
         assertEquals(List.of(), taken());
     }
 
-    /** A reply without end, taken more slowly than it came, would have filled the memory. */
+    /** An endless reply that is processed more slowly than it arrives must not fill the memory. */
     @Test
     void aPeerIsNotReadWhileMuchOfItLiesHere() throws InterruptedException {
         Arrivals.Inbox peer = inbox("store");
@@ -59,7 +59,7 @@
         assertEquals(0, arrivals.peerPieces());
     }
 
-    /** Answers that do not go out and pieces that are not taken each keep a caller from being read. */
+    /** A caller is not read while chunks of it are queued, nor while its output cannot be sent. */
     @Test
     void aCallerIsReadAgainOnceBothAreOver() throws InterruptedException {
         Arrivals.Inbox a = inbox("a");
@@ -72,7 +72,10 @@
         assertEquals(List.of("a resumed"), taken());
     }
 
-    /** What is taken and has not had its turn, and what has left the socket and is not here yet, is unread too. */
+    /**
+     * Chunks that are taken and not processed yet, and bytes read from the socket and not queued yet, count as
+     * unprocessed too.
+     */
     @Test
     void nothingUnreadOfACallerIsOverlooked() throws InterruptedException {
         Arrivals.Inbox a = inbox("a");
@@ -91,7 +94,7 @@
     @Test
     void aFloodOfCallersWaitsForTheNextRound() throws InterruptedException {
         for (int i = 0; i < 3 * Arrivals.TURNS_MOST; i++) {
-            put(inbox("x"), "piece");
+            put(inbox("x"), "chunk");
         }
         assertEquals(Arrivals.TURNS_MOST, taken().size());
         arrivals.put(() -> log.add("kernel"));
