--- a/daemon/src/main/java/tallyweir/config/ChangeFile.java
+++ b/daemon/src/main/java/tallyweir/config/ChangeFile.java
@@ -15,39 +15,39 @@
 import tallyweir.fleet.table.Value;
 
 /**
- * A file with a difference alone: the entries that are to be put, in the sections of a {@link RevisionFile}, and the names of
- * those that are to be removed.
+ * A file that describes the difference to the current revision: the entries to put, in the same sections as in a
+ * {@link RevisionFile}, and the names of the entries to remove.
  *
- * @param wanted what each entry is to say, empty where there is to be none
+ * @param wanted the new value of each entry, empty for an entry that is removed
  */
 public record ChangeFile(Map<Key, Optional<Value>> wanted) {
     private static final String PUT = "put";
     private static final String REMOVE = "remove";
 
     /**
-     * Reads a change.
+     * Parses a change file.
      *
-     * @throws tallyweir.fleet.FleetException with {@link Fault.EntryFaulty}, which names all keys that are faulty, or
-     *     {@link Fault.BodyFaulty} where the file is no JSON object
+     * @throws tallyweir.fleet.FleetException with {@link Fault.EntryFaulty}, which names all invalid keys, or with
+     *     {@link Fault.BodyFaulty} if the file is not a JSON object
      */
     public static ChangeFile parse(byte[] json) {
         Tree tree = RevisionFile.tree(json);
         FaultList faults = new FaultList();
         faults.unknownKeys(tree, PUT, REMOVE);
-        EntryReader put = new EntryReader(faults);
-        faults.check(PUT, () -> put.sections(tree.in(PUT)));
+        EntryReader entriesToPut = new EntryReader(faults);
+        faults.check(PUT, () -> entriesToPut.sections(tree.in(PUT)));
         Set<Key> removed = new TreeSet<>();
         faults.check(REMOVE, () -> removed(faults, tree.in(REMOVE), removed));
 
         Map<Key, Optional<Value>> wanted = new TreeMap<>();
-        put.entries().forEach((key, value) -> wanted.put(key, Optional.of(value)));
+        entriesToPut.entries().forEach((key, value) -> wanted.put(key, Optional.of(value)));
         for (Key key : removed) {
             if (wanted.put(key, Optional.empty()) != null) {
-                faults.add(describe(key), describe(key) + " is to be put and to be removed");
+                faults.add(describe(key), describe(key) + " is in both put and remove");
             }
         }
         if (faults.isEmpty() && wanted.isEmpty()) {
-            faults.add(PUT, "nothing is to be put or removed");
+            faults.add(PUT, "the file has nothing to put or remove");
         }
         if (!faults.isEmpty()) {
             throw new Fault.EntryFaulty(faults.keys(), faults.reasons()).thrown();
@@ -94,15 +94,19 @@
         return key.kind().name().toLowerCase(Locale.ROOT) + " " + key.name();
     }
 
-    /** The keys that it touches. */
+    /** The keys of all entries that are put or removed. */
     public List<Key> keys() {
         return List.copyOf(wanted.keySet());
     }
 
-    /** The change of each entry, on the condition that it says what it says now. */
-    public List<Change> changes(Map<Key, Value> now) {
-        List<Change> all = new ArrayList<>();
-        wanted.forEach((key, value) -> all.add(new Change(key, Optional.ofNullable(now.get(key)), value)));
-        return all;
+    /**
+     * One change per entry, each on the condition that the entry still has its current value.
+     *
+     * @param current the current values; an absent key means that the entry does not exist
+     */
+    public List<Change> changes(Map<Key, Value> current) {
+        List<Change> changes = new ArrayList<>();
+        wanted.forEach((key, value) -> changes.add(new Change(key, Optional.ofNullable(current.get(key)), value)));
+        return changes;
     }
 }
--- a/daemon/src/main/java/tallyweir/config/Config.java
+++ b/daemon/src/main/java/tallyweir/config/Config.java
@@ -12,36 +12,43 @@
 import tallyweir.Choice;
 import tallyweir.Outgoing;
 
-/** What one real backend is told at its start, read, checked and given defaults here alone. */
+/**
+ * The start configuration of a server, from the file that EDGE_CONFIG names and the environment. All parsing, validation
+ * and defaults of that file are in this class.
+ */
 public final class Config {
     public final String name;
     public final InetSocketAddress listen;
     public final InetSocketAddress kernel;
-    public final InetSocketAddress store; // null where no workload calls
+    public final InetSocketAddress store; // null if no workload calls the store
     public final InetSocketAddress announce;
     public final long seed;
+    /** Time allowed for a graceful shutdown, in tenths of a millisecond. */
     public final long stopAfter;
+    /** The maximum number of sockets that are open at a time, from which the limits per kind of connection follow. */
     public final int sockets;
+
     public final Settings settings;
 
-    private Config(Tree all, Map<String, String> environment) {
-        name = all.text("name", environment.getOrDefault("EDGE_NAME", ""));
+    private Config(Tree root, Map<String, String> environment) {
+        name = root.text("name", environment.getOrDefault("EDGE_NAME", ""));
         if (!name.matches("[!-~]{1,64}")) {
-            throw new BadSetting("name is '" + name + "': 1 to 64 letters without spaces are needed");
+            throw new BadSetting(
+                    "name is '" + name + "': 1 to 64 printable ASCII characters without spaces are needed");
         }
-        listen = address("listen", all.text("listen", environment.getOrDefault("EDGE_LISTEN", "")));
-        kernel = address("kernel", all.text("kernel"));
-        announce = address("announce", all.text("announce"));
-        seed = seed(all.text("seed"));
-        stopAfter = all.whole("stop_ms", 0, Integer.MAX_VALUE) * 10L;
-        sockets = all.in("limits").whole("sockets", 64, 1 << 20);
-        settings = new Settings(all.in("settings"));
-        // Where nothing calls below there is no store to be told of.
-        store = settings.callsBelow() || all.has("store") ? address("store", all.text("store")) : null;
+        listen = address("listen", root.text("listen", environment.getOrDefault("EDGE_LISTEN", "")));
+        kernel = address("kernel", root.text("kernel"));
+        announce = address("announce", root.text("announce"));
+        seed = seed(root.text("seed"));
+        stopAfter = root.whole("stop_ms", 0, Integer.MAX_VALUE) * 10L;
+        sockets = root.in("limits").whole("sockets", 64, 1 << 20);
+        settings = new Settings(root.in("settings"));
+        // Without a workload that calls the store its address may be absent.
+        store = settings.callsBelow() || root.has("store") ? address("store", root.text("store")) : null;
         check();
     }
 
-    /** Decodes the settings whole once, for decisions that lead nowhere, so that a faulty key shows at the start. */
+    /** Decodes all settings once, into decisions without effect, so that an invalid key is reported at the start. */
     private void check() {
         if (settings.workloads().isEmpty()) {
             throw new BadSetting("settings.Classes is missing: a list with at least one class is needed");
@@ -53,11 +60,15 @@
         settings.gauge("");
     }
 
-    /** Reads the file that EDGE_CONFIG names. */
+    /**
+     * Reads the file that EDGE_CONFIG names.
+     *
+     * @throws BadSetting if the file cannot be read or has an invalid key
+     */
     public static Config read(Map<String, String> environment) {
         String file = environment.get("EDGE_CONFIG");
         if (file == null || file.isEmpty()) {
-            throw new BadSetting("EDGE_CONFIG is not set: the path of the configuration is needed");
+            throw new BadSetting("EDGE_CONFIG is not set: the path of the configuration file is needed");
         }
         try {
             return parse(Files.readAllBytes(Path.of(file)), environment);
@@ -66,6 +77,12 @@
         }
     }
 
+    /**
+     * Parses the configuration.
+     *
+     * @param environment supplies EDGE_NAME and EDGE_LISTEN for keys that the file lacks
+     * @throws BadSetting if it is not valid JSON or has an invalid key
+     */
     public static Config parse(byte[] json, Map<String, String> environment) {
         try (JsonParser in = new JsonFactory().createParser(json)) {
             in.nextToken();
@@ -84,13 +101,13 @@
         return Long.parseUnsignedLong(text, 16);
     }
 
-    /** Numbers only: no name is looked up anywhere. */
+    /** Parses a numeric IP address and a port; host names are refused, so that nothing is resolved. */
     static InetSocketAddress address(String key, String text) {
         int colon = text.lastIndexOf(':');
         String host = colon < 0 ? "" : text.substring(0, colon);
         String port = text.substring(colon + 1);
         if (!host.matches("[0-9]{1,3}(\\.[0-9]{1,3}){3}|\\[[0-9a-fA-F:.]+\\]") || !port.matches("[0-9]{1,5}")) {
-            throw new BadSetting(key + " is '" + text + "': an address of numbers and a port are needed");
+            throw new BadSetting(key + " is '" + text + "': a numeric IP address and a port are needed");
         }
         try {
             return new InetSocketAddress(InetAddress.getByName(host), Integer.parseInt(port));
--- a/daemon/src/main/java/tallyweir/config/EntryReader.java
+++ b/daemon/src/main/java/tallyweir/config/EntryReader.java
@@ -8,7 +8,7 @@
 import tallyweir.fleet.table.Kind;
 import tallyweir.fleet.table.Value;
 
-/** Reads the entries of a revision from its sections in JSON; every fault goes into a list. */
+/** Reads the entries of a revision from the sections of a JSON object and collects all faults. */
 final class EntryReader {
     static final String STORES = "stores";
     static final String ANNOUNCE = "announce";
@@ -29,12 +29,12 @@
         this.faults = faults;
     }
 
-    /** What has been read so far. */
+    /** The valid entries read so far. */
     Map<Key, Value> entries() {
         return entries;
     }
 
-    /** Reads all sections of an object; other keys are faults. */
+    /** Reads all sections of an object; any other key is a fault. */
     void sections(Tree tree) {
         faults.unknownKeys(tree, STORES, ANNOUNCE, KERNELS, CAPS, STAND_BACK);
         faults.check(STORES, () -> stores(tree.each(STORES)));
@@ -103,7 +103,7 @@
 
     private void put(String key, Key entry, Value value) {
         if (entries.put(entry, value) != null) {
-            throw new BadSetting(key + " is there already: one entry " + entry.name() + " is enough");
+            throw new BadSetting(key + " is a duplicate: the entry " + entry.name() + " is already defined");
         }
     }
 
--- a/daemon/src/main/java/tallyweir/config/FaultList.java
+++ b/daemon/src/main/java/tallyweir/config/FaultList.java
@@ -7,11 +7,12 @@
 import java.util.stream.Collectors;
 import tallyweir.fleet.FleetException;
 
-/** Collects all that is wrong with a file, so that it can be named at once. */
+/** Collects the faults of a file, so that all of them are reported together. */
 final class FaultList {
-    private final Map<String, Set<String>> faults = new LinkedHashMap<>(); // what is wrong, by the key that it is about
+    // Descriptions by the key they concern, in the order of their discovery.
+    private final Map<String, Set<String>> faults = new LinkedHashMap<>();
 
-    /** Reads a part of the file; a fault in it is kept, and the rest can still be read. */
+    /** Reads a part of the file and records a fault in it, so that the rest can still be read. */
     void check(String key, Runnable read) {
         try {
             read.run();
@@ -20,14 +21,14 @@
         }
     }
 
-    void add(String key, String why) {
-        faults.computeIfAbsent(key, k -> new LinkedHashSet<>()).add(why);
+    void add(String key, String reason) {
+        faults.computeIfAbsent(key, k -> new LinkedHashSet<>()).add(reason);
     }
 
-    /** Names every key of an object that is not one of the known ones. */
-    void unknownKeys(Tree tree, String... known) {
+    /** Records a fault for each key of an object that is not known. */
+    void unknownKeys(Tree tree, String... knownKeys) {
         for (String name : tree.names()) {
-            check(name, () -> tree.onlyKnown(name, known));
+            check(name, () -> tree.onlyKnown(name, knownKeys));
         }
     }
 
@@ -35,12 +36,12 @@
         return faults.isEmpty();
     }
 
-    /** The keys that are faulty. */
+    /** The keys with faults, separated by commas. */
     String keys() {
         return String.join(", ", faults.keySet());
     }
 
-    /** What is wrong with each of them. */
+    /** The descriptions of all faults, each once, separated by semicolons. */
     String reasons() {
         return faults.values().stream().flatMap(Set::stream).distinct().collect(Collectors.joining("; "));
     }
--- a/daemon/src/main/java/tallyweir/config/Operators.java
+++ b/daemon/src/main/java/tallyweir/config/Operators.java
@@ -22,8 +22,8 @@
 import tallyweir.results.Settling;
 
 /**
- * The operators' own file, which EDGE_OPERATORS names: what a platform does not tell. Read, checked and given defaults
- * here alone. Without the file, or without its part, what it is about is off.
+ * The operators' own settings file, which EDGE_OPERATORS names: settings that do not come from the platform. All parsing,
+ * validation and defaults of the file are in this class. A feature whose part is missing is off, and without a file all are.
  */
 public final class Operators {
     private static final int MB = 1 << 20;
@@ -33,12 +33,12 @@
     private final Tree watch;
     private final Tree fleet;
 
-    private Operators(Tree all) {
-        all.only("durable", "results", "watch", "fleet");
-        durable = all.has("durable") ? all.in("durable") : null;
-        results = all.has("results") ? all.in("results") : null;
-        watch = all.has("watch") ? all.in("watch") : null;
-        fleet = all.has("fleet") ? all.in("fleet") : null;
+    private Operators(Tree root) {
+        root.only("durable", "results", "watch", "fleet");
+        durable = root.has("durable") ? root.in("durable") : null;
+        results = root.has("results") ? root.in("results") : null;
+        watch = root.has("watch") ? root.in("watch") : null;
+        fleet = root.has("fleet") ? root.in("fleet") : null;
         if (fleet != null) {
             checkFleet();
         }
@@ -46,14 +46,18 @@
             watch.only("settings");
         }
         if (results != null && durable == null) {
-            throw new BadSetting("results needs a durable part: the store in which they are kept");
+            throw new BadSetting("results needs a durable part: the store in which results are retained");
         }
         if (durable != null) {
             check();
         }
     }
 
-    /** Reads the file that EDGE_OPERATORS names; where it names none, everything is off. */
+    /**
+     * Reads the file that EDGE_OPERATORS names; if the variable is unset, every feature is off.
+     *
+     * @throws BadSetting if the file cannot be read or has an invalid key
+     */
     public static Operators read(Map<String, String> environment) {
         String file = environment.get("EDGE_OPERATORS");
         if (file == null || file.isEmpty()) {
@@ -81,55 +85,69 @@
         }
     }
 
-    /** The settings to be watched beside those in force, checked whole, null for none. */
+    /**
+     * The shadow settings, which are only compared with those in force, completely validated.
+     *
+     * @return null if the file has none
+     */
     public Settings watched(Settings inForce) {
         return watch == null ? null : inForce.watched(watch.in("settings"));
     }
 
-    /** Whether this server is in a fleet. */
+    /** Whether this server is a member of a fleet; if not, no other method about the fleet may be called. */
     public boolean inFleet() {
         return fleet != null;
     }
 
-    /** The name of the fleet. */
+    /** The name of the fleet that this server joins. */
     public String fleetName() {
         return fleet.text("name");
     }
 
-    /** Who keeps the fleet's log: names and addresses. */
+    /** The voters that replicate the fleet's log: {@code host:port} by name, in the order of the file. */
     public Map<String, String> voters() {
-        Tree v = fleet.in("voters");
-        Map<String, String> all = new LinkedHashMap<>();
-        v.names().forEach(n -> all.put(n, v.text(n)));
-        return all;
+        Tree voters = fleet.in("voters");
+        Map<String, String> addresses = new LinkedHashMap<>();
+        voters.names().forEach(name -> addresses.put(name, voters.text(name)));
+        return addresses;
     }
 
-    /** How long a server may rely on what it is lent, tenths of a millisecond. */
+    /** How long a server may use its lease without renewal, in tenths of a millisecond. */
     public long lease() {
         return fleet.whole("lease_ms", 500, 600_000, 10_000) * 10L;
     }
 
-    /** How long a connection counts for a tenant after its last query. */
+    /** How long a connection counts for a tenant after its last query, in tenths of a millisecond. */
     public long linger() {
         return fleet.whole("linger_ms", 0, 60_000, 1_000) * 10L;
     }
 
-    /** Whether a server that is out of its fleet stands back whole. */
+    /** Whether a server that is out of its fleet withdraws from service. */
     public boolean standsBackWhenOut() {
         return fleet.text("when_out", "serve").equals("stand_back");
     }
 
-    /** Opens this server's client of the fleet; longestHard is how long any query is open at the most. */
-    public FleetClient openFleet(FleetClients clients, String self, long longestHard, Set<Guard> without) {
-        return clients.open(fleetName(), voters(), self, fleet.text("dir", ""), fleetSettings(longestHard), without);
+    /**
+     * Opens this server's client of the fleet.
+     *
+     * @param self the name of this server
+     * @param maxHardLimit the maximum time that a query is open, in tenths of a millisecond
+     * @param without guards that are switched off, for drills
+     */
+    public FleetClient openFleet(FleetClients clients, String self, long maxHardLimit, Set<Guard> without) {
+        return clients.open(fleetName(), voters(), self, fleet.text("dir", ""), fleetSettings(maxHardLimit), without);
     }
 
-    /** What the fleet goes by; longestHard is how long any query is open at the most. */
-    public FleetSettings fleetSettings(long longestHard) {
+    /**
+     * The settings of the fleet.
+     *
+     * @param maxHardLimit the maximum time that a query is open, in tenths of a millisecond
+     */
+    public FleetSettings fleetSettings(long maxHardLimit) {
         return new FleetSettings(
                 fleet.whole("settings_version", 1, 1 << 30, 1),
                 lease(),
-                longestHard + linger(),
+                maxHardLimit + linger(),
                 fleet.whole("floor_lease_ms", 1_000, 604_800_000, 3_600_000) * 10L,
                 fleet.whole("behind_ms", 500, 3_600_000, 30_000) * 10L,
                 share("drift", 0.1, 0.01),
@@ -142,10 +160,10 @@
                 share("sick_share", 1, 0.5));
     }
 
-    private double share(String key, double most, double absent) {
-        double is = fleet.number(key, absent);
-        if (!(is >= 0 && is <= most)) {
-            throw new BadSetting("fleet." + key + " is " + is + ": 0 to " + most + " is needed");
+    private double share(String key, double max, double defaultValue) {
+        double is = fleet.number(key, defaultValue);
+        if (!(is >= 0 && is <= max)) {
+            throw new BadSetting("fleet." + key + " is " + is + ": 0 to " + max + " is needed");
         }
         return is;
     }
@@ -175,9 +193,10 @@
             throw new BadSetting(
                     "fleet.voters has " + voters().size() + " entries: 3 or 5 are needed, 1 to try it out");
         }
-        voters().forEach((n, at) -> {
-            if (!at.matches("[^ :]+:[0-9]{1,5}")) {
-                throw new BadSetting("fleet.voters." + n + " is '" + at + "': a name or address and a port are needed");
+        voters().forEach((name, address) -> {
+            if (!address.matches("[^ :]+:[0-9]{1,5}")) {
+                throw new BadSetting(
+                        "fleet.voters." + name + " is '" + address + "': a name or address and a port are needed");
             }
         });
         lease();
@@ -186,17 +205,17 @@
         fleet.text("dir", "");
     }
 
-    /** Whether there is to be a store. */
+    /** Whether this server has a durable store. If not, none of the methods about it may be called. */
     public boolean hasDurable() {
         return durable != null;
     }
 
-    /** Whether results of queries with an effect are kept over restarts. */
+    /** Whether the results of queries with an effect are retained across restarts. */
     public boolean keepsResults() {
         return results != null;
     }
 
-    /** Opens the store as the file has it. */
+    /** Opens the durable store with the settings of the file. */
     public FileStore openDurable() throws IOException {
         return new FileStore(
                 first(),
@@ -211,26 +230,28 @@
                 namespaces());
     }
 
-    /** Where the first copy is. */
+    /** The directory of the first copy. */
     public Path first() {
         return Path.of(durable.text("dir")).resolve("first");
     }
 
-    /** Where the second copy is: beside the first, or in a directory of its own, best on another disk. */
+    /** The directory of the second copy: beside the first by default; a directory on another disk is best. */
     public Path second() {
         String second = durable.text("second_dir", "");
         return second.isEmpty() ? Path.of(durable.text("dir")).resolve("second") : Path.of(second);
     }
 
-    /** Where the process that holds the store answers operators. */
+    /** The socket on which the process that holds the store answers operators. */
     public Path adminSocket() {
         return Path.of(durable.text("dir")).resolve("desk");
     }
 
+    /** The size of a segment of the log, in bytes. */
     public int segmentBytes() {
         return durable.whole("segment_mb", 1, 1_024, 64) * MB;
     }
 
+    /** The size of the disk's sectors, in bytes: a power of two from 512 to 65536. */
     public int sector() {
         int sector = durable.whole("sector_bytes", 512, 65_536, 4_096);
         if (Integer.bitCount(sector) != 1) {
@@ -239,6 +260,7 @@
         return sector;
     }
 
+    /** The share of dead bytes, from 0.1 to 0.9, from which a segment is compacted. */
     public double deadShare() {
         double share = durable.number("dead_share", 0.5);
         if (!(share >= 0.1 && share <= 0.9)) {
@@ -247,44 +269,51 @@
         return share;
     }
 
+    /** The namespaces of the durable store: those of the file, then those of the retained results. */
     public List<Namespace> namespaces() {
-        List<Namespace> all = new ArrayList<>();
+        List<Namespace> namespaces = new ArrayList<>();
         Set<String> names = new HashSet<>();
         int i = 0;
-        for (Tree n : durable.each("namespaces")) {
-            String at = "durable.namespaces[" + i++ + "]";
-            n.only("name", "bound_mb", "at_bound");
-            String then = n.text("at_bound", "refuse");
-            if (!then.equals("refuse") && !then.equals("drop_oldest")) {
-                throw new BadSetting(at + ".at_bound is '" + then + "': refuse or drop_oldest is needed");
+        for (Tree namespace : durable.each("namespaces")) {
+            String path = "durable.namespaces[" + i++ + "]";
+            namespace.only("name", "bound_mb", "at_bound");
+            String whenFull = namespace.text("at_bound", "refuse");
+            if (!whenFull.equals("refuse") && !whenFull.equals("drop_oldest")) {
+                throw new BadSetting(path + ".at_bound is '" + whenFull + "': refuse or drop_oldest is needed");
             }
             try {
-                all.add(new Namespace(
-                        n.text("name"), n.whole("bound_mb", 1, 1 << 20) * (long) MB, then.equals("drop_oldest")));
+                namespaces.add(new Namespace(
+                        namespace.text("name"),
+                        namespace.whole("bound_mb", 1, 1 << 20) * (long) MB,
+                        whenFull.equals("drop_oldest")));
             } catch (IllegalArgumentException e) {
-                throw new BadSetting(at + ".name: " + e.getMessage());
+                throw new BadSetting(path + ".name: " + e.getMessage());
             }
             if (results != null
-                    && (n.text("name").equals(DurableResultStore.RESULTS)
-                            || n.text("name").equals(DurableResultStore.INTENTS)
-                            || n.text("name").equals(Settling.AUDIT))) {
-                throw new BadSetting(at + ".name is '" + n.text("name") + "', which belongs to the results part");
+                    && (namespace.text("name").equals(DurableResultStore.RESULTS)
+                            || namespace.text("name").equals(DurableResultStore.INTENTS)
+                            || namespace.text("name").equals(Settling.AUDIT))) {
+                throw new BadSetting(
+                        path + ".name is '" + namespace.text("name") + "', which belongs to the results part");
             }
-            if (!names.add(n.text("name"))) {
-                throw new BadSetting(at + ".name is '" + n.text("name") + "', which is there already");
+            if (!names.add(namespace.text("name"))) {
+                throw new BadSetting(path + ".name is '" + namespace.text("name") + "', which is already defined");
             }
         }
         if (results != null) {
-            // Nothing in its window may go to make room, so both refuse; an open intent takes under 1.2 KB.
-            all.add(new Namespace(
+            // No record within its window may be dropped to make room, so these namespaces refuse new records when
+            // full. An
+            // open intent takes less than 1.2 KB.
+            namespaces.add(new Namespace(
                     DurableResultStore.RESULTS, results.whole("bound_mb", 1, 1 << 20) * (long) MB, false));
-            all.add(new Namespace(DurableResultStore.INTENTS, Long.MAX_VALUE, false));
-            all.add(new Namespace(Settling.AUDIT, Long.MAX_VALUE, false));
+            namespaces.add(new Namespace(DurableResultStore.INTENTS, Long.MAX_VALUE, false));
+            namespaces.add(new Namespace(Settling.AUDIT, Long.MAX_VALUE, false));
         }
-        if (all.size() > Namespace.MOST) {
-            throw new BadSetting("durable.namespaces has " + all.size() + " entries, the most is " + Namespace.MOST);
+        if (namespaces.size() > Namespace.MOST) {
+            throw new BadSetting(
+                    "durable.namespaces has " + namespaces.size() + " entries, the maximum is " + Namespace.MOST);
         }
-        return all;
+        return namespaces;
     }
 
     private void check() {
--- a/daemon/src/main/java/tallyweir/config/RevisionFile.java
+++ b/daemon/src/main/java/tallyweir/config/RevisionFile.java
@@ -11,14 +11,14 @@
 import tallyweir.fleet.table.Change;
 import tallyweir.fleet.table.Table;
 
-/** The file of a whole revision: the one reader of its format. */
+/** Parser of the file that holds a complete revision. */
 public final class RevisionFile {
     private RevisionFile() {}
 
     /**
-     * Reads a whole revision.
+     * Parses a complete revision.
      *
-     * @throws tallyweir.fleet.FleetException with {@link Fault.BodyFaulty}, which names all keys that are faulty
+     * @throws tallyweir.fleet.FleetException with {@link Fault.BodyFaulty}, which names all invalid keys
      */
     public static Table parse(byte[] json) {
         FaultList faults = new FaultList();
@@ -27,12 +27,16 @@
         if (!faults.isEmpty()) {
             throw new Fault.BodyFaulty(faults.reasons()).thrown();
         }
-        List<Change> all = new ArrayList<>();
-        reader.entries().forEach((key, value) -> all.add(new Change(key, Optional.empty(), Optional.of(value))));
-        return Table.EMPTY.apply(all);
+        List<Change> changes = new ArrayList<>();
+        reader.entries().forEach((key, value) -> changes.add(new Change(key, Optional.empty(), Optional.of(value))));
+        return Table.EMPTY.apply(changes);
     }
 
-    /** The JSON object of a file. */
+    /**
+     * Parses a file as one JSON object.
+     *
+     * @throws tallyweir.fleet.FleetException with {@link Fault.BodyFaulty} if it is not one
+     */
     static Tree tree(byte[] json) {
         try (JsonParser in = new JsonFactory().createParser(json)) {
             in.nextToken();
@@ -42,6 +46,7 @@
         } catch (IOException e) {
             throw new Fault.BodyFaulty("it cannot be read: " + e).thrown();
         } catch (BadSetting e) {
+            // The path of the root is empty, so the message begins with " is".
             throw new Fault.BodyFaulty("it" + e.getMessage()).thrown();
         }
     }
--- a/daemon/src/main/java/tallyweir/config/Settings.java
+++ b/daemon/src/main/java/tallyweir/config/Settings.java
@@ -14,7 +14,10 @@
 import tallyweir.ids.TenantId;
 import tallyweir.ids.WorkloadId;
 
-/** The settings object, decoded here for both fronts; the few of each part go straight into its call. */
+/**
+ * The platform's settings object, decoded here for both the server and the wire host. Groups of settings are handed to the
+ * methods of {@link Choice} that configure its parts. All times are in tenths of a millisecond.
+ */
 public final class Settings {
     private final Tree all;
     private final Tree info;
@@ -23,6 +26,7 @@
     private final boolean poorer;
     private final boolean says;
 
+    /** Settings in force: the flags that only shadow settings use are off. */
     public Settings(Tree all) {
         this(all, false, false, false);
     }
@@ -37,11 +41,14 @@
     }
 
     /**
-     * These settings with others over them, to be watched. What the front's protocol has no message for is left out
-     * as here, unless the others change it: whoever watches wants to see what it would do.
+     * Shadow settings: these with the given ones over them, for decisions that are only compared with those in force. A
+     * feature for which the server's protocol has no message stays off as it is here, unless the given settings change it:
+     * the comparison is then meant to show what it would do.
+     *
+     * @throws BadSetting if a key is unknown or has an invalid value, or if a class in force is missing
      */
-    Settings watched(Tree others) {
-        others.only(
+    Settings watched(Tree overrides) {
+        overrides.only(
                 "Callers",
                 "Classes",
                 "FamilyInfo",
@@ -51,9 +58,10 @@
                 "RoundUs",
                 "Rules",
                 "Servers");
-        Tree both = all.under(others);
-        Tree family = both.in("FamilyInfo");
-        others.in("FamilyInfo")
+        Tree merged = all.under(overrides);
+        Tree family = merged.in("FamilyInfo");
+        overrides
+                .in("FamilyInfo")
                 .only(
                         "Below",
                         "CallsOut",
@@ -75,9 +83,9 @@
                         "ShareSpanUs",
                         "Signal",
                         "TellsGone");
-        others.in("Rules").only("AnswerSlackUs", "ColdFrom", "ColdUs", "DrainGraceUs", "FallMultiple", "FallUs");
-        others.in("Permissions").only("CpuUsPerRequest", "CpuUsPerS", "MaxRetryAfterUs", "RetryAfter");
-        others.in("Callers").only("MarksRetry");
+        overrides.in("Rules").only("AnswerSlackUs", "ColdFrom", "ColdUs", "DrainGraceUs", "FallMultiple", "FallUs");
+        overrides.in("Permissions").only("CpuUsPerRequest", "CpuUsPerS", "MaxRetryAfterUs", "RetryAfter");
+        overrides.in("Callers").only("MarksRetry");
         family.word("Halt", "off", "abort", "suspend");
         family.word("Signal", "off", "threshold", "window", "share_of");
         for (String name : List.of(
@@ -92,60 +100,68 @@
             family.least(name, 0);
         }
         family.least("RunMemFactor", 1);
-        both.in("Rules").least("FallMultiple", 1);
-        both.in("Rules").least("DrainGraceUs", 0);
-        both.in("Permissions").least("MaxRetryAfterUs", 0);
-        for (Tree c : both.each("Classes")) {
+        merged.in("Rules").least("FallMultiple", 1);
+        merged.in("Rules").least("DrainGraceUs", 0);
+        merged.in("Permissions").least("MaxRetryAfterUs", 0);
+        for (Tree c : merged.each("Classes")) {
             c.text("Name");
             c.word("Effect", "safe", "keyed", "unsafe");
             c.least("TargetUs", 0);
             c.least("DeadlineUs", 0);
             c.least("RepeatWindowUs", 0);
         }
-        Settings watched = new Settings(
-                both, !family.same("Halt", info), !family.same("ClassSkipWorth", info), !family.same("Signal", info));
+        Settings shadow = new Settings(
+                merged, !family.same("Halt", info), !family.same("ClassSkipWorth", info), !family.same("Signal", info));
         for (WorkloadId id : workloads().keySet()) {
-            if (!watched.workloads().containsKey(id)) {
+            if (!shadow.workloads().containsKey(id)) {
                 throw new BadSetting("watch.settings.Classes lacks the class " + id.value() + " that is in force");
             }
         }
-        watched.startWatched(new Choice(Outgoing.nowhere(), 0, 0), false);
-        watched.tellsPatience();
-        watched.tellsGone();
-        watched.marksTries();
-        return watched;
+        shadow.startWatched(new Choice(Outgoing.nowhere(), 0, 0), false);
+        shadow.tellsPatience();
+        shadow.tellsGone();
+        shadow.marksTries();
+        return shadow;
     }
 
+    /** Whether both have the same content; false for null. */
     public boolean sameAs(Settings other) {
         return other != null && all.equalTo(other.all);
     }
 
-    /** Starts decisions that are only watched. */
+    /** Configures and starts shadow decisions. */
     public void startWatched(Choice choice, boolean cold) {
         start(choice, cold, pauses, poorer, says);
     }
 
-    /** Whether further tries bear a mark; where nothing is said, what the caller's try bears counts. */
+    /** Whether the shadow decisions see that a query is a retry; true if the setting is absent. */
     public boolean marksTries() {
         Tree callers = all.in("Callers");
         return !callers.has("MarksRetry") || callers.yes("MarksRetry");
     }
 
-    /** Whether word comes of a caller that gave up; where nothing is said, it counts as it comes. */
+    /** Whether the shadow decisions see that a caller has disconnected; true if the setting is absent. */
     public boolean tellsGone() {
         return !info.has("TellsGone") || info.yes("TellsGone");
     }
 
-    /** Hands the settings over, with what the front's protocol has no message for left out, and starts. */
+    /**
+     * Configures and starts the decisions. Features for which the protocol of the server or wire host has no message are off.
+     *
+     * @param cold whether the server starts cold and allows less concurrency at first
+     * @param pauses whether a run can be suspended and continued
+     * @param poorer whether a query can get a degraded answer
+     * @param says whether load can be advertised to callers
+     */
     public void start(Choice choice, boolean cold, boolean pauses, boolean poorer, boolean says) {
-        Halt halt = halt();
+        Halt mode = halt();
         choice.machine(
                 info.whole("Cpus", 1, 1 << 16),
                 rules.number("FallMultiple", 1),
                 cold,
                 rules.number("ColdFrom", 1),
                 rules.time("ColdUs"),
-                halt == Halt.SUSPEND && !pauses ? Halt.OFF : halt);
+                mode == Halt.SUSPEND && !pauses ? Halt.OFF : mode);
         choice.memory(info.number("MemLimitKb"), info.number("RunMemFactor", 1), info.number("EntryKb", 0));
         choice.below(info.number("CallsOut", 0), info.time("ShareSpanUs"), info.time("LingerUs") + 1);
         List<Tree> classes = all.each("Classes");
@@ -178,55 +194,62 @@
         choice.start();
     }
 
-    /** By workload, after how long a query is late. */
+    /** The expected time of each workload, after which a query is late. */
     public Map<WorkloadId, Long> expected() {
-        Map<WorkloadId, Long> all = new HashMap<>();
-        this.all.each("Classes").forEach(c -> all.put(new WorkloadId(c.text("Name", "")), c.time("TargetUs")));
-        return all;
+        Map<WorkloadId, Long> times = new HashMap<>();
+        this.all.each("Classes").forEach(c -> times.put(new WorkloadId(c.text("Name", "")), c.time("TargetUs")));
+        return times;
     }
 
+    /** Whether the server starts cold. */
     public boolean cold() {
         return info.yes("Cold");
     }
 
+    /** How long a result is cached for repeats of a harmless query on the same resource, 0 for not at all. */
     public long shareFor() {
         return info.time("ShareForUs");
     }
 
+    /** The maximum time that a connection may stay idle. */
     public long idleMost() {
         return info.time("IdleUs");
     }
 
+    /** The time reserved for an answer to reach its caller. */
     public long answerSlack() {
         return rules.time("AnswerSlackUs");
     }
 
+    /** Whether queries carry the time that their callers still wait. */
     public boolean tellsPatience() {
         return info.yes("PassesDeadline");
     }
 
+    /** The names of all tenants. */
     public Set<String> tenants() {
         return all.each("Projects").stream().map(t -> t.text("Name", "")).collect(Collectors.toSet());
     }
 
-    /** Whether any workload may call what lies below. */
+    /** Whether any workload may call the store. */
     public boolean callsBelow() {
         return IntStream.range(0, all.each("Classes").size()).anyMatch(i -> info.yesAt("ClassCalls", i));
     }
 
+    /** All workloads, each with the effect of its queries. */
     public Map<WorkloadId, Effect> workloads() {
         Map<WorkloadId, Effect> effects = new HashMap<>();
         all.each("Classes").forEach(c -> effects.put(new WorkloadId(c.text("Name")), effect(c)));
         return effects;
     }
 
-    /** The longest time that a caller may be told to keep off, 0 where it may not be told. */
+    /** The maximum delay that a caller may be advised to wait before a retry, 0 if it may not be advised. */
     public long keepOffMost() {
         Tree permissions = all.in("Permissions");
         return permissions.yes("RetryAfter") ? permissions.time("MaxRetryAfterUs") : 0;
     }
 
-    /** The longest time that any workload's caller waits in all. */
+    /** The maximum hard limit of all workloads, 0 without workloads. */
     public long longestHard() {
         return all.each("Classes").stream()
                 .mapToLong(c -> c.time("DeadlineUs"))
@@ -234,7 +257,7 @@
                 .orElse(0);
     }
 
-    /** Where a gauge stands among those that come, -1 if it does not come. */
+    /** The index of a gauge in the list that the kernel reports, -1 if it does not report it. */
     public int gauge(String name) {
         return info.texts("Gauges").indexOf(name);
     }
--- a/daemon/src/main/java/tallyweir/config/StoreName.java
+++ b/daemon/src/main/java/tallyweir/config/StoreName.java
@@ -13,18 +13,18 @@
 import tallyweir.ids.WorkloadId;
 
 /**
- * The name of a store's entry in a revision: its address and the workloads that it serves. As text it is {@code host:port}
- * for a store of all workloads, {@code host:port first,second} otherwise.
+ * The name of a store's entry in a revision: its address and the workloads it serves. Its text form is {@code host:port}
+ * for a store of all workloads and {@code host:port first,second} otherwise.
  *
- * @param workloads sorted and each once, empty for all
+ * @param workloads sorted and without duplicates, empty for all workloads
  */
 public record StoreName(InetSocketAddress address, List<WorkloadId> workloads) {
     private static final String BEFORE_WORKLOADS = " ";
     private static final String BETWEEN_WORKLOADS = ",";
 
     /**
-     * The entries of a store. There is one, but for a store of so many workloads that their names do not fit into one key:
-     * they are spread over several entries then, always in the same way.
+     * The entries of a store. There is one, unless the names of its workloads do not fit into one key: they are then split
+     * over several entries, always in the same way for the same workloads.
      */
     public static List<StoreName> of(InetSocketAddress address, Collection<String> workloads) {
         String host = text(address);
@@ -32,20 +32,25 @@
         List<WorkloadId> group = new ArrayList<>();
         int bytes = host.length();
         for (String workload : new TreeSet<>(workloads)) {
-            int more = BETWEEN_WORKLOADS.length() + workload.getBytes(StandardCharsets.UTF_8).length;
-            if (!group.isEmpty() && bytes + more > Key.NAME_BYTES_MOST) {
+            int addedBytes = BETWEEN_WORKLOADS.length() + workload.getBytes(StandardCharsets.UTF_8).length;
+            if (!group.isEmpty() && bytes + addedBytes > Key.NAME_BYTES_MOST) {
                 names.add(new StoreName(address, List.copyOf(group)));
                 group.clear();
                 bytes = host.length();
             }
             group.add(new WorkloadId(workload));
-            bytes += more;
+            bytes += addedBytes;
         }
         names.add(new StoreName(address, List.copyOf(group)));
         return names;
     }
 
-    /** Reads the name of an entry; faults name the key that is given. */
+    /**
+     * Parses the name of an entry.
+     *
+     * @param key the key of the file that holds the name, for error messages
+     * @throws BadSetting if the address or a workload is invalid
+     */
     public static List<StoreName> parse(String key, String name) {
         int blank = name.indexOf(BEFORE_WORKLOADS);
         if (blank < 0) {
@@ -56,19 +61,20 @@
         return of(Config.address(key, name.substring(0, blank)), workloads);
     }
 
-    /** Reads the name of an entry that is in a table, where only whole names stand. */
+    /** Parses the name of an entry of a table, where each name fits into one key. */
     public static StoreName of(Key key) {
         return parse(key.name(), key.name()).get(0);
     }
 
-    /** Turns down names that could not be told apart in the name of an entry. */
+    /** Refuses workload names that would be ambiguous within the name of an entry. */
     static void checkWorkload(String key, String workload) {
         if (workload.isEmpty() || !workload.matches("[^\\s\\p{Cntrl},]+")) {
-            throw new BadSetting(key + " names the workload '" + workload + "': no blanks, commas or empty names");
+            throw new BadSetting(key + " names the workload '" + workload
+                    + "': it must not be empty or contain blanks, commas or control characters");
         }
     }
 
-    /** The key of its entry. */
+    /** The key of this entry in the table. */
     public Key key() {
         StringBuilder name = new StringBuilder(text(address));
         String separator = BEFORE_WORKLOADS;
@@ -83,9 +89,9 @@
         return host(address.getAddress()) + ":" + address.getPort();
     }
 
-    /** An address of numbers as it stands in entries. */
+    /** The numeric form of an address that entries use, an IPv6 address in brackets. */
     static String host(InetAddress address) {
-        String numbers = address.getHostAddress();
-        return address instanceof Inet6Address ? "[" + numbers + "]" : numbers;
+        String numeric = address.getHostAddress();
+        return address instanceof Inet6Address ? "[" + numeric + "]" : numeric;
     }
 }
--- a/daemon/src/main/java/tallyweir/config/Tree.java
+++ b/daemon/src/main/java/tallyweir/config/Tree.java
@@ -11,7 +11,10 @@
 import java.util.Objects;
 import java.util.Set;
 
-/** An object of settings read whole. Absent and null are the same; what has another type is named and refused. */
+/**
+ * A JSON object of settings, read completely into memory. An absent field and a null are the same; a value of the wrong type
+ * is refused with a {@link BadSetting} that names its key.
+ */
 public final class Tree {
     private final String path;
     private final Map<String, Object> fields;
@@ -21,7 +24,11 @@
         this.fields = fields;
     }
 
-    /** Reads the object at whose start the parser stands; messages name its keys below the path. */
+    /**
+     * Reads the object whose start is the parser's current token.
+     *
+     * @param path the prefix of its keys in error messages, empty for the root
+     */
     public static Tree read(JsonParser in, String path) throws IOException {
         if (in.currentToken() != JsonToken.START_OBJECT) {
             throw new BadSetting(path + " is not an object");
@@ -81,21 +88,23 @@
         return value;
     }
 
+    /** The object under a name, an empty one if it is absent. */
     @SuppressWarnings("unchecked")
     public Tree in(String name) {
         Map<String, Object> inner = as(Map.class, "an object", fields.get(name), name);
         return new Tree(key(name), inner == null ? Map.of() : inner);
     }
 
+    /** The objects of a list, none if the list is absent. */
     @SuppressWarnings("unchecked")
     public List<Tree> each(String name) {
-        List<Tree> all = new ArrayList<>();
+        List<Tree> children = new ArrayList<>();
         List<Object> list = list(name);
         for (int i = 0; i < list.size(); i++) {
             String at = name + "[" + i + "]";
-            all.add(new Tree(key(at), needed(as(Map.class, "an object", list.get(i), at), "an object", at)));
+            children.add(new Tree(key(at), needed(as(Map.class, "an object", list.get(i), at), "an object", at)));
         }
-        return all;
+        return children;
     }
 
     @SuppressWarnings("unchecked")
@@ -104,90 +113,96 @@
         return list == null ? List.of() : list;
     }
 
+    /** The strings of a list, none if the list is absent. */
     public List<String> texts(String name) {
-        List<String> all = new ArrayList<>();
+        List<String> strings = new ArrayList<>();
         for (Object o : list(name)) {
-            all.add(needed(as(String.class, "a text", o, name), "a text", name));
+            strings.add(needed(as(String.class, "a string", o, name), "a string", name));
         }
-        return all;
+        return strings;
     }
 
+    /** An element of a list of numbers, 0 if the element or the list is absent. */
     public double numberAt(String name, int index) {
         List<Object> list = list(name);
         Double d = index < list.size() ? as(Double.class, "a list of numbers", list.get(index), name) : null;
         return d == null ? 0 : d;
     }
 
+    /** An element of a list of booleans, false if the element or the list is absent. */
     public boolean yesAt(String name, int index) {
         List<Object> list = list(name);
         return index < list.size()
-                && Boolean.TRUE.equals(as(Boolean.class, "a list of yes or no", list.get(index), name));
+                && Boolean.TRUE.equals(as(Boolean.class, "a list of booleans", list.get(index), name));
     }
 
-    public double number(String name, double absent) {
+    /** A number, or the default if it is absent. */
+    public double number(String name, double defaultValue) {
         Double d = as(Double.class, "a number", fields.get(name), name);
-        return d == null ? absent : d;
+        return d == null ? defaultValue : d;
     }
 
+    /** A number that must be present. */
     public double number(String name) {
         return needed(as(Double.class, "a number", fields.get(name), name), "a number", name);
     }
 
-    /** A whole number that has to lie between the two. */
-    public int whole(String name, int least, int most) {
+    /** An integer that must be present and within the bounds, both inclusive. */
+    public int whole(String name, int min, int max) {
         double d = number(name);
-        if (d != Math.rint(d) || d < least || d > most) {
-            throw new BadSetting(
-                    key(name) + " is " + d + ": a whole number from " + least + " to " + most + " is needed");
+        if (d != Math.rint(d) || d < min || d > max) {
+            throw new BadSetting(key(name) + " is " + d + ": an integer from " + min + " to " + max + " is needed");
         }
         return (int) d;
     }
 
-    /** A time of the settings, in microseconds there, in tenths of a millisecond here, rounded down. */
+    /** A time in tenths of a millisecond, rounded down from the microseconds of the settings; 0 if it is absent. */
     public long time(String name) {
         return (long) Math.floor(number(name, 0) / 100);
     }
 
-    public String text(String name, String absent) {
-        String s = as(String.class, "a text", fields.get(name), name);
-        return s == null ? absent : s;
+    /** A string, or the default if it is absent. */
+    public String text(String name, String defaultValue) {
+        String s = as(String.class, "a string", fields.get(name), name);
+        return s == null ? defaultValue : s;
     }
 
+    /** A string that must be present. */
     public String text(String name) {
-        return needed(as(String.class, "a text", fields.get(name), name), "a text", name);
+        return needed(as(String.class, "a string", fields.get(name), name), "a string", name);
     }
 
-    /** Refuses keys that mean nothing here, so that a slip of the pen is not taken for a default. */
+    /** Refuses unknown keys, so that a misspelt key is not silently replaced by a default. */
     public void only(String... names) {
         for (String name : fields.keySet()) {
             onlyKnown(name, names);
         }
     }
 
-    /** Refuses a key that is none of those that mean something here. */
+    /** Refuses a key that is not among the known ones. */
     void onlyKnown(String name, String... names) {
         if (!List.of(names).contains(name)) {
-            throw new BadSetting(key(name) + " is unknown here: known are " + String.join(", ", names));
+            throw new BadSetting(key(name) + " is unknown: known keys are " + String.join(", ", names));
         }
     }
 
-    /** These fields with those of the other over them: objects key by key, all else whole. */
+    /** A copy in which the fields of the other replace these: nested objects are merged, all other values replaced. */
     public Tree under(Tree other) {
         return new Tree(other.path, merged(fields, other.fields));
     }
 
     @SuppressWarnings("unchecked")
-    private static Map<String, Object> merged(Map<String, Object> under, Map<String, Object> over) {
-        Map<String, Object> all = new LinkedHashMap<>(under);
-        over.forEach((name, value) -> all.put(
+    private static Map<String, Object> merged(Map<String, Object> base, Map<String, Object> overrides) {
+        Map<String, Object> result = new LinkedHashMap<>(base);
+        overrides.forEach((name, value) -> result.put(
                 name,
-                value instanceof Map && under.get(name) instanceof Map
-                        ? merged((Map<String, Object>) under.get(name), (Map<String, Object>) value)
+                value instanceof Map && base.get(name) instanceof Map
+                        ? merged((Map<String, Object>) base.get(name), (Map<String, Object>) value)
                         : value));
-        return all;
+        return result;
     }
 
-    /** Whether both have the same under this name, or neither anything. */
+    /** Whether both have an equal value under this name, or neither has one. */
     public boolean same(String name, Tree other) {
         return Objects.equals(fields.get(name), other.fields.get(name));
     }
@@ -196,7 +211,7 @@
         return fields.equals(other.fields);
     }
 
-    /** One of the words, or absent. */
+    /** Refuses a string that is not among the words; it may be absent. */
     public void word(String name, String... words) {
         String is = text(name, words[0]);
         if (!List.of(words).contains(is)) {
@@ -204,34 +219,35 @@
         }
     }
 
-    /** A number that is not below the least, or absent. */
-    public void least(String name, double least) {
-        double is = number(name, least);
-        if (!(is >= least)) {
-            throw new BadSetting(key(name) + " is " + is + ": at least " + least + " is needed");
+    /** Refuses a number below the minimum; it may be absent. */
+    public void least(String name, double min) {
+        double is = number(name, min);
+        if (!(is >= min)) {
+            throw new BadSetting(key(name) + " is " + is + ": at least " + min + " is needed");
         }
     }
 
-    /** The names of all fields. */
+    /** The names of all fields, in the order of the file. */
     public Set<String> names() {
         return fields.keySet();
     }
 
-    /** An address of numbers and a port: no name is looked up anywhere. */
+    /** A numeric IP address and a port; host names are refused, so that nothing is resolved. */
     public InetSocketAddress address(String name) {
         return Config.address(key(name), text(name));
     }
 
-    /** Whether there is an object of this name. */
+    /** Whether there is a value other than null under this name. */
     public boolean has(String name) {
         return fields.get(name) != null;
     }
 
-    /** A whole number that has to lie between the two, or is absent. */
-    public int whole(String name, int least, int most, int absent) {
-        return has(name) ? whole(name, least, most) : absent;
+    /** An integer within the bounds, both inclusive, or the default if it is absent. */
+    public int whole(String name, int min, int max, int defaultValue) {
+        return has(name) ? whole(name, min, max) : defaultValue;
     }
 
+    /** Whether a boolean is present and true. */
     public boolean yes(String name) {
         return Boolean.TRUE.equals(as(Boolean.class, "true or false", fields.get(name), name));
     }
--- a/daemon/src/main/java/tallyweir/fastcgi/Bytes.java
+++ b/daemon/src/main/java/tallyweir/fastcgi/Bytes.java
@@ -3,28 +3,32 @@
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 
-/** Bytes that are put together up to a limit; past it they are passed over. */
+/** A growing buffer with a maximum size; bytes that would exceed it are skipped. */
 final class Bytes {
     private static final byte[] NONE = {};
     private final int most;
     private byte[] bytes = NONE;
     private int length;
 
-    Bytes(int most) {
-        this.most = most;
+    Bytes(int maxBytes) {
+        this.most = maxBytes;
     }
 
-    /** Takes so many bytes off the buffer; false if they do not fit. */
-    boolean add(ByteBuffer in, int take) {
-        if (length + take > most) {
-            in.position(in.position() + take);
+    /**
+     * Consumes the given number of bytes of the input.
+     *
+     * @return false if they do not fit; they are skipped then and nothing is appended
+     */
+    boolean add(ByteBuffer in, int count) {
+        if (length + count > most) {
+            in.position(in.position() + count);
             return false;
         }
-        if (length + take > bytes.length) {
-            bytes = Arrays.copyOf(bytes, Math.min(most, Math.max(length + take, 2 * bytes.length)));
+        if (length + count > bytes.length) {
+            bytes = Arrays.copyOf(bytes, Math.min(most, Math.max(length + count, 2 * bytes.length)));
         }
-        in.get(bytes, length, take);
-        length += take;
+        in.get(bytes, length, count);
+        length += count;
         return true;
     }
 
--- a/daemon/src/main/java/tallyweir/fastcgi/Fields.java
+++ b/daemon/src/main/java/tallyweir/fastcgi/Fields.java
@@ -7,18 +7,27 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The parameters of a request that the decisions need; the others are passed over. */
+/** The FastCGI parameters of a request that the server uses; all others are ignored. */
 public final class Fields {
     public static final String ID = "HTTP_REQUEST_ID";
+    /** When the query was received, in milliseconds of wall-clock time. */
     public static final String RECEIVED = "HTTP_RECEIVED_AT";
+
     public static final String CALLER = "HTTP_SENT_BY";
     public static final String TENANT = "HTTP_ACCOUNT";
+    /** How long the caller waits after the query was received, in milliseconds. */
     public static final String PATIENCE = "HTTP_BUDGET_MS";
+    /** 1 if the query is a retry. */
     public static final String AGAIN = "HTTP_ATTEMPT_AGAIN";
+    /** The memory that a run of the query needs, in kilobytes. */
     public static final String SIZE = "HTTP_FOOTPRINT_KB";
+    /** The priority of the query, at least 0 and less than 1. */
     public static final String RANK = "HTTP_PRIORITY_RANK";
+    /** The resource that the query concerns. */
     public static final String SUBJECT = "HTTP_RESOURCE_KEY";
+    /** The idempotency key of a stamped query. */
     public static final String STAMP = "HTTP_ONCE_KEY";
+
     public static final String PATH = "SCRIPT_NAME";
     public static final String METHOD = "REQUEST_METHOD";
     private static final Set<String> NEEDED =
@@ -38,63 +47,76 @@
         });
     }
 
-    /** Name-value pairs, with lengths of one byte or four. */
+    /** Parses name-value pairs, each with two lengths of one byte or four. */
     static Map<String, String> pairs(byte[] params) {
         Map<String, String> pairs = new LinkedHashMap<>();
-        int[] at = {0};
-        while (at[0] < params.length) {
-            int name = length(params, at);
-            int value = length(params, at);
-            if (name > params.length - at[0] || value > params.length - at[0] - name) {
-                throw new IllegalArgumentException("a pair reaches past the end");
+        int[] position = {0};
+        while (position[0] < params.length) {
+            int nameLength = length(params, position);
+            int valueLength = length(params, position);
+            if (nameLength > params.length - position[0] || valueLength > params.length - position[0] - nameLength) {
+                throw new IllegalArgumentException("a name-value pair exceeds the parameters");
             }
-            pairs.put(new String(params, at[0], name, ISO_8859_1), new String(params, at[0] + name, value, ISO_8859_1));
-            at[0] += name + value;
+            pairs.put(
+                    new String(params, position[0], nameLength, ISO_8859_1),
+                    new String(params, position[0] + nameLength, valueLength, ISO_8859_1));
+            position[0] += nameLength + valueLength;
         }
         return pairs;
     }
 
-    private static int length(byte[] params, int[] at) {
-        int wide = at[0] < params.length && params[at[0]] < 0 ? 4 : 1;
-        if (at[0] + wide > params.length) {
-            throw new IllegalArgumentException("a length reaches past the end");
+    private static int length(byte[] params, int[] position) {
+        int size = position[0] < params.length && params[position[0]] < 0 ? 4 : 1;
+        if (position[0] + size > params.length) {
+            throw new IllegalArgumentException("a length field exceeds the parameters");
         }
-        int length = params[at[0]++] & 0x7f;
-        for (int i = 1; i < wide; i++) {
-            length = length << 8 | params[at[0]++] & 0xff;
+        int length = params[position[0]++] & 0x7f;
+        for (int i = 1; i < size; i++) {
+            length = length << 8 | params[position[0]++] & 0xff;
         }
         return length;
     }
 
-    /** The value, null if the field is absent. */
+    /** The value of a field, null if it is absent. */
     public String text(String name) {
         return values.get(name);
     }
 
-    /** A whole number of at most 15 digits, absent as given; anything else is refused. */
-    public long whole(String name, long absent) {
+    /**
+     * An integer of at most 15 digits, or the default if the field is absent.
+     *
+     * @throws IllegalArgumentException if the value is anything else
+     */
+    public long whole(String name, long defaultValue) {
         String text = values.get(name);
         if (text == null) {
-            return absent;
+            return defaultValue;
         }
         if (!text.matches("[0-9]{1,15}")) {
-            throw new IllegalArgumentException(name + " is no whole number");
+            throw new IllegalArgumentException(name + " is not an integer");
         }
         return Long.parseLong(text);
     }
 
+    /** An integer that must be present, as above. */
     public long whole(String name) {
         return whole(needed(name), 0);
     }
 
+    /** A decimal number that must be present, without a sign or an exponent. */
     public double number(String name) {
         String text = values.get(needed(name));
         if (!text.matches("[0-9]{1,9}(\\.[0-9]{1,20})?")) {
-            throw new IllegalArgumentException(name + " is no number");
+            throw new IllegalArgumentException(name + " is not a number");
         }
         return Double.parseDouble(text);
     }
 
+    /**
+     * Returns the name of a field that must be present.
+     *
+     * @throws IllegalArgumentException if it is absent
+     */
     public String needed(String name) {
         if (!values.containsKey(name)) {
             throw new IllegalArgumentException(name + " is missing");
--- a/daemon/src/main/java/tallyweir/fastcgi/Reader.java
+++ b/daemon/src/main/java/tallyweir/fastcgi/Reader.java
@@ -6,46 +6,61 @@
 import tallyweir.ids.RequestId;
 
 /**
- * Takes FastCGI records from the bytes of one connection, however they are split, and puts requests together.
- * Every length is limited; what is too long is told once and the rest of that request is passed over.
+ * An incremental parser of the FastCGI records of one connection, which assembles them to requests. The input may be split
+ * at any byte. Every length is limited; a request that exceeds a limit is reported once and the rest of it is skipped.
  */
 public final class Reader {
+    /** The maximum size of the parameters of a request. */
     public static final int PARAMS_MOST = 8 << 10;
+    /** The maximum size of the body of a request. */
     public static final int BODY_MOST = 2 << 10;
+    /** The maximum number of open requests on a connection. */
     public static final int OPEN_MOST = 32;
+
     private static final int MANAGEMENT_MOST = 1 << 10;
+    /** The maximum number of consecutive bytes that are skipped, so that an endless body does not keep its connection open. */
     static final int PASSED_MOST = 64 << 20;
 
-    /** What comes out. Calls of done from within are allowed. */
+    /** Receives the events of the parser. It may call {@link Reader#done} from within. */
     public interface Sink {
-        /** False if there is no room for it. */
+        /**
+         * A request begins.
+         *
+         * @return false if the server is full; the request is refused as overloaded then
+         */
         boolean begun(RequestId id);
 
+        /** A complete request. */
         void request(RequestId id, Fields fields, byte[] body, boolean keepConnection);
 
-        /** Nothing of the request will be run; its answer is owed. */
-        void refused(RequestId id, Refusal why, boolean keepConnection);
+        /** A request that will not be run but still has to be answered. */
+        void refused(RequestId id, Refusal reason, boolean keepConnection);
 
+        /** The web server aborts an open request. */
         void aborted(RequestId id);
 
-        /** A management record's reply. */
+        /** The reply to a management record, ready to be written. */
         void reply(byte[] record);
 
-        /** The stream cannot be followed any more. */
-        void bad(String why);
+        /** The stream is invalid from here on; no further event follows. */
+        void bad(String reason);
     }
 
-    /** Why a request was refused before anybody looked at it. */
+    /** Reasons to refuse a request before it reaches the decisions. */
     public enum Refusal {
+        /** The parameters are missing, incomplete or cannot be parsed. */
         PARAMS,
+        /** The parameters or the body exceed their maximum size. */
         TOO_BIG,
+        /** The request asks for a FastCGI role other than responder. */
         ROLE,
+        /** Too many requests are open, or the sink is full. */
         OVERLOADED
     }
 
     private static final class Request {
         boolean keep;
-        boolean told; // handed over or refused; an answer is under way
+        boolean told; // passed to the sink, as a request or as a refusal; its answer is pending
         boolean paramsEnded;
         final Bytes params = new Bytes(PARAMS_MOST);
         final Bytes body = new Bytes(BODY_MOST);
@@ -58,50 +73,53 @@
     private int headerRead;
     private int contentLeft;
     private int paddingLeft;
-    private final Bytes whole = new Bytes(MANAGEMENT_MOST); // a record that is taken only whole
-    private long passed; // bytes in a row that belong to no request, or to one refused
+    private final Bytes whole =
+            new Bytes(MANAGEMENT_MOST); // the content of a record that is handled only when complete
+    private long passed; // consecutive bytes that belong to no request or to one already passed on
     private boolean over;
 
     public Reader(Sink sink) {
         this.sink = sink;
     }
 
-    /** Requests begun and not yet answered. */
+    /** The number of requests that have begun and are not answered yet. */
     public int open() {
         return open.size();
     }
 
+    /** Whether no record is read in part. */
     public boolean betweenRecords() {
         return headerRead == 0;
     }
 
-    /** The request is answered: its id is free for another. */
+    /** Releases the id of an answered request for another one. */
     public void done(RequestId id) {
         open.remove(id);
     }
 
-    /** Whatever comes from now on is passed over. */
+    /** Ignores all further input. */
     public void stop() {
         over = true;
     }
 
+    /** Parses all remaining bytes, unless the stream is invalid or the parser was stopped. */
     public void read(ByteBuffer in) {
         while (!over && in.hasRemaining()) {
             if (headerRead < Records.HEADER) {
-                int take = Math.min(Records.HEADER - headerRead, in.remaining());
-                in.get(header, headerRead, take);
-                headerRead += take;
+                int count = Math.min(Records.HEADER - headerRead, in.remaining());
+                in.get(header, headerRead, count);
+                headerRead += count;
                 if (headerRead == Records.HEADER) {
                     headerEnded();
                 }
             } else if (contentLeft > 0) {
-                int take = Math.min(contentLeft, in.remaining());
-                content(in, take);
-                contentLeft -= take;
+                int count = Math.min(contentLeft, in.remaining());
+                content(in, count);
+                contentLeft -= count;
             } else {
-                int take = Math.min(paddingLeft, in.remaining());
-                in.position(in.position() + take);
-                paddingLeft -= take;
+                int count = Math.min(paddingLeft, in.remaining());
+                in.position(in.position() + count);
+                paddingLeft -= count;
             }
             if (!over && headerRead == Records.HEADER && contentLeft == 0 && paddingLeft == 0) {
                 headerRead = 0;
@@ -137,21 +155,21 @@
         }
     }
 
-    private void content(ByteBuffer in, int take) {
-        Request r = open.get(id());
+    private void content(ByteBuffer in, int count) {
+        Request request = open.get(id());
         if (id().value() == 0 || type() == Records.BEGIN) {
-            whole.add(in, take);
-        } else if (r != null && !r.told && type() == Records.PARAMS) {
-            if (!r.params.add(in, take)) {
-                refuse(r, Refusal.TOO_BIG);
+            whole.add(in, count);
+        } else if (request != null && !request.told && type() == Records.PARAMS) {
+            if (!request.params.add(in, count)) {
+                refuse(request, Refusal.TOO_BIG);
             }
-        } else if (r != null && !r.told && type() == Records.STDIN) {
-            if (!r.body.add(in, take)) {
-                refuse(r, Refusal.TOO_BIG);
+        } else if (request != null && !request.told && type() == Records.STDIN) {
+            if (!request.body.add(in, count)) {
+                refuse(request, Refusal.TOO_BIG);
             }
         } else {
-            in.position(in.position() + take);
-            passed += take;
+            in.position(in.position() + count);
+            passed += count;
         }
     }
 
@@ -162,25 +180,25 @@
         }
         passed += Records.HEADER;
         if (passed > PASSED_MOST) {
-            bad("over " + PASSED_MOST + " bytes that belong to no request"); // one that never ends
+            bad("over " + PASSED_MOST + " bytes that belong to no request"); // for example a body without end
             return;
         }
-        Request r = open.get(id());
+        Request request = open.get(id());
         switch (type()) {
             case Records.BEGIN -> begin();
             case Records.ABORT -> {
-                if (r != null) {
+                if (request != null) {
                     sink.aborted(id());
                 }
             }
             case Records.PARAMS -> {
-                if (r != null && !r.told && length() == 0) {
-                    paramsEnded(r);
+                if (request != null && !request.told && length() == 0) {
+                    paramsEnded(request);
                 }
             }
             case Records.STDIN -> {
-                if (r != null && !r.told && length() == 0) {
-                    bodyEnded(r);
+                if (request != null && !request.told && length() == 0) {
+                    bodyEnded(request);
                 }
             }
             default -> {}
@@ -204,48 +222,48 @@
             bad("request " + id().value() + " begins while it is open");
             return;
         }
-        boolean full = open.size() >= OPEN_MOST;
-        Request r = new Request();
-        r.keep = (content[2] & 1) != 0;
-        open.put(id(), r);
-        if (!sink.begun(id()) || full) {
-            refuse(r, Refusal.OVERLOADED);
+        boolean tooManyOpen = open.size() >= OPEN_MOST;
+        Request request = new Request();
+        request.keep = (content[2] & 1) != 0;
+        open.put(id(), request);
+        if (!sink.begun(id()) || tooManyOpen) {
+            refuse(request, Refusal.OVERLOADED);
         } else if (((content[0] & 0xff) << 8 | content[1] & 0xff) != Records.RESPONDER) {
-            refuse(r, Refusal.ROLE);
+            refuse(request, Refusal.ROLE);
         }
     }
 
-    private void paramsEnded(Request r) {
-        r.paramsEnded = true;
+    private void paramsEnded(Request request) {
+        request.paramsEnded = true;
         try {
-            r.fields = new Fields(r.params.copy());
-            r.params.clear();
+            request.fields = new Fields(request.params.copy());
+            request.params.clear();
         } catch (IllegalArgumentException e) {
-            refuse(r, Refusal.PARAMS);
+            refuse(request, Refusal.PARAMS);
         }
     }
 
-    private void bodyEnded(Request r) {
-        if (!r.paramsEnded) {
-            refuse(r, Refusal.PARAMS);
+    private void bodyEnded(Request request) {
+        if (!request.paramsEnded) {
+            refuse(request, Refusal.PARAMS);
             return;
         }
-        r.told = true;
+        request.told = true;
         passed = 0;
-        byte[] body = r.body.copy();
-        r.body.clear();
-        sink.request(id(), r.fields, body, r.keep);
+        byte[] body = request.body.copy();
+        request.body.clear();
+        sink.request(id(), request.fields, body, request.keep);
     }
 
-    private void refuse(Request r, Refusal why) {
-        r.told = true;
-        r.params.clear();
-        r.body.clear();
-        sink.refused(id(), why, r.keep);
+    private void refuse(Request request, Refusal reason) {
+        request.told = true;
+        request.params.clear();
+        request.body.clear();
+        sink.refused(id(), reason, request.keep);
     }
 
-    private void bad(String why) {
+    private void bad(String reason) {
         over = true;
-        sink.bad(why);
+        sink.bad(reason);
     }
 }
--- a/daemon/src/main/java/tallyweir/fastcgi/Records.java
+++ b/daemon/src/main/java/tallyweir/fastcgi/Records.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import tallyweir.ids.RequestId;
 
-/** FastCGI records as they are written; the numbers are those of its specification 1.0. */
+/** Encodes FastCGI records; the numbers are those of the FastCGI specification 1.0. */
 public final class Records {
     static final int HEADER = 8;
     static final int VERSION = 1;
@@ -29,24 +29,32 @@
 
     private Records() {}
 
-    /** A whole answer: status, further header lines (each with its end), the body. */
+    /**
+     * A complete answer.
+     *
+     * @param headers further header lines, each with its line end
+     */
     public static byte[] answer(RequestId id, int status, String headers, byte[] body) {
         byte[] head = ("Status: " + status + "\r\n" + headers + "\r\n").getBytes(ISO_8859_1);
         ByteArrayOutputStream out = new ByteArrayOutputStream(head.length + body.length + 40);
-        byte[] all = new byte[head.length + body.length];
-        System.arraycopy(head, 0, all, 0, head.length);
-        System.arraycopy(body, 0, all, head.length, body.length);
-        for (int at = 0; at < all.length; at += RECORD_MOST) {
-            int length = Math.min(RECORD_MOST, all.length - at);
+        byte[] content = new byte[head.length + body.length];
+        System.arraycopy(head, 0, content, 0, head.length);
+        System.arraycopy(body, 0, content, head.length, body.length);
+        for (int offset = 0; offset < content.length; offset += RECORD_MOST) {
+            int length = Math.min(RECORD_MOST, content.length - offset);
             header(out, STDOUT, id, length);
-            out.write(all, at, length);
+            out.write(content, offset, length);
         }
         header(out, STDOUT, id, 0);
         end(out, id, COMPLETE);
         return out.toByteArray();
     }
 
-    /** A whole request as a sidecar writes it; fields come as name, value, name, value. */
+    /**
+     * A complete request as a sidecar writes it.
+     *
+     * @param fields alternating names and values, each shorter than 128 bytes
+     */
     public static byte[] query(int id, byte[] body, String... fields) {
         ByteArrayOutputStream params = new ByteArrayOutputStream();
         for (int i = 0; i < fields.length; i += 2) {
@@ -55,29 +63,31 @@
             params.writeBytes((fields[i] + fields[i + 1]).getBytes(ISO_8859_1));
         }
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        RequestId of = new RequestId(id);
-        header(out, BEGIN, of, 8);
+        RequestId requestId = new RequestId(id);
+        header(out, BEGIN, requestId, 8);
         out.writeBytes(new byte[] {0, RESPONDER, 1, 0, 0, 0, 0, 0});
         for (byte[] content : new byte[][] {params.toByteArray(), {}}) {
-            header(out, PARAMS, of, content.length);
+            header(out, PARAMS, requestId, content.length);
             out.writeBytes(content);
         }
         for (byte[] content : new byte[][] {body, {}}) {
-            header(out, STDIN, of, content.length);
+            header(out, STDIN, requestId, content.length);
             out.writeBytes(content);
         }
         return out.toByteArray();
     }
 
-    /** An end without an answer, as after an abort. */
+    /** The end of a request without an answer, as after an abort. */
     public static byte[] ended(RequestId id) {
         return end(id, COMPLETE);
     }
 
+    /** The end of a request that is refused because the server is overloaded. */
     public static byte[] overloaded(RequestId id) {
         return end(id, OVERLOADED);
     }
 
+    /** The end of a request that is refused because its role is not supported. */
     public static byte[] unknownRole(RequestId id) {
         return end(id, UNKNOWN_ROLE);
     }
@@ -93,11 +103,11 @@
         out.writeBytes(new byte[] {0, 0, 0, 0, (byte) status, 0, 0, 0});
     }
 
-    /** Of the values that may be asked for, the one that is fixed: a connection carries many requests. */
-    static byte[] values(Set<String> asked) {
+    /** The reply to GET_VALUES with the only value that is fixed: a connection multiplexes requests. */
+    static byte[] values(Set<String> requested) {
         String name = "FCGI_MPXS_CONNS";
         ByteArrayOutputStream pairs = new ByteArrayOutputStream();
-        if (asked.contains(name)) {
+        if (requested.contains(name)) {
             pairs.write(name.length());
             pairs.write(1);
             pairs.writeBytes((name + "1").getBytes(ISO_8859_1));
--- a/daemon/src/main/java/tallyweir/kernel/Commands.java
+++ b/daemon/src/main/java/tallyweir/kernel/Commands.java
@@ -7,52 +7,60 @@
 import java.io.UncheckedIOException;
 import tallyweir.ids.JobId;
 
-/** The commands to the kernel as they are written. */
+/** Encodes the commands to the kernel, one JSON object per line. */
 public final class Commands {
     private static final JsonFactory JSON = new JsonFactory();
 
     private Commands() {}
 
     private interface Rest {
-        void write(JsonGenerator to) throws IOException;
+        void write(JsonGenerator json) throws IOException;
     }
 
-    /** The first on a link, with the number of the last notice that was read. */
-    public static byte[] open(long n) {
-        return line("OPEN", g -> g.writeNumberField("n", n));
+    /**
+     * The first command on a link.
+     *
+     * @param lastNotice the number of the last notice read, 0 for none
+     */
+    public static byte[] open(long lastNotice) {
+        return line("OPEN", json -> json.writeNumberField("n", lastNotice));
     }
 
+    /** Starts a run of the given kind. */
     public static byte[] run(JobId job, String kind, byte[] body) {
-        return line("SCHED", g -> {
-            g.writeStringField("job", job.value());
-            g.writeStringField("kind", kind);
-            g.writeBinaryField("data", body);
+        return line("SCHED", json -> {
+            json.writeStringField("job", job.value());
+            json.writeStringField("kind", kind);
+            json.writeBinaryField("data", body);
         });
     }
 
+    /** Stops a run. */
     public static byte[] stop(JobId job) {
-        return line("PREEMPT", g -> g.writeStringField("job", job.value()));
+        return line("PREEMPT", json -> json.writeStringField("job", job.value()));
     }
 
+    /** Gives a blocked run the reply to its call. */
     public static byte[] reply(JobId job, byte[] body) {
-        return line("IODONE", g -> {
-            g.writeStringField("job", job.value());
-            g.writeBinaryField("data", body);
+        return line("IODONE", json -> {
+            json.writeStringField("job", job.value());
+            json.writeBinaryField("data", body);
         });
     }
 
+    /** Requests the gauges; the notice that answers carries the tag. */
     public static byte[] gauges(String tag) {
-        return line("SYSINFO", g -> g.writeStringField("ref", tag));
+        return line("SYSINFO", json -> json.writeStringField("ref", tag));
     }
 
-    private static byte[] line(String type, Rest rest) {
+    private static byte[] line(String type, Rest fields) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(128);
-        try (JsonGenerator g = JSON.createGenerator(out)) {
-            g.writeStartObject();
-            g.writeStringField("type", type);
-            rest.write(g);
-            g.writeEndObject();
-            g.writeRaw('\n');
+        try (JsonGenerator json = JSON.createGenerator(out)) {
+            json.writeStartObject();
+            json.writeStringField("type", type);
+            fields.write(json);
+            json.writeEndObject();
+            json.writeRaw('\n');
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/daemon/src/main/java/tallyweir/kernel/Notices.java
+++ b/daemon/src/main/java/tallyweir/kernel/Notices.java
@@ -9,31 +9,47 @@
 import java.util.Base64;
 import tallyweir.ids.JobId;
 
-/** Takes the kernel's notices, one JSON object a line, from bytes however they are split. */
+/** An incremental parser of the kernel's notices, one JSON object per line. The input may be split at any byte. */
 public final class Notices {
     static final int LINE_MOST = 64 << 10;
     private static final int GAUGES_MOST = 64;
     private static final byte[] NONE = {};
 
-    /** What comes out; times are tenths of a millisecond, data is as it was before base64. */
+    /** Receives the events of the parser. Times are in tenths of a millisecond; data is decoded from base64. */
     public interface Sink {
-        void booted(boolean fresh, long before);
+        /**
+         * The kernel is up: the first notice on a link.
+         *
+         * @param coldStart whether the server starts cold on this kernel
+         * @param uptime how long ago the kernel started
+         */
+        void booted(boolean coldStart, long uptime);
 
-        void ended(long n, JobId job, String how, byte[] result);
+        /**
+         * A run has ended.
+         *
+         * @param n the number of the notice
+         * @param state how the run ended, in the kernel's word
+         */
+        void ended(long n, JobId job, String state, byte[] result);
 
+        /** A run is blocked on a call to the store with the given body. */
         void needs(long n, JobId job, byte[] body);
 
+        /** The gauges requested with the tag, in the order of the settings. */
         void gauges(String tag, double[] values);
 
+        /** The kernel could not carry out a command. */
         void notDone(String command, JobId job);
 
+        /** A numbered message of the kernel that needs no action. */
         void remark(long n, String text);
 
-        /** A line that says nothing known; it is passed over. */
-        void unknown(String why);
+        /** An invalid line or one of an unknown type, which is skipped. */
+        void unknown(String reason);
 
-        /** The stream cannot be followed any more. */
-        void bad(String why);
+        /** The stream is invalid from here on; no further event follows. */
+        void bad(String reason);
     }
 
     private final JsonFactory json = new JsonFactory();
@@ -45,13 +61,14 @@
         this.sink = sink;
     }
 
+    /** Parses all remaining bytes, unless the stream is invalid. */
     public void read(ByteBuffer in) {
         while (!over && in.hasRemaining()) {
             byte b = in.get();
             if (b == '\n') {
-                byte[] whole = line.toByteArray();
+                byte[] complete = line.toByteArray();
                 line.reset();
-                take(whole);
+                take(complete);
             } else if (line.size() >= LINE_MOST) {
                 over = true;
                 sink.bad("a line over " + LINE_MOST + " bytes");
@@ -68,11 +85,11 @@
         String ref = "";
         byte[] data = NONE;
         long n = 0;
-        double took = 0;
+        double uptimeMs = 0;
         double[] gauges = {};
         try (JsonParser in = json.createParser(text)) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
-                throw new IOException("no object");
+                throw new IOException("not a JSON object");
             }
             while (in.nextToken() == JsonToken.FIELD_NAME) {
                 String field = in.currentName();
@@ -84,7 +101,7 @@
                     case "ref" -> ref = in.getValueAsString("");
                     case "data" -> data = Base64.getDecoder().decode(in.getValueAsString(""));
                     case "n" -> n = in.getValueAsLong();
-                    case "took" -> took = in.getValueAsDouble();
+                    case "took" -> uptimeMs = in.getValueAsDouble();
                     case "gauges" -> gauges = gauges(in);
                     default -> in.skipChildren();
                 }
@@ -94,7 +111,7 @@
             return;
         }
         switch (type) {
-            case "BOOTED" -> sink.booted(state.equals("new"), (long) Math.ceil(took * 10));
+            case "BOOTED" -> sink.booted(state.equals("new"), (long) Math.ceil(uptimeMs * 10));
             case "REAP" -> sink.ended(n, job, state, data);
             case "IOREQ" -> sink.needs(n, job, data);
             case "INFO" -> sink.gauges(ref, gauges);
@@ -108,7 +125,7 @@
         double[] values = new double[GAUGES_MOST];
         int count = 0;
         if (in.currentToken() != JsonToken.START_ARRAY) {
-            throw new IOException("gauges is no list");
+            throw new IOException("gauges is not an array");
         }
         while (in.nextToken() != JsonToken.END_ARRAY) {
             if (count < GAUGES_MOST) {
--- a/daemon/src/main/java/tallyweir/store/Replies.java
+++ b/daemon/src/main/java/tallyweir/store/Replies.java
@@ -3,24 +3,30 @@
 import java.nio.ByteBuffer;
 import tallyweir.ids.JobId;
 
-/** Takes the store's replies from bytes however they are split. */
+/** An incremental parser of the store's replies. The input may be split at any byte. */
 public final class Replies {
     static final int LINE_MOST = 128;
     static final int BODY_MOST = 64 << 10;
     private static final byte[] NONE = {};
 
-    /** What comes out; the word is that of the reply, the body empty but for OK. */
+    /** Receives the events of the parser. */
     public interface Sink {
+        /**
+         * A complete reply.
+         *
+         * @param word its result: OK, BUSY, ERR, LATE or VOID
+         * @param body empty unless the result is OK
+         */
         void replied(JobId job, String word, byte[] body);
 
-        /** The stream cannot be followed any more. */
-        void bad(String why);
+        /** The stream is invalid from here on; no further event follows. */
+        void bad(String reason);
     }
 
     private final Sink sink;
     private final StringBuilder line = new StringBuilder();
     private JobId job;
-    private byte[] body; // being read, with its line end; null between replies
+    private byte[] body; // the body being read, including its line end; null between replies
     private int bodyRead;
     private boolean over;
 
@@ -28,12 +34,13 @@
         this.sink = sink;
     }
 
+    /** Parses all remaining bytes, unless the stream is invalid. */
     public void read(ByteBuffer in) {
         while (!over && in.hasRemaining()) {
             if (body != null) {
-                int take = Math.min(body.length - bodyRead, in.remaining());
-                in.get(body, bodyRead, take);
-                bodyRead += take;
+                int count = Math.min(body.length - bodyRead, in.remaining());
+                in.get(body, bodyRead, count);
+                bodyRead += count;
                 if (bodyRead == body.length) {
                     bodyEnded();
                 }
@@ -71,18 +78,18 @@
     }
 
     private void bodyEnded() {
-        byte[] whole = body;
+        byte[] complete = body;
         body = null;
-        int length = whole.length - 2;
-        if (whole[length] != '\r' || whole[length + 1] != '\n') {
-            bad("a reply that does not end with its line");
+        int length = complete.length - 2;
+        if (complete[length] != '\r' || complete[length + 1] != '\n') {
+            bad("a reply body without its line end");
             return;
         }
-        sink.replied(job, "OK", java.util.Arrays.copyOf(whole, length));
+        sink.replied(job, "OK", java.util.Arrays.copyOf(complete, length));
     }
 
-    private void bad(String why) {
+    private void bad(String reason) {
         over = true;
-        sink.bad(why);
+        sink.bad(reason);
     }
 }
--- a/daemon/src/main/java/tallyweir/wirehost/BadInput.java
+++ b/daemon/src/main/java/tallyweir/wirehost/BadInput.java
@@ -1,10 +1,10 @@
 package tallyweir.wirehost;
 
-/** A line that cannot be taken as a batch; the text names the field. */
+/** Thrown for a line that is not a valid batch; the message names the field. */
 final class BadInput extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    BadInput(String text) {
-        super(text);
+    BadInput(String message) {
+        super(message);
     }
 }
--- a/daemon/src/main/java/tallyweir/wirehost/Host.java
+++ b/daemon/src/main/java/tallyweir/wirehost/Host.java
@@ -10,7 +10,7 @@
 import tallyweir.ids.QueryId;
 import tallyweir.ids.TimerId;
 
-/** One instance: its Choice, and its actions put into the reply. */
+/** One hosted instance of the decisions: its {@link Choice}, whose actions are written into the reply to a batch. */
 final class Host implements Outgoing {
     private final int backend;
     private Choice choice;
@@ -25,11 +25,13 @@
         return choice;
     }
 
-    void open(JsonGenerator to) {
-        reply = to;
+    /** Begins the reply to the events of a batch; the group is written with the first action. */
+    void open(JsonGenerator json) {
+        reply = json;
         spoke = false;
     }
 
+    /** Ends the reply to the events of a batch. */
     void close() throws IOException {
         if (spoke) {
             reply.writeEndArray();
@@ -41,103 +43,109 @@
         choice = null;
     }
 
+    /**
+     * Starts the instance, anew if it is running.
+     *
+     * @param now the time in tenths of a millisecond
+     */
     void configure(Tree params, long seed, long now) {
         Settings settings = new Settings(params);
         choice = new Choice(this, seed, now);
         settings.start(choice, settings.cold(), true, true, true);
     }
 
+    /** Reports a failure of the decisions. */
     void fault(String text) {
-        action("Fault", g -> g.writeStringField("What", text));
+        action("Fault", json -> json.writeStringField("What", text));
     }
 
     @Override
     public void run(QueryId query) {
-        action("Execute", g -> g.writeNumberField("Id", query.value()));
+        action("Execute", json -> json.writeNumberField("Id", query.value()));
     }
 
     @Override
-    public void defer(QueryId query, long keepOff, boolean nowhereElse) {
-        action("NotNow", g -> {
-            g.writeNumberField("Id", query.value());
-            if (keepOff > 0) {
-                g.writeNumberField("RetryAfterUs", keepOff * 100);
+    public void defer(QueryId query, long retryAfter, boolean terminal) {
+        action("NotNow", json -> {
+            json.writeNumberField("Id", query.value());
+            if (retryAfter > 0) {
+                json.writeNumberField("RetryAfterUs", retryAfter * 100);
             }
-            if (nowhereElse) {
-                g.writeBooleanField("Terminal", true);
+            if (terminal) {
+                json.writeBooleanField("Terminal", true);
             }
         });
     }
 
     @Override
     public void fail(QueryId query) {
-        action("Lose", g -> g.writeNumberField("Id", query.value()));
+        action("Lose", json -> json.writeNumberField("Id", query.value()));
     }
 
     @Override
     public void stop(QueryId query) {
-        action("Yank", g -> g.writeNumberField("Id", query.value()));
+        action("Yank", json -> json.writeNumberField("Id", query.value()));
     }
 
     @Override
-    public void call(QueryId query, long timeOut) {
-        action("CallDep", g -> {
-            g.writeNumberField("Id", query.value());
-            g.writeNumberField("TimeoutUs", timeOut * 100);
+    public void call(QueryId query, long timeout) {
+        action("CallDep", json -> {
+            json.writeNumberField("Id", query.value());
+            json.writeNumberField("TimeoutUs", timeout * 100);
         });
     }
 
     @Override
     public void poorer(QueryId query) {
-        action("FallBack", g -> g.writeNumberField("Id", query.value()));
+        action("FallBack", json -> json.writeNumberField("Id", query.value()));
     }
 
     @Override
-    public void keep(QueryId query, long span) {
-        action("RecordKey", g -> {
-            g.writeNumberField("Id", query.value());
-            g.writeNumberField("SpanUs", span * 100);
+    public void keep(QueryId query, long duration) {
+        action("RecordKey", json -> {
+            json.writeNumberField("Id", query.value());
+            json.writeNumberField("SpanUs", duration * 100);
         });
     }
 
     @Override
     public void forget(QueryId query) {
-        action("Erase", g -> g.writeNumberField("Id", query.value()));
+        action("Erase", json -> json.writeNumberField("Id", query.value()));
     }
 
     @Override
     public void reuse(QueryId query) {
-        action("Replay", g -> g.writeNumberField("Id", query.value()));
+        action("Replay", json -> json.writeNumberField("Id", query.value()));
     }
 
     @Override
-    public void health(boolean good, boolean stored) {
-        action("SetHealth", g -> {
-            g.writeBooleanField("On", good);
-            g.writeBooleanField("FromState", stored);
+    public void health(boolean good, boolean fromState) {
+        action("SetHealth", json -> {
+            json.writeBooleanField("On", good);
+            json.writeBooleanField("FromState", fromState);
         });
     }
 
     @Override
-    public void say(double value) {
-        action("Signal", g -> g.writeNumberField("X", value));
+    public void say(double level) {
+        action("Signal", json -> json.writeNumberField("X", level));
     }
 
     @Override
-    public void closeIdle(long span) {
-        action("CloseIdle", g -> g.writeNumberField("SpanUs", span * 100));
+    public void closeIdle(long idleDuration) {
+        action("CloseIdle", json -> json.writeNumberField("SpanUs", idleDuration * 100));
     }
 
     @Override
     public void wake(long at, TimerId timer) {
-        action("WakeAt", g -> {
-            g.writeNumberField("DueAtUs", at * 100);
-            g.writeNumberField("Ctx", timer.value());
+        action("WakeAt", json -> {
+            json.writeNumberField("DueAtUs", at * 100);
+            json.writeNumberField("Ctx", timer.value());
         });
     }
 
     private interface Fields {
-        void write(JsonGenerator to) throws IOException;
+        void write(JsonGenerator json) throws IOException;
     }
 
     private void action(String name, Fields fields) {
--- a/daemon/src/main/java/tallyweir/wirehost/Lines.java
+++ b/daemon/src/main/java/tallyweir/wirehost/Lines.java
@@ -4,7 +4,7 @@
 import java.io.InputStream;
 import java.util.Arrays;
 
-/** Lines of any length as bytes, in one array used again. */
+/** Reads lines of any length as bytes into one array, which is reused. */
 final class Lines {
     private final InputStream in;
     private final byte[] chunk = new byte[1 << 16];
@@ -17,6 +17,11 @@
         this.in = in;
     }
 
+    /**
+     * Reads the next line, without its line end.
+     *
+     * @return false at the end of the input
+     */
     boolean next() throws IOException {
         length = 0;
         while (true) {
@@ -37,14 +42,15 @@
         }
     }
 
-    private void take(int until) {
-        if (length + until - at > line.length) {
-            line = Arrays.copyOf(line, Math.max(2 * line.length, length + until - at));
+    private void take(int lineEnd) {
+        if (length + lineEnd - at > line.length) {
+            line = Arrays.copyOf(line, Math.max(2 * line.length, length + lineEnd - at));
         }
-        System.arraycopy(chunk, at, line, length, until - at);
-        length += until - at;
+        System.arraycopy(chunk, at, line, length, lineEnd - at);
+        length += lineEnd - at;
     }
 
+    /** Whether the line has only white space and control characters. */
     boolean blank() {
         for (int i = 0; i < length; i++) {
             if (line[i] > ' ' || line[i] < 0) {
@@ -54,10 +60,12 @@
         return true;
     }
 
+    /** The array with the line at its start, valid until the next line is read. */
     byte[] bytes() {
         return line;
     }
 
+    /** The length of the line in bytes. */
     int length() {
         return length;
     }
--- a/daemon/src/main/java/tallyweir/wirehost/News.java
+++ b/daemon/src/main/java/tallyweir/wirehost/News.java
@@ -13,7 +13,7 @@
 import tallyweir.ids.TimerId;
 import tallyweir.ids.WorkloadId;
 
-/** The fields of one piece of news, wherever they stand in it, and the call that they go into. */
+/** One event of a batch: parses its fields, which may come in any order, and passes them to the decisions. */
 final class News {
     private static final long NONE = Long.MIN_VALUE;
 
@@ -38,6 +38,7 @@
     private double coresBusy;
     private double runQueue;
 
+    /** Parses the object whose start is the current token; unknown fields are ignored. */
     void read(JsonParser in) throws IOException {
         name = null;
         resource = null;
@@ -109,22 +110,27 @@
         }
     }
 
-    void tell(Host host, long wall) {
+    /**
+     * Passes the event to an instance. An instance that is not configured ignores all events but Configure.
+     *
+     * @param wallUs the time of the batch in microseconds
+     */
+    void tell(Host host, long wallUs) {
         if (name == null) {
-            throw new BadInput("news lacks its name t");
+            throw new BadInput("an entry of news lacks its name t");
         }
         if (name.equals("Configure")) {
             if (params == null) {
                 throw new BadInput("Configure lacks the object Params");
             }
-            host.configure(params, needed(seed, "Nonce64"), wall / 100);
+            host.configure(params, needed(seed, "Nonce64"), wallUs / 100);
             return;
         }
         Choice choice = host.choice();
         if (choice == null) {
             return;
         }
-        choice.clock(wall / 100);
+        choice.clock(wallUs / 100);
         switch (name) {
             case "Destroy" -> host.destroy();
             case "Incoming" ->
@@ -188,14 +194,14 @@
 
     private String needed(String value, String field) {
         if (value == null) {
-            throw new BadInput(name + " lacks the text " + field);
+            throw new BadInput(name + " lacks the string " + field);
         }
         return value;
     }
 
     private static long whole(JsonParser in, String field) throws IOException {
         if (in.currentToken() != JsonToken.VALUE_NUMBER_INT) {
-            throw new BadInput(field + " is not a whole number");
+            throw new BadInput(field + " is not an integer");
         }
         return in.getNumberType() == JsonParser.NumberType.BIG_INTEGER
                 ? in.getBigIntegerValue().longValue()
@@ -211,7 +217,7 @@
 
     private static String text(JsonParser in, String field) throws IOException {
         if (in.currentToken() != JsonToken.VALUE_STRING) {
-            throw new BadInput(field + " is not a text");
+            throw new BadInput(field + " is not a string");
         }
         return in.getText();
     }
--- a/daemon/src/main/java/tallyweir/wirehost/WireHost.java
+++ b/daemon/src/main/java/tallyweir/wirehost/WireHost.java
@@ -18,7 +18,10 @@
 import java.util.Set;
 import tallyweir.config.BadSetting;
 
-/** Reads batches, hands each piece of news to its instance, and writes one reply a batch. */
+/**
+ * Hosts any number of instances of the decisions behind a line protocol: reads batches of events, one JSON object per line,
+ * passes each event to its instance and writes one reply per batch.
+ */
 public final class WireHost {
     private final JsonFactory json = JsonFactory.builder()
             .streamReadConstraints(
@@ -30,14 +33,14 @@
 
     private WireHost() {}
 
-    /** Serves until the input ends; the exit code is 0 then, 1 after a batch that cannot be taken. */
+    /** Serves until the input ends; the exit code is 0 then, and 1 after an invalid batch or a failure of input or output. */
     public static int serve(InputStream in, OutputStream out, PrintStream err) {
         WireHost host = new WireHost();
         Lines lines = new Lines(new BufferedInputStream(in, 1 << 16));
-        long number = 0;
+        long lineNumber = 0;
         try {
             while (lines.next()) {
-                number++;
+                lineNumber++;
                 if (lines.blank()) {
                     continue;
                 }
@@ -49,9 +52,9 @@
             }
             return 0;
         } catch (BadInput | BadSetting e) {
-            err.println("tallyweir: line " + number + ": " + e.getMessage());
+            err.println("tallyweir: line " + lineNumber + ": " + e.getMessage());
         } catch (JsonProcessingException e) {
-            err.println("tallyweir: line " + number + ": not a valid batch: " + e.getOriginalMessage());
+            err.println("tallyweir: line " + lineNumber + ": not a valid batch: " + e.getOriginalMessage());
         } catch (IOException e) {
             err.println("tallyweir: " + e.getMessage());
         }
@@ -62,42 +65,42 @@
         try (JsonParser in = json.createParser(line, 0, length);
                 JsonGenerator reply = json.createGenerator(buffer)) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
-                throw new BadInput("a batch is an object");
+                throw new BadInput("a batch must be an object");
             }
             reply.writeStartObject();
             reply.writeArrayFieldStart("groups");
-            long wall = -1;
-            boolean groups = false;
+            long wallUs = -1;
+            boolean hasGroups = false;
             while (in.nextToken() == JsonToken.FIELD_NAME) {
                 String name = in.currentName();
                 JsonToken value = in.nextToken();
                 if (name.equals("WallUs") && value == JsonToken.VALUE_NUMBER_INT) {
-                    wall = in.getLongValue();
+                    wallUs = in.getLongValue();
                 } else if (name.equals("groups") && value == JsonToken.START_ARRAY) {
-                    groups = true;
-                    if (wall < 0) {
-                        wall = wallOf(line, length);
+                    hasGroups = true;
+                    if (wallUs < 0) {
+                        wallUs = wallOf(line, length);
                     }
-                    groups(in, reply, wall);
+                    groups(in, reply, wallUs);
                 } else {
                     in.skipChildren();
                 }
             }
-            if (wall < 0) {
+            if (wallUs < 0) {
                 throw new BadInput("the batch lacks the time WallUs");
             }
-            if (!groups) {
+            if (!hasGroups) {
                 throw new BadInput("the batch lacks the array groups");
             }
             if (in.nextToken() != null) {
-                throw new BadInput("text after the batch");
+                throw new BadInput("unexpected text after the batch");
             }
             reply.writeEndArray();
             reply.writeEndObject();
         }
     }
 
-    /** The clock may stand behind the groups; only then is the line looked through for it first. */
+    /** The time of a batch in which WallUs comes after the groups: scans the line for it before the groups are parsed. */
     private long wallOf(byte[] line, int length) throws IOException {
         try (JsonParser in = json.createParser(line, 0, length)) {
             in.nextToken();
@@ -112,35 +115,35 @@
         throw new BadInput("the batch lacks the time WallUs");
     }
 
-    private void groups(JsonParser in, JsonGenerator reply, long wall) throws IOException {
-        Set<Integer> met = new HashSet<>();
+    private void groups(JsonParser in, JsonGenerator reply, long wallUs) throws IOException {
+        Set<Integer> seen = new HashSet<>();
         while (in.nextToken() != JsonToken.END_ARRAY) {
             if (in.currentToken() != JsonToken.START_OBJECT) {
                 throw new BadInput("an entry of groups is not an object");
             }
             Host host = null;
-            boolean told = false;
+            boolean hasEvents = false;
             while (in.nextToken() == JsonToken.FIELD_NAME) {
                 String name = in.currentName();
                 JsonToken value = in.nextToken();
                 if (name.equals("Backend") && value == JsonToken.VALUE_NUMBER_INT) {
                     int backend = in.getIntValue();
-                    if (!met.add(backend)) {
-                        throw new BadInput("Backend " + backend + " stands twice in groups");
+                    if (!seen.add(backend)) {
+                        throw new BadInput("Backend " + backend + " occurs twice in groups");
                     }
                     host = hosts.computeIfAbsent(backend, Host::new);
                 } else if (name.equals("news") && value == JsonToken.START_ARRAY) {
                     if (host == null) {
                         throw new BadInput("an entry of groups lacks Backend before its news");
                     }
-                    told = true;
+                    hasEvents = true;
                     host.open(reply);
                     while (in.nextToken() != JsonToken.END_ARRAY) {
                         if (in.currentToken() != JsonToken.START_OBJECT) {
                             throw new BadInput("an entry of news is not an object");
                         }
                         news.read(in);
-                        tell(host, wall);
+                        tell(host, wallUs);
                     }
                     host.close();
                 } else {
@@ -150,15 +153,15 @@
             if (host == null) {
                 throw new BadInput("an entry of groups lacks the number Backend");
             }
-            if (!told) {
+            if (!hasEvents) {
                 throw new BadInput("an entry of groups lacks the array news");
             }
         }
     }
 
-    private void tell(Host host, long wall) {
+    private void tell(Host host, long wallUs) {
         try {
-            news.tell(host, wall);
+            news.tell(host, wallUs);
         } catch (BadInput | BadSetting e) {
             throw e;
         } catch (RuntimeException e) {
--- a/daemon/src/test/java/tallyweir/ParsersTest.java
+++ b/daemon/src/test/java/tallyweir/ParsersTest.java
@@ -26,14 +26,14 @@
 import tallyweir.store.Calls;
 import tallyweir.store.Replies;
 
-/** The parsers: the same comes out however the bytes are split, every length is limited, bad input is told. */
+/** The parsers give the same events however the bytes are split, limit every length and report invalid input. */
 class ParsersTest {
     private final List<String> out = new ArrayList<>();
 
     private static void split(byte[] bytes, long seed, Consumer<ByteBuffer> to) {
-        SplittableRandom chance = new SplittableRandom(seed);
+        SplittableRandom random = new SplittableRandom(seed);
         for (int at = 0; at < bytes.length; ) {
-            int take = Math.min(bytes.length - at, 1 + chance.nextInt(chance.nextInt(4) == 0 ? 400 : 9));
+            int take = Math.min(bytes.length - at, 1 + random.nextInt(random.nextInt(4) == 0 ? 400 : 9));
             to.accept(ByteBuffer.wrap(bytes, at, take));
             at += take;
         }
@@ -57,8 +57,8 @@
             }
 
             @Override
-            public void refused(RequestId id, Reader.Refusal why, boolean keep) {
-                out.add("refused " + id.value() + " " + why);
+            public void refused(RequestId id, Reader.Refusal reason, boolean keep) {
+                out.add("refused " + id.value() + " " + reason);
                 done(id);
             }
 
@@ -81,8 +81,8 @@
             }
 
             @Override
-            public void bad(String why) {
-                out.add("bad " + why);
+            public void bad(String reason) {
+                out.add("bad " + reason);
             }
         });
         return reader[0];
@@ -95,59 +95,61 @@
     }
 
     @Property(tries = 200, seed = "7", shrinking = ShrinkingMode.OFF)
-    void requestsComeOutWholeHoweverTheyAreSplit(@ForAll long seed, @ForAll boolean wide) {
-        SplittableRandom chance = new SplittableRandom(seed);
+    void requestsComeOutWholeHoweverTheyAreSplit(@ForAll long seed, @ForAll boolean longLengths) {
+        SplittableRandom random = new SplittableRandom(seed);
         List<String> expected = new ArrayList<>();
         byte[] stream = {};
         for (int i = 0; i < 5; i++) {
-            int id = 1 + chance.nextInt(0xffff);
-            String body = "b".repeat(chance.nextInt(3) == 0 ? 0 : chance.nextInt(Reader.BODY_MOST + 1));
+            int id = 1 + random.nextInt(0xffff);
+            String body = "b".repeat(random.nextInt(3) == 0 ? 0 : random.nextInt(Reader.BODY_MOST + 1));
             stream = Model.join(
                     stream,
                     Model.request(
                             id,
                             body.getBytes(ISO_8859_1),
-                            wide,
-                            chance.nextInt(256),
+                            longLengths,
+                            random.nextInt(256),
                             "SCRIPT_NAME",
                             "/do/x" + i,
                             "OTHER",
-                            "o".repeat(chance.nextInt(300))));
+                            "o".repeat(random.nextInt(300))));
             expected.add("request " + id + " /do/x" + i + " " + body + " true");
         }
-        Reader r = reader(true);
+        Reader reader = reader(true);
         out.clear();
-        split(stream, seed, r::read);
+        split(stream, seed, reader::read);
         assertEquals(expected, out);
-        assertEquals(0, r.open());
-        assertTrue(r.betweenRecords());
+        assertEquals(0, reader.open());
+        assertTrue(reader.betweenRecords());
     }
 
     @Property(tries = 300, seed = "11", shrinking = ShrinkingMode.OFF)
     void spoiltStreamsThrowNothingAndKeepNoMoreThanTheirLimits(@ForAll long seed) {
-        SplittableRandom chance = new SplittableRandom(seed);
+        SplittableRandom random = new SplittableRandom(seed);
         byte[] stream = {};
         for (int i = 0; i < 6; i++) {
             stream = Model.join(
                     stream,
                     Model.request(
-                            1 + chance.nextInt(3),
-                            new byte[chance.nextInt(3_000)],
+                            1 + random.nextInt(3),
+                            new byte[random.nextInt(3_000)],
                             i % 2 == 0,
                             i,
                             "SCRIPT_NAME",
                             "/do/x",
                             "O",
-                            "o".repeat(chance.nextInt(9_000))));
+                            "o".repeat(random.nextInt(9_000))));
         }
-        for (int i = chance.nextInt(12); i > 0; i--) {
-            stream[chance.nextInt(stream.length)] = (byte) chance.nextInt();
+        for (int i = random.nextInt(12); i > 0; i--) {
+            stream[random.nextInt(stream.length)] = (byte) random.nextInt();
         }
-        Reader r = reader(chance.nextInt(2) == 0);
+        Reader reader = reader(random.nextInt(2) == 0);
         out.clear();
-        split(stream, seed, r::read);
-        assertTrue(r.open() <= Reader.OPEN_MOST);
-        assertTrue(out.stream().filter(o -> o.startsWith("bad")).count() <= 1, "nothing after the stream is lost");
+        split(stream, seed, reader::read);
+        assertTrue(reader.open() <= Reader.OPEN_MOST);
+        assertTrue(
+                out.stream().filter(o -> o.startsWith("bad")).count() <= 1,
+                "no further event after the stream is invalid");
     }
 
     @Test
@@ -166,40 +168,44 @@
     @Test
     void whatIsTooBigOrUnreadableIsRefusedOnceAndTheNextGoesOn() {
         byte[] next = Model.request(1, "x".getBytes(UTF_8), false, 0, "SCRIPT_NAME", "/do/a");
-        String fine = "request 1 /do/a x true";
+        String accepted = "request 1 /do/a x true";
         assertEquals(
-                List.of("refused 1 TOO_BIG", fine),
+                List.of("refused 1 TOO_BIG", accepted),
                 of(Model.request(1, new byte[Reader.BODY_MOST + 1], false, 9, "SCRIPT_NAME", "/do/a"), next));
         assertEquals(
-                List.of("refused 1 TOO_BIG", fine),
+                List.of("refused 1 TOO_BIG", accepted),
                 of(Model.request(1, new byte[0], true, 0, "A", "a".repeat(Reader.PARAMS_MOST)), next));
         byte[] begin = Model.record(1, 1, 0, new byte[] {0, 1, 1, 0, 0, 0, 0, 0});
         assertEquals(
-                List.of("refused 1 PARAMS", fine),
+                List.of("refused 1 PARAMS", accepted),
                 of(
                         begin,
                         Model.record(4, 1, 0, new byte[] {9, 9, 1}),
                         Model.record(4, 1, 0, new byte[0]),
                         Model.record(5, 1, 0, new byte[0]),
                         next));
-        assertEquals(List.of("refused 1 PARAMS", fine), of(begin, Model.record(5, 1, 0, new byte[0]), next));
+        assertEquals(List.of("refused 1 PARAMS", accepted), of(begin, Model.record(5, 1, 0, new byte[0]), next));
         assertEquals(
-                List.of("refused 1 ROLE", fine), of(Model.record(1, 1, 0, new byte[] {0, 2, 1, 0, 0, 0, 0, 0}), next));
+                List.of("refused 1 ROLE", accepted),
+                of(Model.record(1, 1, 0, new byte[] {0, 2, 1, 0, 0, 0, 0, 0}), next));
     }
 
-    /** Bytes without end once kept a connection for ever; 60 MB of a body are passed over and keep nothing. */
+    /**
+     * A refused request with an endless body once kept its connection open for ever. 60 MB of such a body are skipped without
+     * being retained; beyond the limit the stream is invalid.
+     */
     @Test
     void whatBelongsToNoRequestIsPassedOverButNotForEver() {
-        Reader r = reader(true);
-        byte[] piece = Model.record(5, 1, 0, new byte[60_000]);
-        r.read(ByteBuffer.wrap(Model.record(1, 1, 0, new byte[] {0, 1, 1, 0, 0, 0, 0, 0})));
+        Reader reader = reader(true);
+        byte[] chunk = Model.record(5, 1, 0, new byte[60_000]);
+        reader.read(ByteBuffer.wrap(Model.record(1, 1, 0, new byte[] {0, 1, 1, 0, 0, 0, 0, 0})));
         for (int i = 0; i < 1_000; i++) {
-            r.read(ByteBuffer.wrap(piece));
+            reader.read(ByteBuffer.wrap(chunk));
         }
-        r.read(ByteBuffer.wrap(Model.request(1, new byte[0], false, 0, "SCRIPT_NAME", "/do/a")));
+        reader.read(ByteBuffer.wrap(Model.request(1, new byte[0], false, 0, "SCRIPT_NAME", "/do/a")));
         assertEquals(List.of("refused 1 TOO_BIG", "request 1 /do/a  true"), out);
         for (int i = 0; i < 1_200; i++) {
-            r.read(ByteBuffer.wrap(piece));
+            reader.read(ByteBuffer.wrap(chunk));
         }
         assertEquals(3, out.size());
         assertTrue(out.get(2).startsWith("bad over"), out.get(2));
@@ -207,9 +213,9 @@
 
     @Test
     void onlySoManyRequestsAreOpenOnAConnection() {
-        Reader r = reader(false);
+        Reader reader = reader(false);
         for (int id = 1; id <= Reader.OPEN_MOST + 1; id++) {
-            r.read(ByteBuffer.wrap(Model.record(1, id, 0, new byte[] {0, 1, 1, 0, 0, 0, 0, 0})));
+            reader.read(ByteBuffer.wrap(Model.record(1, id, 0, new byte[] {0, 1, 1, 0, 0, 0, 0, 0})));
         }
         assertEquals(List.of("refused " + (Reader.OPEN_MOST + 1) + " OVERLOADED"), out);
     }
@@ -240,13 +246,13 @@
 
     private final Notices notices = new Notices(new Notices.Sink() {
         @Override
-        public void booted(boolean fresh, long before) {
-            out.add("booted " + fresh + " " + before);
+        public void booted(boolean coldStart, long uptime) {
+            out.add("booted " + coldStart + " " + uptime);
         }
 
         @Override
-        public void ended(long n, JobId job, String how, byte[] result) {
-            out.add("ended " + n + " " + job.value() + " " + how + " " + new String(result, UTF_8));
+        public void ended(long n, JobId job, String state, byte[] result) {
+            out.add("ended " + n + " " + job.value() + " " + state + " " + new String(result, UTF_8));
         }
 
         @Override
@@ -270,12 +276,12 @@
         }
 
         @Override
-        public void unknown(String why) {
+        public void unknown(String reason) {
             out.add("unknown");
         }
 
         @Override
-        public void bad(String why) {
+        public void bad(String reason) {
             out.add("bad");
         }
     });
@@ -338,7 +344,7 @@
             }
 
             @Override
-            public void bad(String why) {
+            public void bad(String reason) {
                 out.add("bad");
             }
         });
--- a/daemon/src/test/java/tallyweir/WireTest.java
+++ b/daemon/src/test/java/tallyweir/WireTest.java
@@ -20,8 +20,8 @@
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final ByteArrayOutputStream err = new ByteArrayOutputStream();
 
-    private static String batch(long wall, String news) {
-        return "{\"WallUs\":" + wall + ",\"groups\":[{\"Backend\":3,\"news\":[" + news + "]}]}\n";
+    private static String batch(long wallUs, String events) {
+        return "{\"WallUs\":" + wallUs + ",\"groups\":[{\"Backend\":3,\"news\":[" + events + "]}]}\n";
     }
 
     private int serve(String lines) {
@@ -57,9 +57,9 @@
 
     @Test
     void newsOfNobodyAndUnknownNewsAreLeftAlone() {
-        String news = "{\"t\":\"Settled\",\"Id\":5,\"How\":\"completed\"},{\"t\":\"Later\",\"X\":{\"Y\":[]}},"
+        String events = "{\"t\":\"Settled\",\"Id\":5,\"How\":\"completed\"},{\"t\":\"Later\",\"X\":{\"Y\":[]}},"
                 + "{\"t\":\"Lapsed\",\"Id\":6},{\"t\":\"NeedsDep\",\"Id\":7},{\"t\":\"DepReply\",\"Id\":8,\"How\":\"errored\"}";
-        assertEquals(0, serve(batch(1, news) + START + batch(2, news)));
+        assertEquals(0, serve(batch(1, events) + START + batch(2, events)));
         assertEquals("{\"groups\":[]}", replies()[0]);
         assertEquals("{\"groups\":[]}", replies()[2]);
     }
--- a/daemon/src/test/java/tallyweir/config/ChangeFileTest.java
+++ b/daemon/src/test/java/tallyweir/config/ChangeFileTest.java
@@ -40,7 +40,7 @@
         assertEquals(Optional.of(new Value.Weight(5)), next.get(new Key(Kind.STORE, "10.1.0.2:7700")));
         assertEquals(Optional.of(new Value.Cap(450)), next.get(ACME));
         assertEquals(Optional.of(new Value.Cap(20)), next.get(new Key(Kind.CAP, "initech")));
-        assertEquals(3, next.size(), "all else is removed");
+        assertEquals(3, next.size(), "all other entries are removed");
     }
 
     @Test
--- a/daemon/src/test/java/tallyweir/config/OperatorsTest.java
+++ b/daemon/src/test/java/tallyweir/config/OperatorsTest.java
@@ -49,7 +49,7 @@
     @CsvSource(delimiter = ';', textBlock = """
             {"durabel":{}};                                                durabel is unknown
             {"durable":{}};                                                durable.dir is missing
-            {"durable":{"dir":7}};                                         durable.dir is not a text
+            {"durable":{"dir":7}};                                         durable.dir is not a string
             {"durable":{"dir":"d","segment_mb":0}};                        durable.segment_mb is 0
             {"durable":{"dir":"d","sector_bytes":1000}};                   durable.sector_bytes is 1000
             {"durable":{"dir":"d","dead_share":1.5}};                      durable.dead_share is 1.5
@@ -72,9 +72,9 @@
             {"durable":{"dir":"d","namespaces":[{"name":"results","bound_mb":1}]},"results":{"bound_mb":1}}; durable.namespaces[0].name is 'results'
             {;                                                             not valid JSON
             """)
-    void aFaultyKeyIsNamed(String json, String said) {
-        String text = assertThrows(BadSetting.class, () -> parse(json)).getMessage();
-        assertTrue(text.contains(said), text);
+    void aFaultyKeyIsNamed(String json, String expected) {
+        String message = assertThrows(BadSetting.class, () -> parse(json)).getMessage();
+        assertTrue(message.contains(expected), message);
     }
 
     @Test
