--- a/fleet/src/main/java/tallyweir/fleet/table/Branch.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/Branch.java
@@ -3,9 +3,9 @@
 import java.util.Arrays;
 import java.util.function.Consumer;
 
-/** More entries than a leaf takes, parted by the next digit of their key hashes. */
+/** A subtree with too many entries for a leaf, divided by the next digit of their key hashes. Stores non-empty children only. */
 final class Branch extends Node {
-    /** How many digits there are. */
+    /** The number of children, one for each hexadecimal digit. */
     static final int FAN_OUT = 16;
 
     private final char bitmap;
@@ -17,27 +17,27 @@
         this.children = children;
     }
 
-    /** A branch of one subtree for each digit, some of them empty. */
+    /** Creates a branch of 16 children in the order of their digits; children may be empty. */
     static Branch of(Node[] byDigit) {
         Node[] children = new Node[FAN_OUT];
-        int filled = 0;
+        int stored = 0;
         int bitmap = 0;
         int count = 0;
         for (int digit = 0; digit < FAN_OUT; digit++) {
             Node child = byDigit[digit];
             if (child.count() > 0) {
-                children[filled] = child;
-                filled++;
+                children[stored] = child;
+                stored++;
                 bitmap |= 1 << digit;
                 count += child.count();
             }
         }
         byte[] summary = BranchSummary.of(byDigit).encode();
         Hash256 digest = Sha256.of(summary, 0, summary.length);
-        return new Branch(count, digest, (char) bitmap, Arrays.copyOf(children, filled));
+        return new Branch(count, digest, (char) bitmap, Arrays.copyOf(children, stored));
     }
 
-    /** The subtree for a digit. */
+    /** The child for a digit; {@link Leaf#EMPTY} if it has no entries. */
     Node child(int digit) {
         int bit = 1 << digit;
         if ((bitmap & bit) == 0) {
@@ -46,7 +46,7 @@
         return children[Integer.bitCount(bitmap & (bit - 1))];
     }
 
-    /** A copy of all subtrees, one for each digit. */
+    /** A new array of all 16 children, indexed by digit. */
     Node[] byDigit() {
         Node[] all = new Node[FAN_OUT];
         for (int digit = 0; digit < FAN_OUT; digit++) {
@@ -61,9 +61,9 @@
     }
 
     @Override
-    void forEachLeaf(Consumer<Leaf> to) {
+    void forEachLeaf(Consumer<Leaf> consumer) {
         for (Node child : children) {
-            child.forEachLeaf(to);
+            child.forEachLeaf(consumer);
         }
     }
 }
--- a/fleet/src/main/java/tallyweir/fleet/table/BranchSummary.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/BranchSummary.java
@@ -5,13 +5,13 @@
 import java.util.List;
 
 /**
- * Digests and counts of all subtrees of a branch. Its encoding is what is hashed for the digest of the branch, so it can be held
- * against that digest wherever it comes from.
+ * The digests and entry counts of all children of a branch. The digest of the branch is the hash of this encoding, so a received
+ * summary can be verified against the digest whatever its source.
  *
- * @param children one for each digit, {@link ChildSummary#EMPTY} where there is none
+ * @param children one for each digit, {@link ChildSummary#EMPTY} for a digit without entries
  */
 record BranchSummary(List<ChildSummary> children) {
-    /** The first byte of its encoding. */
+    /** The domain separation byte of a branch's digest: the first byte of the encoding. */
     static final byte DOMAIN = 1;
 
     private static final int HEADER_BYTES = 1 + Short.BYTES;
@@ -25,7 +25,7 @@
         return new BranchSummary(children);
     }
 
-    /** The domain, a bitmap of the digits that there are subtrees for, and digest and count of each of these. */
+    /** Encodes the domain byte, a 16-bit bitmap of the non-empty children, and the digest and count of each of these. */
     byte[] encode() {
         int bitmap = 0;
         for (int digit = 0; digit < children.size(); digit++) {
@@ -44,7 +44,7 @@
         return buffer.array();
     }
 
-    /** Reads an encoding that has been held against its digest. */
+    /** Decodes bytes that were verified against their digest; does not validate them itself. */
     static BranchSummary decode(byte[] encoded) {
         ByteBuffer buffer = ByteBuffer.wrap(encoded);
         buffer.get();
--- a/fleet/src/main/java/tallyweir/fleet/table/Change.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/Change.java
@@ -3,13 +3,13 @@
 import java.util.Optional;
 
 /**
- * One entry that differs between two tables.
+ * A change of one entry: an addition, a replacement or a removal.
  *
- * @param before what it said, empty where there was none
- * @param after what it is to say, empty where there is to be none
+ * @param before the old value, empty if the entry did not exist
+ * @param after the new value, empty to remove the entry
  */
 public record Change(Key key, Optional<Value> before, Optional<Value> after) {
-    /** Throws {@link tallyweir.fleet.Fault.EntryFaulty} if a value is not one for this kind of key. */
+    /** Throws {@link tallyweir.fleet.Fault.EntryFaulty} if the type of a value does not match the kind of the key. */
     public Change {
         if (before.isPresent()) {
             Limits.valueFits(key, before.get());
@@ -19,7 +19,7 @@
         }
     }
 
-    /** The change that takes this one back. */
+    /** The change that reverts this one. */
     public Change inverse() {
         return new Change(key, after, before);
     }
--- a/fleet/src/main/java/tallyweir/fleet/table/ChildSummary.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/ChildSummary.java
@@ -1,8 +1,8 @@
 package tallyweir.fleet.table;
 
-/** What a branch tells of one of its subtrees. */
+/** Digest and number of entries of one child of a branch. */
 record ChildSummary(Hash256 digest, int count) {
-    /** Of a subtree without entries. */
+    /** The summary of a child without entries. */
     static final ChildSummary EMPTY = of(Leaf.EMPTY);
 
     static ChildSummary of(Node node) {
--- a/fleet/src/main/java/tallyweir/fleet/table/Entry.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/Entry.java
@@ -1,8 +1,8 @@
 package tallyweir.fleet.table;
 
-/** One entry of a table. */
+/** One key with its value in a {@link Table}. */
 public record Entry(Key key, Value value) {
-    /** Throws {@link tallyweir.fleet.Fault.EntryFaulty} if the value is not one for this kind of key. */
+    /** Throws {@link tallyweir.fleet.Fault.EntryFaulty} if the value's type does not match the kind of the key. */
     public Entry {
         Limits.valueFits(key, value);
     }
--- a/fleet/src/main/java/tallyweir/fleet/table/EntryCodec.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/EntryCodec.java
@@ -5,8 +5,8 @@
 import java.util.function.Supplier;
 
 /**
- * The compact encoding of lists of entries and of changes. An entry is the code of its kind, the length of its name, the name in
- * UTF-8, and its value. Whatever cannot be read throws {@link tallyweir.fleet.Fault.EntryFaulty}.
+ * The compact binary encoding of lists of entries and of changes. An entry is encoded as the code of its kind, the length of its
+ * name, the name in UTF-8 and its value. The decoders throw {@link tallyweir.fleet.Fault.EntryFaulty} for invalid bytes.
  */
 public final class EntryCodec {
     private EntryCodec() {}
--- a/fleet/src/main/java/tallyweir/fleet/table/EntryReader.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/EntryReader.java
@@ -6,8 +6,8 @@
 import java.util.Optional;
 
 /**
- * Reads what {@link EntryWriter} has written. Each value has one encoding only; whatever is not one throws
- * {@link tallyweir.fleet.Fault.EntryFaulty}.
+ * Decodes what {@link EntryWriter} encodes. Each value has exactly one valid encoding; all methods throw
+ * {@link tallyweir.fleet.Fault.EntryFaulty} for any other bytes.
  */
 final class EntryReader {
     private static final int VARINT_BITS = 7;
@@ -57,36 +57,36 @@
         Key key = key();
         int presence = next();
         if (presence > (EntryWriter.HAS_BEFORE | EntryWriter.HAS_AFTER)) {
-            throw faulty("its change has unknown parts");
+            throw faulty("its change has unknown presence flags");
         }
         Optional<Value> before = value(key, (presence & EntryWriter.HAS_BEFORE) != 0);
         Optional<Value> after = value(key, (presence & EntryWriter.HAS_AFTER) != 0);
         return new Change(key, before, after);
     }
 
-    /** How many items follow; each takes at least a byte. */
+    /** Reads the number of items that follow. Each item takes at least one byte, which bounds a corrupt count. */
     int count() {
         int count = varint();
         if (count > remaining()) {
-            throw faulty("more are announced than there are bytes");
+            throw faulty("its item count exceeds the remaining bytes");
         }
         return count;
     }
 
-    /** Goes past some bytes. */
+    /** Skips bytes. */
     void skip(int length) {
         need(length);
         position += length;
     }
 
-    /** Goes past a key. */
+    /** Skips a key and returns its kind. */
     Kind skipKey() {
         Kind kind = kind();
         skipText();
         return kind;
     }
 
-    /** Goes past a value. */
+    /** Skips a value of a kind. */
     void skipValue(Kind kind) {
         switch (kind) {
             case STORE, CAP -> varint();
@@ -95,15 +95,15 @@
                 varint();
             }
             case STAND_BACK -> {
-                // it has no bytes
+                // its value is encoded in no bytes
             }
         }
     }
 
-    /** Turns down bytes that are left over. */
+    /** Checks that all bytes have been read. */
     void end() {
         if (!atEnd()) {
-            throw faulty(remaining() + " bytes are left over");
+            throw faulty(remaining() + " bytes follow its end");
         }
     }
 
@@ -126,7 +126,7 @@
             read = next();
             boolean tooLarge = shift == VARINT_SHIFT_MOST && read > VARINT_LAST_BYTE_MOST;
             if (read == 0 || tooLarge) {
-                throw faulty("a number in it is not encoded as it should be");
+                throw faulty("a number in it has an invalid varint encoding");
             }
         }
         return number | read << shift;
@@ -136,10 +136,10 @@
         skip(varint());
     }
 
-    private String text(int bytesMost) {
+    private String text(int maxBytes) {
         int length = varint();
-        if (length > bytesMost) {
-            throw faulty("a text in it has " + length + " bytes, " + bytesMost + " are allowed");
+        if (length > maxBytes) {
+            throw faulty("a text in it has " + length + " bytes, at most " + maxBytes + " are allowed");
         }
         int from = position;
         skip(length);
@@ -164,7 +164,7 @@
                     .decode(ByteBuffer.wrap(bytes, from, length))
                     .toString();
         } catch (CharacterCodingException e) {
-            throw faulty("a text in it is not UTF-8");
+            throw faulty("a text in it is not valid UTF-8");
         }
     }
 
@@ -177,11 +177,11 @@
 
     private void need(int length) {
         if (length > remaining()) {
-            throw faulty("it is cut short");
+            throw faulty("it is truncated");
         }
     }
 
-    private RuntimeException faulty(String why) {
-        return Limits.faulty("before byte " + position, why);
+    private RuntimeException faulty(String reason) {
+        return Limits.faulty("before byte " + position, reason);
     }
 }
--- a/fleet/src/main/java/tallyweir/fleet/table/EntryWriter.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/EntryWriter.java
@@ -4,11 +4,12 @@
 import java.util.Arrays;
 import java.util.Optional;
 
-/** Writes keys, values, entries and changes in their compact encoding, which {@link EntryReader} reads. */
+/** Encodes keys, values, entries and changes in the compact binary form that {@link EntryReader} decodes. */
 final class EntryWriter {
-    /** Bits of a change's byte that say which values follow. */
+    /** Flag in the presence byte of a change: its old value follows. */
     static final int HAS_BEFORE = 1;
 
+    /** Flag in the presence byte of a change: its new value follows. */
     static final int HAS_AFTER = 2;
 
     private static final int VARINT_BITS = 7;
@@ -57,14 +58,14 @@
         return this;
     }
 
-    /** A number that is not negative: seven bits a byte, the lowest first, the eighth bit set if more follow. */
+    /** Writes a non-negative number, seven bits per byte, the lowest bits first; the eighth bit is set if more bytes follow. */
     EntryWriter varint(int number) {
-        int rest = number;
-        while (rest >= VARINT_MORE) {
-            put(rest | VARINT_MORE);
-            rest >>>= VARINT_BITS;
+        int remaining = number;
+        while (remaining >= VARINT_MORE) {
+            put(remaining | VARINT_MORE);
+            remaining >>>= VARINT_BITS;
         }
-        put(rest);
+        put(remaining);
         return this;
     }
 
@@ -83,9 +84,9 @@
         length++;
     }
 
-    private void reserve(int more) {
-        if (length + more > bytes.length) {
-            bytes = Arrays.copyOf(bytes, Math.max(2 * bytes.length, length + more));
+    private void reserve(int additional) {
+        if (length + additional > bytes.length) {
+            bytes = Arrays.copyOf(bytes, Math.max(2 * bytes.length, length + additional));
         }
     }
 
--- a/fleet/src/main/java/tallyweir/fleet/table/Hash256.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/Hash256.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import tallyweir.fleet.Digest;
 
-/** A SHA-256 value as four words, the first one the most significant. */
+/** A SHA-256 value as four 64-bit words, the most significant first. */
 record Hash256(long first, long second, long third, long fourth) implements Comparable<Hash256> {
     static final int BYTES = 32;
     static final int DIGITS = 2 * BYTES;
@@ -14,17 +14,17 @@
     private static final int DIGITS_PER_WORD = Long.SIZE / BITS_PER_DIGIT;
     private static final int DIGIT_MASK = (1 << BITS_PER_DIGIT) - 1;
 
-    /** Reads the next 32 bytes. */
+    /** Reads 32 bytes from the buffer's position. */
     static Hash256 read(ByteBuffer from) {
         return new Hash256(from.getLong(), from.getLong(), from.getLong(), from.getLong());
     }
 
-    /** Writes 32 bytes. */
+    /** Writes 32 bytes at the buffer's position. */
     void write(ByteBuffer to) {
         to.putLong(first).putLong(second).putLong(third).putLong(fourth);
     }
 
-    /** Reads a hexadecimal digest, if it is one. */
+    /** Parses a digest of 64 hexadecimal digits; empty if it is not one. */
     static Optional<Hash256> of(Digest digest) {
         if (digest.value().length() != DIGITS) {
             return Optional.empty();
@@ -36,14 +36,14 @@
         }
     }
 
-    /** The same in hexadecimal. */
+    /** Returns this hash as 64 hexadecimal digits. */
     Digest toDigest() {
         HexFormat hex = HexFormat.of();
         return new Digest(
                 hex.toHexDigits(first) + hex.toHexDigits(second) + hex.toHexDigits(third) + hex.toHexDigits(fourth));
     }
 
-    /** The hexadecimal digit at an index, 0 being the most significant one. */
+    /** Returns the hexadecimal digit at an index from 0, the most significant, to 63. */
     int digit(int index) {
         int shift = Long.SIZE - BITS_PER_DIGIT * (index % DIGITS_PER_WORD + 1);
         return (int) (word(index / DIGITS_PER_WORD) >>> shift) & DIGIT_MASK;
--- a/fleet/src/main/java/tallyweir/fleet/table/HashedChange.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/HashedChange.java
@@ -1,9 +1,10 @@
 package tallyweir.fleet.table;
 
 /**
- * An entry that is to be put into a tree, or taken out of it.
+ * An addition, replacement or removal of an entry in a tree.
  *
- * @param entry only its key where it is taken out
+ * @param entry the new entry, or only its key for a removal
+ * @param puts whether the entry is added or replaced, not removed
  */
 record HashedChange(HashedEntry entry, boolean puts) implements Comparable<HashedChange> {
     static HashedChange of(Change change, KeyHashing hashing) {
--- a/fleet/src/main/java/tallyweir/fleet/table/HashedEntry.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/HashedEntry.java
@@ -3,9 +3,9 @@
 import java.util.Arrays;
 
 /**
- * An encoded entry, or only its key, with the hash of the key. Ordered by that hash, then by the encoded key.
+ * An encoded entry, or only an encoded key, with the hash of the key. Ordered by that hash, then by the encoded key.
  *
- * @param bytes holds it from {@code from} to {@code to}; the key ends at {@code keyEnd}
+ * @param bytes contains the entry from {@code from} up to, but not including, {@code to}; its key ends at {@code keyEnd}
  */
 record HashedEntry(Hash256 hash, byte[] bytes, int from, int keyEnd, int to) implements Comparable<HashedEntry> {
     /** Encodes and hashes an entry. */
@@ -16,7 +16,7 @@
         return new HashedEntry(hashing.hash(bytes, 0, keyEnd), bytes, 0, keyEnd, bytes.length);
     }
 
-    /** Encodes and hashes a key that has no value. */
+    /** Encodes and hashes a key without a value. */
     static HashedEntry of(Key key, KeyHashing hashing) {
         byte[] bytes = new EntryWriter().key(key).toByteArray();
         return new HashedEntry(hashing.hash(bytes, 0, bytes.length), bytes, 0, bytes.length, bytes.length);
--- a/fleet/src/main/java/tallyweir/fleet/table/KeyHashing.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/KeyHashing.java
@@ -1,11 +1,11 @@
 package tallyweir.fleet.table;
 
-/** How the encoding of a key is hashed; a test can put in one whose hashes collide. */
+/** The hash function for encoded keys; tests substitute one with collisions. */
 @FunctionalInterface
 interface KeyHashing {
-    /** What tables use. */
+    /** The hash function of all tables in production. */
     KeyHashing SHA_256 = Sha256::of;
 
-    /** The hash of the key that is encoded in a range of bytes. */
+    /** Returns the hash of the key encoded in the bytes from {@code from} up to, but not including, {@code to}. */
     Hash256 hash(byte[] bytes, int from, int to);
 }
--- a/fleet/src/main/java/tallyweir/fleet/table/Kind.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/Kind.java
@@ -2,17 +2,17 @@
 
 import java.util.Optional;
 
-/** What an entry is about. The code stands on the wire, in snapshots and in digests and never changes. */
+/** The kind of an entry. Its code is part of wire messages, snapshots and digests, so it must never change. */
 public enum Kind {
-    /** A store that servers call; the name is its address, then after a blank the workloads it is for, if not for all. */
+    /** A store that servers call. The name is its address, followed by a blank and its workloads unless it serves all of them. */
     STORE(1, Value.Weight.class),
-    /** The announce service; the name is empty. */
+    /** The address of the announce service; the name is empty. */
     ANNOUNCE(2, Value.Address.class),
-    /** The kernel of the server of that name. */
+    /** The address of the kernel of the named server. */
     KERNEL(3, Value.Address.class),
-    /** The most connections of the tenant of that name over the whole fleet. */
+    /** The maximum number of connections of the named tenant over the whole fleet. */
     CAP(4, Value.Cap.class),
-    /** The server of that name turns new queries away. */
+    /** The named server is withdrawn: it turns incoming queries away. */
     STAND_BACK(5, Value.Present.class);
 
     private static final Kind[] ALL = values();
@@ -25,17 +25,17 @@
         this.valueType = valueType;
     }
 
-    /** The number that stands for it in encoded entries. */
+    /** The number that represents this kind in encoded entries. */
     public int code() {
         return code;
     }
 
-    /** The type of the values of its entries. */
+    /** The type of the values that entries of this kind have. */
     public Class<? extends Value> valueType() {
         return valueType;
     }
 
-    /** The kind of a code, if there is one. */
+    /** The kind with this code, or empty if the code is unknown. */
     public static Optional<Kind> of(int code) {
         for (Kind kind : ALL) {
             if (kind.code == code) {
--- a/fleet/src/main/java/tallyweir/fleet/table/Leaf.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/Leaf.java
@@ -6,12 +6,12 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** A few entries, encoded one after the other in the order of {@link HashedEntry}. */
+/** A subtree of few entries, stored as their concatenated encodings in the order of {@link HashedEntry}. */
 final class Leaf extends Node {
-    /** More entries make a branch, unless the key hashes have no further digit. */
+    /** The maximum number of entries, except for keys with equal hashes: those share a leaf at the greatest depth. */
     static final int ENTRIES_MOST = 32;
 
-    /** The first byte of what is hashed for its digest. */
+    /** The domain separation byte of a leaf's digest: the first byte that is hashed. */
     static final byte DOMAIN = 0;
 
     static final Leaf EMPTY = new Leaf(new byte[0], 0);
@@ -23,7 +23,7 @@
         this.bytes = bytes;
     }
 
-    /** A leaf of entries that are in order. */
+    /** Creates a leaf of sorted entries. */
     static Leaf of(List<HashedEntry> sorted) {
         if (sorted.isEmpty()) {
             return EMPTY;
@@ -41,7 +41,7 @@
         return new Leaf(bytes, sorted.size());
     }
 
-    /** One leaf of the entries of leaves that follow each other. */
+    /** Concatenates leaves that are adjacent and in order. */
     static Leaf joined(List<Leaf> leaves) {
         int length = 0;
         int count = 0;
@@ -58,12 +58,12 @@
         return count == 0 ? EMPTY : new Leaf(bytes, count);
     }
 
-    /** Its encoded entries; not a copy. */
+    /** The encoded entries; the leaf's own array, which callers must not modify. */
     byte[] bytes() {
         return bytes;
     }
 
-    /** Its entries with their key hashes, which are computed anew. */
+    /** The entries with the hashes of their keys; the hashes are not stored and are computed on every call. */
     List<HashedEntry> entries(KeyHashing hashing) {
         List<HashedEntry> entries = new ArrayList<>(count());
         EntryReader reader = new EntryReader(bytes);
@@ -77,7 +77,7 @@
         return entries;
     }
 
-    /** The value of the entry that has this encoded key. */
+    /** Returns the value of an encoded key, or empty if the leaf has no such entry. */
     Optional<Value> get(byte[] key) {
         EntryReader reader = new EntryReader(bytes);
         while (!reader.atEnd()) {
@@ -91,27 +91,27 @@
         return Optional.empty();
     }
 
-    /** Decodes every entry. */
-    void decode(Consumer<Entry> to) {
+    /** Decodes every entry, in order. */
+    void decode(Consumer<Entry> consumer) {
         EntryReader reader = new EntryReader(bytes);
         while (!reader.atEnd()) {
-            to.accept(reader.entry());
+            consumer.accept(reader.entry());
         }
     }
 
     @Override
     Leaf child(int digit, int depth, KeyHashing hashing) {
-        List<HashedEntry> below = new ArrayList<>();
+        List<HashedEntry> selected = new ArrayList<>();
         for (HashedEntry entry : entries(hashing)) {
             if (entry.hash().digit(depth) == digit) {
-                below.add(entry);
+                selected.add(entry);
             }
         }
-        return of(below);
+        return of(selected);
     }
 
     @Override
-    void forEachLeaf(Consumer<Leaf> to) {
-        to.accept(this);
+    void forEachLeaf(Consumer<Leaf> consumer) {
+        consumer.accept(this);
     }
 }
--- a/fleet/src/main/java/tallyweir/fleet/table/Limits.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/Limits.java
@@ -6,7 +6,7 @@
 import java.nio.charset.StandardCharsets;
 import tallyweir.fleet.Fault;
 
-/** Checks of what a key or a value may hold. Each throws {@link Fault.EntryFaulty} for what it turns down. */
+/** Bounds of keys and values. The checks throw {@link Fault.EntryFaulty} for whatever is out of bounds. */
 final class Limits {
     static final int WEIGHT_LEAST = 1;
     static final int WEIGHT_MOST = 1000;
@@ -19,21 +19,21 @@
 
     private Limits() {}
 
-    /** Turns down a number outside a range. */
-    static void range(String what, int value, int least, int most) {
-        if (value < least || value > most) {
-            throw faulty("of " + what + " " + value, "a " + what + " is " + least + " to " + most);
+    /** Checks that a number is within bounds, both inclusive. */
+    static void range(String field, int value, int min, int max) {
+        if (value < min || value > max) {
+            throw faulty("of " + field + " " + value, "a " + field + " must be from " + min + " to " + max);
         }
     }
 
-    /** Turns down a text that has no UTF-8 encoding or too long a one. */
-    static void text(String what, String text, int bytesMost) {
-        if (text.length() > bytesMost || encodedLength(what, text) > bytesMost) {
-            throw faulty("of " + what + " " + text, "a " + what + " has at most " + bytesMost + " bytes");
+    /** Checks that a text can be encoded in UTF-8 and that its encoding is at most so many bytes long. */
+    static void text(String field, String text, int maxBytes) {
+        if (text.length() > maxBytes || encodedLength(field, text) > maxBytes) {
+            throw faulty("of " + field + " " + text, "a " + field + " must have at most " + maxBytes + " bytes");
         }
     }
 
-    /** Turns down a value that an entry of this key cannot have. */
+    /** Checks that the type of a value matches the kind of its key. */
     static void valueFits(Key key, Value value) {
         if (!key.kind().valueType().isInstance(value)) {
             throw faulty(
@@ -42,11 +42,12 @@
         }
     }
 
-    static RuntimeException faulty(String key, String why) {
-        return new Fault.EntryFaulty(key, why).thrown();
+    /** The exception to throw for an invalid entry. */
+    static RuntimeException faulty(String key, String reason) {
+        return new Fault.EntryFaulty(key, reason).thrown();
     }
 
-    private static int encodedLength(String what, String text) {
+    private static int encodedLength(String field, String text) {
         if (isAscii(text)) {
             return text.length();
         }
@@ -54,7 +55,7 @@
             ByteBuffer encoded = StandardCharsets.UTF_8.newEncoder().encode(CharBuffer.wrap(text));
             return encoded.remaining();
         } catch (CharacterCodingException e) {
-            throw faulty("of " + what + " " + text, "it has no UTF-8 encoding");
+            throw faulty("of " + field + " " + text, "it cannot be encoded in UTF-8");
         }
     }
 
--- a/fleet/src/main/java/tallyweir/fleet/table/Node.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/Node.java
@@ -3,13 +3,14 @@
 import java.util.function.Consumer;
 
 /**
- * A subtree: all entries whose key hashes begin with the same digits. Immutable. Its shape depends on its entries only: at most
- * {@link Leaf#ENTRIES_MOST} are a leaf, more are a branch by the next digit. So equal subtrees have equal digests.
+ * A subtree of a table: all entries whose key hashes begin with the same digits. Immutable. Its shape depends on its entries only:
+ * up to {@link Leaf#ENTRIES_MOST} entries form a leaf, more form a branch on the next digit. Therefore subtrees with equal entries
+ * have equal digests.
  */
 abstract sealed class Node permits Leaf, Branch {
     private final int count;
 
-    // Fields and not one object, as there are many nodes.
+    // Four fields instead of a Hash256 save one object per node; a table has many nodes.
     private final long digestFirst;
     private final long digestSecond;
     private final long digestThird;
@@ -23,12 +24,12 @@
         this.digestFourth = digest.fourth();
     }
 
-    /** How many entries are below. */
+    /** The number of entries in this subtree. */
     final int count() {
         return count;
     }
 
-    /** Names all the entries below. */
+    /** The digest of all entries in this subtree. */
     final Hash256 digest() {
         return new Hash256(digestFirst, digestSecond, digestThird, digestFourth);
     }
@@ -40,7 +41,7 @@
                 && digestFourth == digest.fourth();
     }
 
-    /** Whether both have the same entries. */
+    /** Whether both subtrees have the same entries. */
     final boolean sameAs(Node other) {
         return this == other
                 || (digestFirst == other.digestFirst
@@ -49,14 +50,14 @@
                         && digestFourth == other.digestFourth);
     }
 
-    /** The entries below whose key hash has a digit at the depth of this node, as a subtree one digit further down. */
+    /** The subtree of the entries whose key hash has the given digit at the depth of this node. */
     abstract Node child(int digit, int depth, KeyHashing hashing);
 
-    /** Every leaf below, in the order of key hashes. */
-    abstract void forEachLeaf(Consumer<Leaf> to);
+    /** Passes on every leaf of this subtree, in the order of key hashes. */
+    abstract void forEachLeaf(Consumer<Leaf> consumer);
 
-    /** Every entry below, in the order of key hashes. */
-    final void forEach(Consumer<Entry> to) {
-        forEachLeaf(leaf -> leaf.decode(to));
+    /** Passes on every entry of this subtree, in the order of key hashes. */
+    final void forEach(Consumer<Entry> consumer) {
+        forEachLeaf(leaf -> leaf.decode(consumer));
     }
 }
--- a/fleet/src/main/java/tallyweir/fleet/table/NodeBuilder.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/NodeBuilder.java
@@ -3,11 +3,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Makes subtrees, always in the one shape that their entries have. */
+/** Builds subtrees in their canonical shape, which depends on the entries only. */
 final class NodeBuilder {
     private NodeBuilder() {}
 
-    /** The subtree of entries that are in order and whose key hashes are equal up to the depth. */
+    /** Builds the subtree of sorted entries whose key hashes are equal in the first {@code depth} digits. */
     static Node build(List<HashedEntry> sorted, int depth) {
         if (sorted.size() <= Leaf.ENTRIES_MOST || depth == Hash256.DIGITS) {
             return Leaf.of(sorted);
@@ -25,7 +25,7 @@
         return Branch.of(byDigit);
     }
 
-    /** The subtree over one subtree for each digit. */
+    /** Joins 16 children, one for each digit: into a branch, or into a leaf if they have few entries. */
     static Node join(Node[] byDigit) {
         int count = 0;
         for (Node child : byDigit) {
--- a/fleet/src/main/java/tallyweir/fleet/table/NodeUpdate.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/NodeUpdate.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Makes changes in a subtree; parts that none of them reaches, or that they leave equal, stay the same objects. */
+/** Applies changes to a subtree. Subtrees that are unaffected, or equal after the changes, remain the same objects. */
 final class NodeUpdate {
     private final KeyHashing hashing;
 
@@ -11,7 +11,7 @@
         this.hashing = hashing;
     }
 
-    /** The subtree with the changes made. They are in order, one a key, and all belong below the node. */
+    /** Applies changes, which must be sorted, at most one for each key, and all belong to this subtree. */
     Node apply(Node node, int depth, List<HashedChange> sorted) {
         if (sorted.isEmpty()) {
             return node;
@@ -48,20 +48,20 @@
 
     private static List<HashedEntry> merge(List<HashedEntry> entries, List<HashedChange> changes) {
         List<HashedEntry> merged = new ArrayList<>(entries.size() + changes.size());
-        int kept = 0;
+        int next = 0;
         for (HashedChange change : changes) {
-            while (kept < entries.size() && entries.get(kept).compareTo(change.entry()) < 0) {
-                merged.add(entries.get(kept));
-                kept++;
+            while (next < entries.size() && entries.get(next).compareTo(change.entry()) < 0) {
+                merged.add(entries.get(next));
+                next++;
             }
-            if (kept < entries.size() && entries.get(kept).hasKeyOf(change.entry())) {
-                kept++;
+            if (next < entries.size() && entries.get(next).hasKeyOf(change.entry())) {
+                next++;
             }
             if (change.puts()) {
                 merged.add(change.entry());
             }
         }
-        merged.addAll(entries.subList(kept, entries.size()));
+        merged.addAll(entries.subList(next, entries.size()));
         return merged;
     }
 }
--- a/fleet/src/main/java/tallyweir/fleet/table/Path.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/Path.java
@@ -1,24 +1,28 @@
 package tallyweir.fleet.table;
 
-/** Where a part of a table is: the hexadecimal digits of the key hashes that all its entries begin with; "" is the root. */
+/**
+ * The position of a subtree in a table.
+ *
+ * @param digits the common prefix of the key hashes of all entries in the subtree, in hexadecimal; "" for the root
+ */
 public record Path(String digits) {
     public static final Path ROOT = new Path("");
 
     private static final int RADIX = 16;
 
-    /** Throws {@link tallyweir.fleet.Fault.EntryFaulty} if it is not made of at most 64 digits, 0 to 9 and a to f. */
+    /** Throws {@link tallyweir.fleet.Fault.EntryFaulty} unless it consists of at most 64 digits, 0 to 9 and a to f. */
     public Path {
         if (digits.length() > Hash256.DIGITS) {
-            throw Limits.faulty("of path " + digits, "a path has at most " + Hash256.DIGITS + " digits");
+            throw Limits.faulty("of path " + digits, "a path must have at most " + Hash256.DIGITS + " digits");
         }
         for (int i = 0; i < digits.length(); i++) {
             if (!isDigit(digits.charAt(i))) {
-                throw Limits.faulty("of path " + digits, "a path is made of the digits 0 to 9 and a to f");
+                throw Limits.faulty("of path " + digits, "a path must consist of the digits 0 to 9 and a to f");
             }
         }
     }
 
-    /** How many digits it has. */
+    /** The number of digits. */
     int depth() {
         return digits.length();
     }
@@ -28,12 +32,12 @@
         return Character.digit(digits.charAt(index), RADIX);
     }
 
-    /** One digit further down. */
+    /** The path of a child: this path with a digit from 0 to 15 appended. */
     Path child(int digit) {
         return new Path(digits + Character.forDigit(digit, RADIX));
     }
 
-    /** Whether a hash begins with these digits. */
+    /** Whether the hash begins with the digits of this path. */
     boolean leadsTo(Hash256 hash) {
         for (int i = 0; i < depth(); i++) {
             if (hash.digit(i) != digit(i)) {
--- a/fleet/src/main/java/tallyweir/fleet/table/Piece.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/Piece.java
@@ -5,16 +5,16 @@
 import java.util.List;
 
 /**
- * What is sent of a subtree: all its entries if there are few, or else the digests and counts of its children. The first byte
- * says which of the two.
+ * The unit of transfer of a subtree: all its entries if there are few, otherwise the digests and entry counts of its children.
+ * The first byte distinguishes the two forms.
  */
 final class Piece {
-    /** More entries are sent as the digests of the children. */
+    /** The maximum number of entries sent in one chunk; a larger branch is sent as the digests of its children. */
     static final int ENTRIES_MOST = 2_048;
 
     private Piece() {}
 
-    /** The piece for a subtree. */
+    /** Encodes a subtree. */
     static byte[] of(Node node) {
         if (node instanceof Branch branch && branch.count() > ENTRIES_MOST) {
             return BranchSummary.of(branch.byDigit()).encode();
@@ -25,46 +25,47 @@
         return entries.toByteArray();
     }
 
-    /** Whether it holds the digests of children and not entries. */
-    static boolean isSummary(byte[] piece) {
-        return piece.length > 0 && piece[0] == BranchSummary.DOMAIN;
+    /** Whether a chunk contains the digests of children instead of entries. */
+    static boolean isSummary(byte[] chunk) {
+        return chunk.length > 0 && chunk[0] == BranchSummary.DOMAIN;
     }
 
     /**
-     * Builds the subtree at a path from its entries; throws {@link tallyweir.fleet.Fault.EntryFaulty} if they are not all the
-     * encoded entries of such a subtree, each one in its place.
+     * Builds the subtree at a path from a chunk of entries; throws {@link tallyweir.fleet.Fault.EntryFaulty} if the chunk is not a
+     * sequence of valid entries, sorted and all below the path.
      */
-    static Node subtree(Path path, byte[] piece, KeyHashing hashing) {
-        if (piece.length == 0 || piece[0] != Leaf.DOMAIN) {
-            throw faulty(path, "it does not begin as one");
+    static Node subtree(Path path, byte[] chunk, KeyHashing hashing) {
+        if (chunk.length == 0 || chunk[0] != Leaf.DOMAIN) {
+            throw faulty(path, "its first byte is not that of a chunk of entries");
         }
         List<HashedEntry> entries = new ArrayList<>();
-        EntryReader reader = new EntryReader(piece);
+        EntryReader reader = new EntryReader(chunk);
         reader.skip(1);
         while (!reader.atEnd()) {
-            HashedEntry entry = hashed(reader, piece, hashing);
+            HashedEntry entry = hashed(reader, chunk, hashing);
             if (!isNext(path, entries, entry)) {
-                throw faulty(path, "an entry in it is not in its place");
+                throw faulty(path, "an entry in it is out of order or not below the path");
             }
             entries.add(entry);
         }
         return NodeBuilder.build(entries, path.depth());
     }
 
-    private static HashedEntry hashed(EntryReader reader, byte[] piece, KeyHashing hashing) {
+    private static HashedEntry hashed(EntryReader reader, byte[] chunk, KeyHashing hashing) {
         int from = reader.position();
         Key key = reader.key();
         int keyEnd = reader.position();
         reader.value(key.kind());
-        return new HashedEntry(hashing.hash(piece, from, keyEnd), piece, from, keyEnd, reader.position());
+        return new HashedEntry(hashing.hash(chunk, from, keyEnd), chunk, from, keyEnd, reader.position());
     }
 
-    private static boolean isNext(Path path, List<HashedEntry> before, HashedEntry entry) {
-        boolean follows = before.isEmpty() || before.get(before.size() - 1).compareTo(entry) < 0;
-        return follows && path.leadsTo(entry.hash());
+    private static boolean isNext(Path path, List<HashedEntry> previous, HashedEntry entry) {
+        boolean isSorted =
+                previous.isEmpty() || previous.get(previous.size() - 1).compareTo(entry) < 0;
+        return isSorted && path.leadsTo(entry.hash());
     }
 
-    private static RuntimeException faulty(Path path, String why) {
-        return Limits.faulty("of the piece at " + path.digits(), why);
+    private static RuntimeException faulty(Path path, String reason) {
+        return Limits.faulty("of the chunk at " + path.digits(), reason);
     }
 }
--- a/fleet/src/main/java/tallyweir/fleet/table/Sha256.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/Sha256.java
@@ -4,20 +4,20 @@
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
 
-/** SHA-256 as {@link Hash256}. */
+/** Computes SHA-256 digests as {@link Hash256}. Safe for use by several threads. */
 final class Sha256 {
     private static final ThreadLocal<MessageDigest> DIGEST = ThreadLocal.withInitial(Sha256::newDigest);
 
     private Sha256() {}
 
-    /** The hash of a range of bytes. */
+    /** Returns the hash of the bytes from {@code from} up to, but not including, {@code to}. */
     static Hash256 of(byte[] bytes, int from, int to) {
         MessageDigest digest = DIGEST.get();
         digest.update(bytes, from, to - from);
         return result(digest);
     }
 
-    /** The hash of a byte that says what is hashed, and of the bytes after it. */
+    /** Returns the hash of a domain separation byte followed by the bytes. */
     static Hash256 of(byte domain, byte[] bytes) {
         MessageDigest digest = DIGEST.get();
         digest.update(domain);
@@ -33,7 +33,7 @@
         try {
             return MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java has SHA-256", e);
+            throw new IllegalStateException("the Java platform does not provide SHA-256", e);
         }
     }
 }
--- a/fleet/src/main/java/tallyweir/fleet/table/Table.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/Table.java
@@ -9,11 +9,13 @@
 import tallyweir.fleet.Digest;
 
 /**
- * An immutable set of entries, one a key: a persistent hash tree. Each digit of the SHA-256 of a key's encoding leads one branch
- * further down. A changed table shares all subtrees without a change with the one before, and every subtree has a digest, so that
- * two tables are compared, and one is brought up to another, at the cost of what differs.
+ * An immutable map from keys to values, implemented as a persistent hash tree: the hexadecimal digits of the SHA-256 of an encoded
+ * key select the child at each level. A changed table shares all unchanged subtrees with its predecessor. Every subtree has a
+ * digest, so the cost of comparing two tables, or of transferring one to a holder of the other, depends on the size of their
+ * difference. Safe for use by several threads.
  */
 public final class Table {
+    /** The table without entries. */
     public static final Table EMPTY = empty(KeyHashing.SHA_256);
 
     private final Node rootNode;
@@ -24,66 +26,66 @@
         this.hashing = hashing;
     }
 
-    /** A table without entries whose keys are hashed in another way. */
+    /** A table without entries that uses another hash function for its keys. */
     static Table empty(KeyHashing hashing) {
         return new Table(Leaf.EMPTY, hashing);
     }
 
-    /** How many entries it has. */
+    /** The number of entries. */
     public int size() {
         return rootNode.count();
     }
 
-    /** Names the whole: equal for equal entries, whatever way they came in. */
+    /** The digest of all entries; it does not depend on the order in which they were added. */
     public Digest root() {
         return rootNode.digest().toDigest();
     }
 
-    /** What the entry of a key says. */
+    /** Returns the value of a key, or empty if there is no such entry. */
     public Optional<Value> get(Key key) {
-        HashedEntry wanted = HashedEntry.of(key, hashing);
+        HashedEntry hashedKey = HashedEntry.of(key, hashing);
         Node node = rootNode;
         int depth = 0;
         while (node instanceof Branch branch) {
-            node = branch.child(wanted.hash().digit(depth));
+            node = branch.child(hashedKey.hash().digit(depth));
             depth++;
         }
-        return ((Leaf) node).get(wanted.bytes());
+        return ((Leaf) node).get(hashedKey.bytes());
     }
 
     /**
-     * The table with each of these changes made; what they say of before is not looked at. Of several with the same key the last
-     * one counts. If nothing changes it is this table itself.
+     * Returns a table with the changes applied. Their old values are ignored. Of several changes of one key, the last one counts.
+     * Returns this table itself if nothing changes.
      */
     public Table apply(Collection<Change> changes) {
         Node changed = new NodeUpdate(hashing).apply(rootNode, 0, inOrder(changes));
         return changed == rootNode ? this : new Table(changed, hashing);
     }
 
-    /** Every entry, in an order that is the same for equal tables. */
-    public void forEach(Consumer<Entry> to) {
-        rootNode.forEach(to);
+    /** Passes on every entry, in an order that is the same for equal tables. */
+    public void forEach(Consumer<Entry> consumer) {
+        rootNode.forEach(consumer);
     }
 
-    /** The entries that differ, from this table to another; costs as many steps as there are of them. */
+    /** Returns the changes that lead from this table to another; the cost is proportional to their number. */
     public List<Change> differenceTo(Table other) {
         return differenceTo(other, Integer.MAX_VALUE).orElseThrow();
     }
 
     /**
-     * The entries that differ, from this table to another, unless there are too many.
+     * Returns the changes that lead from this table to another, unless there are too many.
      *
-     * @param most changes at the most; more give an empty result, without being looked for any further
+     * @param maxChanges the maximum number of changes; if there are more, the search stops and the result is empty
      */
-    public Optional<List<Change>> differenceTo(Table other, int most) {
-        TableDifference difference = new TableDifference(most);
+    public Optional<List<Change>> differenceTo(Table other, int maxChanges) {
+        TableDifference difference = new TableDifference(maxChanges);
         difference.walk(rootNode, other.rootNode);
         return difference.changes();
     }
 
     /**
-     * What {@link TableTransfer#take} takes for a path: the encoded entries of that part if they are few, or else the digests and
-     * counts of its children.
+     * Returns the chunk of a path for {@link TableTransfer#take}: the encoded entries of that subtree if they are few, otherwise
+     * the digests and entry counts of its children.
      */
     public byte[] piece(Path path) {
         Node node = rootNode;
@@ -93,7 +95,7 @@
         return Piece.of(node);
     }
 
-    /** Tables are equal if they have the same entries. */
+    /** Two tables are equal if they have the same entries. */
     @Override
     public boolean equals(Object other) {
         return other instanceof Table table && rootNode.sameAs(table.rootNode);
--- a/fleet/src/main/java/tallyweir/fleet/table/TableDifference.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/TableDifference.java
@@ -6,27 +6,27 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Finds what differs between two subtrees at the same place, and passes over all that they share. */
+/** Collects the differences between two subtrees at the same path; skips all subtrees that are equal. */
 final class TableDifference {
     private final int most;
     private final List<Change> changes = new ArrayList<>();
     private boolean tooMany;
 
     /**
-     * A difference that gives up when it is too large.
+     * Creates an empty difference.
      *
-     * @param most changes at the most
+     * @param maxChanges the maximum number of changes; the search stops once there are more
      */
-    TableDifference(int most) {
-        this.most = most;
+    TableDifference(int maxChanges) {
+        this.most = maxChanges;
     }
 
-    /** The changes that were found, in an order that depends on the two subtrees only; empty if there are too many. */
+    /** The changes found, in an order that depends on the two subtrees only; empty if there are more than the maximum. */
     Optional<List<Change>> changes() {
         return tooMany ? Optional.empty() : Optional.of(changes);
     }
 
-    /** Adds the changes from one subtree to another. */
+    /** Adds the changes that lead from one subtree to another. */
     void walk(Node before, Node after) {
         if (tooMany || before.sameAs(after)) {
             return;
@@ -37,25 +37,25 @@
             }
             return;
         }
-        int differAtLeast = Math.abs(before.count() - after.count());
-        tooMany = differAtLeast > most - changes.size();
+        int minDifference = Math.abs(before.count() - after.count());
+        tooMany = minDifference > most - changes.size();
         if (!tooMany) {
             compareEntries(before, after);
         }
     }
 
-    /** For subtrees one of which is a leaf, so that most entries of the other differ. */
+    /** Compares entry by entry. At least one of the two is a leaf, so most entries of a larger one differ anyway. */
     private void compareEntries(Node before, Node after) {
-        Map<Key, Value> rest = new LinkedHashMap<>();
-        before.forEach(entry -> rest.put(entry.key(), entry.value()));
-        after.forEach(entry -> add(entry.key(), Optional.ofNullable(rest.remove(entry.key())), entry.value()));
-        rest.forEach((key, value) -> add(new Change(key, Optional.of(value), Optional.empty())));
+        Map<Key, Value> remaining = new LinkedHashMap<>();
+        before.forEach(entry -> remaining.put(entry.key(), entry.value()));
+        after.forEach(entry -> add(entry.key(), Optional.ofNullable(remaining.remove(entry.key())), entry.value()));
+        remaining.forEach((key, value) -> add(new Change(key, Optional.of(value), Optional.empty())));
     }
 
     private void add(Key key, Optional<Value> before, Value after) {
-        Optional<Value> present = Optional.of(after);
-        if (!before.equals(present)) {
-            add(new Change(key, before, present));
+        Optional<Value> newValue = Optional.of(after);
+        if (!before.equals(newValue)) {
+            add(new Change(key, before, newValue));
         }
     }
 
--- a/fleet/src/main/java/tallyweir/fleet/table/TableTransfer.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/TableTransfer.java
@@ -10,8 +10,8 @@
 import tallyweir.fleet.FleetException;
 
 /**
- * Brings a table over piece by piece, from the root down. Each piece is held against the digest that the piece above promised, so
- * it may come from anywhere. Parts that the receiver has are not asked for. Not for several threads at once.
+ * The receiver's side of the transfer of a table, chunk by chunk from the root down. Each chunk is verified against the digest in
+ * its parent's chunk, so it may come from any source. Subtrees that the receiver already has are not requested. Not thread-safe.
  */
 public final class TableTransfer {
     private final Table have;
@@ -20,23 +20,23 @@
     private final Map<Path, TransferPart> pending = new LinkedHashMap<>();
 
     /**
-     * A transfer that has had no piece.
+     * Starts a transfer.
      *
-     * @param have a table that the receiver has; the nearer it is to the wanted one, the less is asked for
-     * @param wantedRoot the root of the wanted table; {@link Fault.UnknownRoot} if it cannot be one
+     * @param base a table that the receiver has; the less it differs from the target, the fewer chunks are requested
+     * @param targetRoot the root digest of the target table; {@link Fault.UnknownRoot} is thrown if it is not a valid digest
      */
-    public TableTransfer(Table have, Digest wantedRoot) {
-        this(have, wantedRoot, TransferPart.NOTHING);
+    public TableTransfer(Table base, Digest targetRoot) {
+        this(base, targetRoot, TransferPart.NOTHING);
     }
 
-    private TableTransfer(Table have, Digest wantedRoot, TransferPart earlier) {
-        this.have = have;
-        this.wantedRoot = Hash256.of(wantedRoot).orElseThrow(new Fault.UnknownRoot(wantedRoot.value())::thrown);
-        this.root = new TransferPart(this.wantedRoot, have.rootNode(), earlier);
+    private TableTransfer(Table base, Digest targetRoot, TransferPart previous) {
+        this.have = base;
+        this.wantedRoot = Hash256.of(targetRoot).orElseThrow(new Fault.UnknownRoot(targetRoot.value())::thrown);
+        this.root = new TransferPart(this.wantedRoot, base.rootNode(), previous);
         resolveOrAsk(Path.ROOT, root);
     }
 
-    /** The path to ask a piece for; the same one until that piece is taken; empty once all are there. */
+    /** The path of the next chunk to request: the same path until its chunk is accepted, empty once the transfer is complete. */
     public Optional<Path> next() {
         return pending.isEmpty()
                 ? Optional.empty()
@@ -44,26 +44,26 @@
     }
 
     /**
-     * Takes a piece. One that is not asked for is left aside.
+     * Accepts the chunk of a path. A chunk that was not requested is ignored.
      *
-     * @throws FleetException {@link Fault.DigestMismatch} if it is not the promised one; then nothing has changed
+     * @throws FleetException {@link Fault.DigestMismatch} if the chunk does not have the expected digest; the transfer is unchanged
      */
-    public void take(Path path, byte[] piece) {
-        TransferPart part = pending.get(path);
-        if (part == null) {
+    public void take(Path path, byte[] chunk) {
+        TransferPart node = pending.get(path);
+        if (node == null) {
             return;
         }
-        if (Piece.isSummary(piece)) {
-            takeSummary(path, part, piece);
+        if (Piece.isSummary(chunk)) {
+            takeSummary(path, node, chunk);
         } else {
-            takeEntries(path, part, piece);
+            takeEntries(path, node, chunk);
         }
     }
 
-    /** The wanted table, once nothing is left to ask for. */
+    /** The transferred table; throws {@link IllegalStateException} if the transfer is not complete. */
     public Table table() {
         if (!pending.isEmpty()) {
-            throw new IllegalStateException(pending.size() + " pieces are missing");
+            throw new IllegalStateException(pending.size() + " chunks are missing");
         }
         Node assembled = root.assemble();
         if (!assembled.hasDigest(wantedRoot)) {
@@ -72,62 +72,62 @@
         return assembled == have.rootNode() ? have : new Table(assembled, have.hashing());
     }
 
-    /** Goes on towards another table with all that has been had so far. This transfer is not to be used any more. */
+    /** Returns a transfer to another target that reuses everything received so far. This transfer must not be used afterwards. */
     public TableTransfer towards(Digest newRoot) {
         return new TableTransfer(have, newRoot, root);
     }
 
-    private void takeSummary(Path path, TransferPart part, byte[] piece) {
-        Hash256 found = Sha256.of(piece, 0, piece.length);
-        if (!found.equals(part.digest()) || path.depth() == Hash256.DIGITS) {
-            throw mismatch(part.digest(), found.toDigest());
+    private void takeSummary(Path path, TransferPart node, byte[] chunk) {
+        Hash256 found = Sha256.of(chunk, 0, chunk.length);
+        if (!found.equals(node.digest()) || path.depth() == Hash256.DIGITS) {
+            throw mismatch(node.digest(), found.toDigest());
         }
         pending.remove(path);
-        List<ChildSummary> children = BranchSummary.decode(piece).children();
-        promiseChildren(path, part, children.stream().map(ChildSummary::digest).toList());
+        List<ChildSummary> children = BranchSummary.decode(chunk).children();
+        promiseChildren(path, node, children.stream().map(ChildSummary::digest).toList());
     }
 
-    private void takeEntries(Path path, TransferPart part, byte[] piece) {
-        Node subtree = subtree(path, part, piece);
-        if (!subtree.hasDigest(part.digest())) {
-            throw mismatch(part.digest(), subtree.digest().toDigest());
+    private void takeEntries(Path path, TransferPart node, byte[] chunk) {
+        Node subtree = subtree(path, node, chunk);
+        if (!subtree.hasDigest(node.digest())) {
+            throw mismatch(node.digest(), subtree.digest().toDigest());
         }
         pending.remove(path);
-        part.resolve(subtree);
+        node.resolve(subtree);
     }
 
-    private Node subtree(Path path, TransferPart part, byte[] piece) {
+    private Node subtree(Path path, TransferPart node, byte[] chunk) {
         try {
-            return Piece.subtree(path, piece, have.hashing());
+            return Piece.subtree(path, chunk, have.hashing());
         } catch (FleetException unreadable) {
-            throw mismatch(part.digest(), Digest.of(piece));
+            throw mismatch(node.digest(), Digest.of(chunk));
         }
     }
 
-    private void resolveOrAsk(Path path, TransferPart part) {
-        Optional<Node> whole = part.knownWhole();
-        Optional<List<Hash256>> children = part.knownChildren();
-        if (whole.isPresent()) {
-            part.resolve(whole.get());
+    private void resolveOrAsk(Path path, TransferPart node) {
+        Optional<Node> subtree = node.knownWhole();
+        Optional<List<Hash256>> children = node.knownChildren();
+        if (subtree.isPresent()) {
+            node.resolve(subtree.get());
         } else if (children.isPresent()) {
-            promiseChildren(path, part, children.get());
+            promiseChildren(path, node, children.get());
         } else {
-            pending.put(path, part);
+            pending.put(path, node);
         }
     }
 
-    private void promiseChildren(Path path, TransferPart part, List<Hash256> digests) {
+    private void promiseChildren(Path path, TransferPart node, List<Hash256> digests) {
         List<TransferPart> children = new ArrayList<>(digests.size());
         for (int digit = 0; digit < digests.size(); digit++) {
-            children.add(part.promisedChild(digests.get(digit), digit, path.depth(), have.hashing()));
+            children.add(node.promisedChild(digests.get(digit), digit, path.depth(), have.hashing()));
         }
-        part.resolve(children);
+        node.resolve(children);
         for (int digit = 0; digit < children.size(); digit++) {
             resolveOrAsk(path.child(digit), children.get(digit));
         }
     }
 
-    private static FleetException mismatch(Hash256 wanted, Digest found) {
-        return new Fault.DigestMismatch(wanted.toDigest().value(), found.value()).thrown();
+    private static FleetException mismatch(Hash256 expected, Digest found) {
+        return new Fault.DigestMismatch(expected.toDigest().value(), found.value()).thrown();
     }
 }
--- a/fleet/src/main/java/tallyweir/fleet/table/TransferPart.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/TransferPart.java
@@ -4,11 +4,12 @@
 import java.util.Optional;
 
 /**
- * A subtree of a table that is being transferred. It is resolved once it is there as a whole, or once its children are known.
- * Until then it holds on to what is known at the same path of other tables, as its children may turn out to be parts of that.
+ * A subtree of a table that is being transferred. It is resolved once the complete subtree or the digests of its children are
+ * available. Until then it refers to the subtrees at the same path of tables known to the receiver, because its children may be
+ * equal to children of those.
  */
 final class TransferPart {
-    /** What an earlier transfer has had if there was none. */
+    /** Stands for the previous transfer where there was none. */
     static final TransferPart NOTHING = new TransferPart(Leaf.EMPTY);
 
     private final Hash256 digest;
@@ -17,29 +18,29 @@
     private Node whole;
     private List<TransferPart> children;
 
-    /** A part that is there as a whole. */
-    private TransferPart(Node whole) {
-        this.digest = whole.digest();
-        this.whole = whole;
+    /** Creates a resolved node of a complete subtree. */
+    private TransferPart(Node subtree) {
+        this.digest = subtree.digest();
+        this.whole = subtree;
     }
 
     /**
-     * A part that is not resolved.
+     * Creates an unresolved node.
      *
-     * @param have the subtree at the same path of the table that the receiver has
-     * @param earlier the part at the same path of an earlier transfer
+     * @param base the subtree at the same path of the table that the receiver has
+     * @param previous the node at the same path of the previous transfer
      */
-    TransferPart(Hash256 digest, Node have, TransferPart earlier) {
+    TransferPart(Hash256 digest, Node base, TransferPart previous) {
         this.digest = digest;
-        this.have = have;
-        this.earlier = earlier.isResolved() ? earlier : earlier.earlier;
+        this.have = base;
+        this.earlier = previous.isResolved() ? previous : previous.earlier;
     }
 
     Hash256 digest() {
         return digest;
     }
 
-    /** The subtree that is known already and has the digest of this one, as a whole. */
+    /** A complete subtree with this digest that the receiver already has, if any. */
     Optional<Node> knownWhole() {
         if (have.hasDigest(digest)) {
             return Optional.of(have);
@@ -47,7 +48,7 @@
         return earlier.digest.equals(digest) ? Optional.ofNullable(earlier.whole) : Optional.empty();
     }
 
-    /** The digests of the children, if they are known already. */
+    /** The digests of the children, if the previous transfer already obtained them. */
     Optional<List<Hash256>> knownChildren() {
         boolean known = earlier.children != null && earlier.digest.equals(digest);
         return known
@@ -56,24 +57,24 @@
                 : Optional.empty();
     }
 
-    /** The child for a digit, not resolved, with what is known at its path. */
+    /** Creates the unresolved child for a digit, with references to the known subtrees at its path. */
     TransferPart promisedChild(Hash256 childDigest, int digit, int depth, KeyHashing hashing) {
         return new TransferPart(childDigest, have.child(digit, depth, hashing), earlier.child(digit, depth, hashing));
     }
 
-    /** Resolves it by the subtree. */
-    void resolve(Node subtree) {
-        whole = subtree;
+    /** Resolves this node with its complete subtree. */
+    void resolve(Node complete) {
+        whole = complete;
         forgetOthers();
     }
 
-    /** Resolves it by its children. */
+    /** Resolves this node with its 16 children. */
     void resolve(List<TransferPart> byDigit) {
         children = byDigit;
         forgetOthers();
     }
 
-    /** The subtree, put together from its children if need be. All below have to be resolved. */
+    /** Returns the complete subtree, joined from the children if necessary. All descendants must be resolved. */
     Node assemble() {
         if (whole == null) {
             whole = NodeBuilder.join(
--- a/fleet/src/main/java/tallyweir/fleet/table/Value.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/Value.java
@@ -1,15 +1,15 @@
 package tallyweir.fleet.table;
 
-/** What an entry says, by its kind. Each throws {@link tallyweir.fleet.Fault.EntryFaulty} if it is out of range. */
+/** The value of an entry. Every constructor throws {@link tallyweir.fleet.Fault.EntryFaulty} for a value out of range. */
 public sealed interface Value {
-    /** The share of calls that a store gets beside others: 1 to 1,000. */
+    /** The relative weight by which calls are distributed over the stores: 1 to 1,000. */
     record Weight(int weight) implements Value {
         public Weight {
             Limits.range("weight", weight, Limits.WEIGHT_LEAST, Limits.WEIGHT_MOST);
         }
     }
 
-    /** Where something is reached: a numeric host and a port. */
+    /** A network address: a numeric host and a port. */
     record Address(String host, int port) implements Value {
         public Address {
             Limits.text("host", host, Limits.HOST_BYTES_MOST);
@@ -17,13 +17,13 @@
         }
     }
 
-    /** The most connections at once: 0 to 2^24. */
+    /** The maximum number of simultaneous connections: 0 to 2^24. */
     record Cap(int connections) implements Value {
         public Cap {
             Limits.range("cap", connections, 0, Limits.CONNECTIONS_MOST);
         }
     }
 
-    /** That the entry is there says it all. */
+    /** The empty value of a kind for which only the presence of the entry matters. */
     record Present() implements Value {}
 }
--- a/fleet/src/main/java/tallyweir/fleet/table/package-info.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What a revision says, as a set of typed entries in an immutable table. A change makes a new table that shares all that is
- * equal with the one before; the digest of its root names the whole. Two tables are equal exactly if their roots are.
+ * The content of a revision: a set of typed entries in an immutable table. Applying changes creates a new table that shares
+ * every unchanged subtree with the old one. The digest of its root identifies the complete content: two tables are equal exactly
+ * if their root digests are equal.
  */
 package tallyweir.fleet.table;
--- a/fleet/src/test/java/tallyweir/fleet/table/EntryCodecTest.java
+++ b/fleet/src/test/java/tallyweir/fleet/table/EntryCodecTest.java
@@ -17,6 +17,7 @@
 import tallyweir.fleet.Fault;
 import tallyweir.fleet.FleetException;
 
+/** Round trips of the entry encoding, and rejection of every byte sequence that is not the encoding of a value. */
 class EntryCodecTest {
     private static final Key STORE = new Key(Kind.STORE, "10.0.0.1:7000 alpha,beta");
     private static final List<Entry> ENTRIES = List.of(
@@ -45,7 +46,7 @@
         assertEquals(changes, EntryCodec.changes(EntryCodec.changes(changes)));
     }
 
-    /** Whatever the bytes are, they are either the only encoding of what is read from them, or a faulty entry. */
+    /** Damaged bytes must either be rejected or be the only valid encoding of what is decoded from them. */
     @Property(tries = 300, seed = "22")
     void damagedBytesAreFaultyOrMeanSomethingElse(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
@@ -67,12 +68,12 @@
         byte[] entries = EntryCodec.entries(ENTRIES);
         byte[] changes = EntryCodec.changes(List.of(changeOfStore()));
         for (int length = 0; length < entries.length; length++) {
-            byte[] cut = Arrays.copyOf(entries, length);
-            assertFaulty(() -> EntryCodec.entries(cut));
+            byte[] truncated = Arrays.copyOf(entries, length);
+            assertFaulty(() -> EntryCodec.entries(truncated));
         }
         for (int length = 0; length < changes.length; length++) {
-            byte[] cut = Arrays.copyOf(changes, length);
-            assertFaulty(() -> EntryCodec.changes(cut));
+            byte[] truncated = Arrays.copyOf(changes, length);
+            assertFaulty(() -> EntryCodec.changes(truncated));
         }
         assertFaulty(() -> EntryCodec.entries(Arrays.copyOf(entries, entries.length + 1)));
         assertFaulty(() -> EntryCodec.changes(Arrays.copyOf(changes, changes.length + 1)));
@@ -116,13 +117,13 @@
         assertFaulty(() -> new Key(Kind.CAP, "\ud800"));
         assertFaultyEntry(Kind.CAP.code(), 1, 0xFF, 1);
         assertFaultyEntry(Kind.CAP.code(), 2, 0xC0, 0x80, 1);
-        byte[] long256 = new byte[262];
-        Arrays.fill(long256, (byte) 'a');
-        long256[0] = 1;
-        long256[1] = (byte) Kind.CAP.code();
-        long256[2] = (byte) 0x80;
-        long256[3] = 2;
-        assertFaulty(() -> EntryCodec.entries(long256));
+        byte[] oversized = new byte[262];
+        Arrays.fill(oversized, (byte) 'a');
+        oversized[0] = 1;
+        oversized[1] = (byte) Kind.CAP.code();
+        oversized[2] = (byte) 0x80;
+        oversized[3] = 2;
+        assertFaulty(() -> EntryCodec.entries(oversized));
     }
 
     @Test
@@ -153,7 +154,7 @@
         return random.nextBoolean() ? Optional.of(TestTables.randomValue(random, key.kind())) : Optional.empty();
     }
 
-    /** One entry of these bytes; without the fault of a test it would be a good one. */
+    /** Decodes a list of one entry, which the bytes encode up to the one mistake under test. */
     private static void assertFaultyEntry(int... bytes) {
         byte[] encoded = new byte[bytes.length + 1];
         encoded[0] = 1;
--- a/fleet/src/test/java/tallyweir/fleet/table/TableFootprint.java
+++ b/fleet/src/test/java/tallyweir/fleet/table/TableFootprint.java
@@ -9,8 +9,8 @@
 import java.util.function.Supplier;
 
 /**
- * Measures a table of a large fleet: heap and time. Heap counts only under {@code -Xmx40m -XX:+UseSerialGC}; the bulk build is
- * another run, with the argument {@code bulk} and a larger heap.
+ * Measures heap usage and running times of a table of a large fleet. The heap figures are valid only under
+ * {@code -Xmx40m -XX:+UseSerialGC}; the bulk build is a separate run, with the argument {@code bulk} and a larger heap.
  */
 public final class TableFootprint {
     private static final int STORES = 31_000;
@@ -30,7 +30,7 @@
         this.out = out;
     }
 
-    /** Prints one figure a line. */
+    /** Prints one measurement per line. */
     public static void main(String[] arguments) {
         TableFootprint footprint = new TableFootprint(System.out);
         if (arguments.length > 0 && arguments[0].equals("bulk")) {
@@ -70,7 +70,7 @@
         return table;
     }
 
-    /** Before the changes that are kept, so that collections do not count. */
+    /** Runs before the retained changes are created, so that garbage collections do not affect the times. */
     private void changes(Table table) {
         long[] nanos = new long[KEPT_CHANGES];
         for (int i = 0; i < nanos.length; i++) {
@@ -111,49 +111,50 @@
         transfer("of all", Table.EMPTY, table);
     }
 
-    private void transfer(String what, Table have, Table wanted) {
+    private void transfer(String label, Table base, Table target) {
         long start = System.nanoTime();
-        TableTransfer transfer = new TableTransfer(have, wanted.root());
-        int pieces = 0;
+        TableTransfer transfer = new TableTransfer(base, target.root());
+        int chunks = 0;
         long bytes = 0;
         int largest = 0;
         for (Optional<Path> path = transfer.next(); path.isPresent(); path = transfer.next()) {
-            byte[] piece = wanted.piece(path.get());
-            transfer.take(path.get(), piece);
-            pieces++;
-            bytes += piece.length;
-            largest = Math.max(largest, piece.length);
+            byte[] chunk = target.piece(path.get());
+            transfer.take(path.get(), chunk);
+            chunks++;
+            bytes += chunk.length;
+            largest = Math.max(largest, chunk.length);
         }
-        boolean same = transfer.table().equals(wanted);
+        boolean same = transfer.table().equals(target);
         double millis = (System.nanoTime() - start) / NANOS_PER_MILLI;
         out.printf(
-                "transfer %s: %d pieces, %d bytes, largest %d, %.1f ms, equal %b%n",
-                what, pieces, bytes, largest, millis, same);
+                "transfer %s: %d chunks, %d bytes, largest %d, %.1f ms, equal %b%n",
+                label, chunks, bytes, largest, millis, same);
     }
 
     private void keptChanges(Table table) {
         long before = usedHeap();
-        List<Table> kept = new ArrayList<>(KEPT_CHANGES);
+        List<Table> retained = new ArrayList<>(KEPT_CHANGES);
         Table latest = table;
         long start = System.nanoTime();
         for (int i = 0; i < KEPT_CHANGES; i++) {
             latest = latest.apply(List.of(randomCap()));
-            kept.add(latest);
+            retained.add(latest);
         }
         double millis = (System.nanoTime() - start) / NANOS_PER_MILLI;
-        long grown = usedHeap() - before;
+        long growth = usedHeap() - before;
         out.printf(
-                "%d changes kept: %d bytes more, %d each, %.0f ms%n", kept.size(), grown, grown / kept.size(), millis);
+                "%d changes retained: %d bytes more, %d each, %.0f ms%n",
+                retained.size(), growth, growth / retained.size(), millis);
     }
 
     private Change randomCap() {
         return capChange(random.nextInt(TENANTS), 1 + random.nextInt(100_000));
     }
 
-    private <T> T timed(String what, Supplier<T> work) {
+    private <T> T timed(String label, Supplier<T> work) {
         long start = System.nanoTime();
         T result = work.get();
-        out.printf("%s: %.0f ms%n", what, (System.nanoTime() - start) / NANOS_PER_MILLI);
+        out.printf("%s: %.0f ms%n", label, (System.nanoTime() - start) / NANOS_PER_MILLI);
         return result;
     }
 
@@ -183,11 +184,11 @@
         return new Change(key, Optional.empty(), Optional.of(value));
     }
 
-    private static double micros(long[] sorted, double share) {
-        return sorted[(int) (sorted.length * share)] / NANOS_PER_MICRO;
+    private static double micros(long[] sorted, double quantile) {
+        return sorted[(int) (sorted.length * quantile)] / NANOS_PER_MICRO;
     }
 
-    /** Bytes in use after full collections. */
+    /** The bytes of heap in use after three full collections. */
     private static long usedHeap() {
         Runtime runtime = Runtime.getRuntime();
         for (int i = 0; i < 3; i++) {
--- a/fleet/src/test/java/tallyweir/fleet/table/TableTest.java
+++ b/fleet/src/test/java/tallyweir/fleet/table/TableTest.java
@@ -20,7 +20,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** {@link Table} beside a plain sorted map, with hashes that collide and hashes that do not. */
+/** Compares {@link Table} with a sorted map, with the production hash function and with ones that collide. */
 class TableTest {
     private static final List<KeyHashing> HASHINGS = List.of(
             KeyHashing.SHA_256,
@@ -42,8 +42,8 @@
             table = table.apply(changes);
             assertEquals(model.size(), table.size());
             assertEquals(model, TestTables.entriesOf(table));
-            Key asked = TestTables.randomKey(random, names);
-            assertEquals(Optional.ofNullable(model.get(asked)), table.get(asked));
+            Key key = TestTables.randomKey(random, names);
+            assertEquals(Optional.ofNullable(model.get(key)), table.get(key));
         }
         for (Map.Entry<Key, Value> entry : model.entrySet()) {
             assertEquals(Optional.of(entry.getValue()), table.get(entry.getKey()));
@@ -57,21 +57,21 @@
             @ForAll @IntRange(min = 0, max = 3) int hashing) {
         SplittableRandom random = new SplittableRandom(seed);
         Table empty = Table.empty(HASHINGS.get(hashing));
-        Table grown = empty;
+        Table incremental = empty;
         for (int round = 0; round < 6; round++) {
-            grown = grown.apply(TestTables.randomChanges(random, random.nextInt(200), names));
+            incremental = incremental.apply(TestTables.randomChanges(random, random.nextInt(200), names));
         }
         List<Change> shuffled = new ArrayList<>();
-        grown.forEach(entry -> shuffled.add(TestTables.put(entry.key(), entry.value())));
+        incremental.forEach(entry -> shuffled.add(TestTables.put(entry.key(), entry.value())));
         Collections.shuffle(shuffled, new Random(seed));
         Table oneByOne = empty;
         for (Change change : shuffled) {
             oneByOne = oneByOne.apply(List.of(change));
         }
-        assertEquals(grown.root(), oneByOne.root());
-        assertEquals(grown.root(), empty.apply(shuffled).root());
-        assertSameShape(grown.rootNode(), oneByOne.rootNode(), 0);
-        assertEquals(orderOf(grown), orderOf(oneByOne));
+        assertEquals(incremental.root(), oneByOne.root());
+        assertEquals(incremental.root(), empty.apply(shuffled).root());
+        assertSameShape(incremental.rootNode(), oneByOne.rootNode(), 0);
+        assertEquals(orderOf(incremental), orderOf(oneByOne));
     }
 
     @Property(tries = 200, seed = "13")
@@ -88,8 +88,8 @@
         List<Change> difference = before.differenceTo(after);
         assertEquals(modelDifference(before, after), byKey(difference));
         assertEquals(after, before.apply(difference));
-        List<Change> back = difference.stream().map(Change::inverse).toList();
-        assertEquals(before, after.apply(back));
+        List<Change> inverse = difference.stream().map(Change::inverse).toList();
+        assertEquals(before, after.apply(inverse));
         assertEquals(Optional.of(difference), before.differenceTo(after, difference.size()));
         if (!difference.isEmpty()) {
             assertEquals(Optional.empty(), before.differenceTo(after, difference.size() - 1));
@@ -155,12 +155,12 @@
     @Test
     void aChangeMakesNewNodesOnItsPathOnly() {
         Table before = Table.EMPTY.apply(TestTables.caps(0, 20_000, 7));
-        Set<Node> known = nodesOf(before);
+        Set<Node> oldNodes = nodesOf(before);
         Table after = before.apply(TestTables.caps(1_234, 1_235, 8));
-        Set<Node> made = nodesOf(after);
-        made.removeAll(known);
-        assertTrue(made.size() <= 5, "new nodes: " + made.size() + " of " + known.size());
-        assertTrue(known.size() > 1_000, "nodes: " + known.size());
+        Set<Node> newNodes = nodesOf(after);
+        newNodes.removeAll(oldNodes);
+        assertTrue(newNodes.size() <= 5, "new nodes: " + newNodes.size() + " of " + oldNodes.size());
+        assertTrue(oldNodes.size() > 1_000, "nodes: " + oldNodes.size());
     }
 
     @Test
@@ -184,16 +184,16 @@
     }
 
     private static Map<Key, Change> modelDifference(Table before, Table after) {
-        Map<Key, Value> from = TestTables.entriesOf(before);
-        Map<Key, Value> to = TestTables.entriesOf(after);
-        Map<Key, Value> both = new TreeMap<>(from);
-        both.putAll(to);
+        Map<Key, Value> oldEntries = TestTables.entriesOf(before);
+        Map<Key, Value> newEntries = TestTables.entriesOf(after);
+        Map<Key, Value> union = new TreeMap<>(oldEntries);
+        union.putAll(newEntries);
         Map<Key, Change> differing = new TreeMap<>();
-        for (Key key : both.keySet()) {
-            Optional<Value> was = Optional.ofNullable(from.get(key));
-            Optional<Value> is = Optional.ofNullable(to.get(key));
-            if (!was.equals(is)) {
-                differing.put(key, new Change(key, was, is));
+        for (Key key : union.keySet()) {
+            Optional<Value> oldValue = Optional.ofNullable(oldEntries.get(key));
+            Optional<Value> newValue = Optional.ofNullable(newEntries.get(key));
+            if (!oldValue.equals(newValue)) {
+                differing.put(key, new Change(key, oldValue, newValue));
             }
         }
         return differing;
@@ -218,11 +218,11 @@
         return nodes;
     }
 
-    private static void collect(Node node, Set<Node> to) {
-        to.add(node);
+    private static void collect(Node node, Set<Node> nodes) {
+        nodes.add(node);
         if (node instanceof Branch branch) {
             for (int digit = 0; digit < Branch.FAN_OUT; digit++) {
-                collect(branch.child(digit), to);
+                collect(branch.child(digit), nodes);
             }
         }
     }
--- a/fleet/src/test/java/tallyweir/fleet/table/TableTransferTest.java
+++ b/fleet/src/test/java/tallyweir/fleet/table/TableTransferTest.java
@@ -22,6 +22,7 @@
 import tallyweir.fleet.Fault;
 import tallyweir.fleet.FleetException;
 
+/** Transfers between tables: completeness, the number of chunks requested, and rejection of damaged chunks. */
 class TableTransferTest {
     private static final int LARGE = 20_000;
     private static final Table LARGE_TABLE = Table.EMPTY.apply(TestTables.caps(0, LARGE, 7));
@@ -29,10 +30,10 @@
     @Test
     void aWholeTableComesOver() {
         TableTransfer transfer = new TableTransfer(Table.EMPTY, LARGE_TABLE.root());
-        int pieces = complete(transfer, LARGE_TABLE);
+        int chunks = complete(transfer, LARGE_TABLE);
         assertEquals(LARGE_TABLE, transfer.table());
         assertEquals(TestTables.entriesOf(LARGE_TABLE), TestTables.entriesOf(transfer.table()));
-        assertEquals(1 + 16, pieces);
+        assertEquals(1 + 16, chunks);
     }
 
     @Test
@@ -45,10 +46,10 @@
 
     @Test
     void onlyWhatDiffersIsAskedFor() {
-        Table wanted = LARGE_TABLE.apply(TestTables.caps(77, 78, 8));
-        TableTransfer transfer = new TableTransfer(LARGE_TABLE, wanted.root());
-        assertEquals(2, complete(transfer, wanted));
-        assertEquals(wanted, transfer.table());
+        Table target = LARGE_TABLE.apply(TestTables.caps(77, 78, 8));
+        TableTransfer transfer = new TableTransfer(LARGE_TABLE, target.root());
+        assertEquals(2, complete(transfer, target));
+        assertEquals(target, transfer.table());
         assertSharesAllButOneChild(transfer.table(), LARGE_TABLE);
     }
 
@@ -64,56 +65,56 @@
                             ? TestTables.remove(TestTables.cap(tenant))
                             : TestTables.caps(tenant, tenant + 1, 9).get(0));
         }
-        Table wanted = LARGE_TABLE.apply(differing);
-        TableTransfer transfer = new TableTransfer(LARGE_TABLE, wanted.root());
-        int pieces = complete(transfer, wanted);
-        assertTrue(pieces <= 1 + changes, "pieces: " + pieces);
-        assertEquals(wanted, transfer.table());
+        Table target = LARGE_TABLE.apply(differing);
+        TableTransfer transfer = new TableTransfer(LARGE_TABLE, target.root());
+        int chunks = complete(transfer, target);
+        assertTrue(chunks <= 1 + changes, "chunks: " + chunks);
+        assertEquals(target, transfer.table());
     }
 
-    /** Breaks, other targets and other tables to begin with, in any order. */
+    /** Interrupted transfers, changes of the target and various base tables must not lose entries that were already received. */
     @Property(tries = 60, seed = "32")
-    void breaksAndOtherTargetsLoseNothing(@ForAll long seed, @ForAll @IntRange(min = 0, max = 3) int had) {
+    void breaksAndOtherTargetsLoseNothing(@ForAll long seed, @ForAll @IntRange(min = 0, max = 3) int baseCase) {
         SplittableRandom random = new SplittableRandom(seed);
-        Table wanted = LARGE_TABLE;
-        Table have = switch (had) {
+        Table target = LARGE_TABLE;
+        Table base = switch (baseCase) {
             case 0 -> Table.EMPTY;
             case 1 -> Table.EMPTY.apply(TestTables.caps(0, LARGE / 2, 7));
             case 2 -> Table.EMPTY.apply(TestTables.caps(0, 40, 7));
             default -> LARGE_TABLE.apply(TestTables.randomChanges(random, 500, 300));
         };
-        TableTransfer transfer = new TableTransfer(have, wanted.root());
+        TableTransfer transfer = new TableTransfer(base, target.root());
         for (int retarget = 0; retarget < 4; retarget++) {
-            for (int pieces = random.nextInt(12); pieces > 0 && transfer.next().isPresent(); pieces--) {
+            for (int chunks = random.nextInt(12); chunks > 0 && transfer.next().isPresent(); chunks--) {
                 Path path = transfer.next().get();
-                transfer.take(path, wanted.piece(path));
+                transfer.take(path, target.piece(path));
             }
-            wanted = wanted.apply(TestTables.randomChanges(random, 1 + random.nextInt(30), 300));
-            transfer = transfer.towards(wanted.root());
+            target = target.apply(TestTables.randomChanges(random, 1 + random.nextInt(30), 300));
+            transfer = transfer.towards(target.root());
         }
-        complete(transfer, wanted);
-        assertEquals(wanted, transfer.table());
-        assertEquals(TestTables.entriesOf(wanted), TestTables.entriesOf(transfer.table()));
+        complete(transfer, target);
+        assertEquals(target, transfer.table());
+        assertEquals(TestTables.entriesOf(target), TestTables.entriesOf(transfer.table()));
     }
 
     @Test
     void aTransferTowardsANewerTableAsksOnlyForWhatIsNew() {
         TableTransfer transfer = new TableTransfer(Table.EMPTY, LARGE_TABLE.root());
-        Set<Path> had = new HashSet<>();
+        Set<Path> received = new HashSet<>();
         for (int i = 0; i < 9; i++) {
             Path path = transfer.next().orElseThrow();
             transfer.take(path, LARGE_TABLE.piece(path));
-            had.add(path);
+            received.add(path);
         }
         Table newer = LARGE_TABLE.apply(TestTables.caps(77, 78, 8));
-        TableTransfer further =
+        TableTransfer retargeted =
                 transfer.towards(newer.root()).towards(LARGE_TABLE.root()).towards(newer.root());
-        List<Path> asked = new ArrayList<>();
-        complete(further, newer, asked);
-        asked.removeAll(Set.of(Path.ROOT));
-        long again = asked.stream().filter(had::contains).count();
-        assertTrue(again <= 1, "asked again: " + again);
-        assertEquals(newer, further.table());
+        List<Path> requested = new ArrayList<>();
+        complete(retargeted, newer, requested);
+        requested.removeAll(Set.of(Path.ROOT));
+        long repeated = requested.stream().filter(received::contains).count();
+        assertTrue(repeated <= 1, "requested again: " + repeated);
+        assertEquals(newer, retargeted.table());
     }
 
     @Test
@@ -121,9 +122,9 @@
         TableTransfer transfer = new TableTransfer(Table.EMPTY, LARGE_TABLE.root());
         complete(transfer, LARGE_TABLE);
         Table newer = LARGE_TABLE.apply(TestTables.caps(77, 78, 8));
-        TableTransfer back = transfer.towards(newer.root()).towards(LARGE_TABLE.root());
-        assertEquals(Optional.empty(), back.next());
-        assertEquals(LARGE_TABLE, back.table());
+        TableTransfer returned = transfer.towards(newer.root()).towards(LARGE_TABLE.root());
+        assertEquals(Optional.empty(), returned.next());
+        assertEquals(LARGE_TABLE, returned.table());
     }
 
     @Test
@@ -158,10 +159,10 @@
     void collidingHashesComeOver() {
         for (KeyHashing hashing : List.of(TestTables.collidingAfter(0), TestTables.differingInLastDigit())) {
             Table empty = Table.empty(hashing);
-            Table wanted = empty.apply(TestTables.caps(0, Piece.ENTRIES_MOST + 500, 7));
-            TableTransfer transfer = new TableTransfer(empty, wanted.root());
-            complete(transfer, wanted);
-            assertEquals(wanted, transfer.table());
+            Table target = empty.apply(TestTables.caps(0, Piece.ENTRIES_MOST + 500, 7));
+            TableTransfer transfer = new TableTransfer(empty, target.root());
+            complete(transfer, target);
+            assertEquals(target, transfer.table());
         }
     }
 
@@ -185,29 +186,29 @@
 
     @Test
     void aPieceOfAPathWithoutEntriesIsEmpty() {
-        byte[] nothing = Table.EMPTY.piece(Path.ROOT);
-        assertArrayEquals(nothing, LARGE_TABLE.piece(new Path("0".repeat(64))));
+        byte[] emptyChunk = Table.EMPTY.piece(Path.ROOT);
+        assertArrayEquals(emptyChunk, LARGE_TABLE.piece(new Path("0".repeat(64))));
     }
 
-    private static void assertEveryDamageIsFound(TableTransfer transfer, Table wanted) {
+    private static void assertEveryDamageIsFound(TableTransfer transfer, Table target) {
         Path path = transfer.next().orElseThrow();
-        byte[] piece = wanted.piece(path);
-        for (int i = 0; i < piece.length; i++) {
+        byte[] chunk = target.piece(path);
+        for (int i = 0; i < chunk.length; i++) {
             for (int flipped : new int[] {1, 0x80, 0xFF}) {
-                byte[] damaged = piece.clone();
+                byte[] damaged = chunk.clone();
                 damaged[i] ^= (byte) flipped;
                 assertMismatch(transfer, path, damaged);
             }
-            assertMismatch(transfer, path, Arrays.copyOf(piece, i));
+            assertMismatch(transfer, path, Arrays.copyOf(chunk, i));
         }
-        assertMismatch(transfer, path, Arrays.copyOf(piece, piece.length + 1));
+        assertMismatch(transfer, path, Arrays.copyOf(chunk, chunk.length + 1));
         assertEquals(Optional.of(path), transfer.next());
-        complete(transfer, wanted);
-        assertEquals(wanted, transfer.table());
+        complete(transfer, target);
+        assertEquals(target, transfer.table());
     }
 
-    private static void assertMismatch(TableTransfer transfer, Path path, byte[] piece) {
-        FleetException thrown = assertThrows(FleetException.class, () -> transfer.take(path, piece));
+    private static void assertMismatch(TableTransfer transfer, Path path, byte[] chunk) {
+        FleetException thrown = assertThrows(FleetException.class, () -> transfer.take(path, chunk));
         assertTrue(
                 thrown.fault() instanceof Fault.DigestMismatch, thrown.fault().toString());
         assertTrue(transfer.next().isPresent());
@@ -223,18 +224,19 @@
         assertEquals(1, differing);
     }
 
-    private static int complete(TableTransfer transfer, Table wanted) {
-        List<Path> asked = new ArrayList<>();
-        complete(transfer, wanted, asked);
-        return asked.size();
+    private static int complete(TableTransfer transfer, Table target) {
+        List<Path> requested = new ArrayList<>();
+        complete(transfer, target, requested);
+        return requested.size();
     }
 
-    private static void complete(TableTransfer transfer, Table wanted, List<Path> asked) {
+    /** Requests and accepts chunks until the transfer is complete; adds the paths requested. */
+    private static void complete(TableTransfer transfer, Table target, List<Path> requested) {
         while (transfer.next().isPresent()) {
             Path path = transfer.next().get();
-            assertFalse(asked.contains(path), "asked twice: " + path);
-            asked.add(path);
-            transfer.take(path, wanted.piece(path));
+            assertFalse(requested.contains(path), "requested twice: " + path);
+            requested.add(path);
+            transfer.take(path, target.piece(path));
         }
     }
 }
--- a/fleet/src/test/java/tallyweir/fleet/table/TestTables.java
+++ b/fleet/src/test/java/tallyweir/fleet/table/TestTables.java
@@ -7,7 +7,7 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 
-/** Entries, changes and tables for tests. */
+/** Creates keys, values, changes and hash functions for tests of tables. */
 final class TestTables {
     private TestTables() {}
 
@@ -23,7 +23,7 @@
         return new Change(key, Optional.empty(), Optional.empty());
     }
 
-    /** Caps of the tenants from one number up to, but without, another. */
+    /** Changes that set the caps of the tenants numbered from one number up to, but not including, another. */
     static List<Change> caps(int from, int to, int connections) {
         List<Change> changes = new ArrayList<>();
         for (int tenant = from; tenant < to; tenant++) {
@@ -32,7 +32,7 @@
         return changes;
     }
 
-    /** A key of any kind, out of a few for each. */
+    /** A key of a random kind with one of {@code names} names. */
     static Key randomKey(SplittableRandom random, int names) {
         Kind kind = Kind.values()[random.nextInt(Kind.values().length)];
         String name = "name-" + random.nextInt(names);
@@ -48,7 +48,7 @@
         };
     }
 
-    /** Puts and removals in any order, some of the same key. */
+    /** Additions and removals in random order; several may have the same key. */
     static List<Change> randomChanges(SplittableRandom random, int count, int names) {
         List<Change> changes = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -58,7 +58,7 @@
         return changes;
     }
 
-    /** Makes changes in the plain model of a table. */
+    /** Applies changes to the map that models a table. */
     static void applyToModel(Map<Key, Value> model, List<Change> changes) {
         for (Change change : changes) {
             change.after().ifPresentOrElse(value -> model.put(change.key(), value), () -> model.remove(change.key()));
@@ -71,7 +71,7 @@
         return entries;
     }
 
-    /** A hashing of which only some first digits differ between keys, so that they collide further down. */
+    /** A hash function of which only the first digits depend on the key, so that hashes collide at greater depth. */
     static KeyHashing collidingAfter(int digits) {
         return (bytes, from, to) -> {
             long first = Sha256.of(bytes, from, to).first();
@@ -80,7 +80,7 @@
         };
     }
 
-    /** A hashing of which only the last digit differs between keys. */
+    /** A hash function of which only the last digit depends on the key. */
     static KeyHashing differingInLastDigit() {
         return (bytes, from, to) ->
                 new Hash256(0, 0, 0, Sha256.of(bytes, from, to).first() & 15);
--- a/stand/src/main/java/tallyweir/stand/FailingCalls.java
+++ b/stand/src/main/java/tallyweir/stand/FailingCalls.java
@@ -12,12 +12,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Makes system calls of another process fail, as Linux documents that they may. A small library is compiled by the machine's C
- * compiler and loaded into the process; it follows the rules of a file that both sides have mapped, so rules may change
- * while the process runs.
+ * Makes system calls of another process fail in ways that Linux documents. A small library is compiled by the machine's C compiler
+ * and preloaded into the process. It reads its rules from a file that both sides map into memory, so the rules can be changed while
+ * the process runs.
  */
 public final class FailingCalls {
-    /** What may fail, in the order of the library. */
+    /** The calls that can fail, in the order of the library's {@code enum call}. */
     public enum Call {
         ACCEPT,
         SOCKET,
@@ -31,7 +31,7 @@
         FILE_SYNC
     }
 
-    /** How a call may fail, by Linux's numbers. */
+    /** The errors a call can fail with, with their numbers on Linux. */
     public enum Errno {
         EINTR(4),
         EIO(5),
@@ -79,7 +79,7 @@
         this.rules = rules;
     }
 
-    /** Whether this machine has what the library is compiled with. */
+    /** Whether this machine has the C compiler that the library needs. */
     public static boolean canCompile() throws InterruptedException {
         try {
             return run(COMPILER, "--version") == 0;
@@ -88,7 +88,7 @@
         }
     }
 
-    /** Compiles the library into a directory, which holds the rules as well. */
+    /** Compiles the library into a directory and creates the file of rules there. */
     public static FailingCalls in(Path directory) throws IOException, InterruptedException {
         Path source = directory.resolve(SOURCE);
         Path library = directory.resolve("failing_calls.so");
@@ -101,9 +101,9 @@
             throw new IOException("the machine's C compiler could not compile " + source);
         }
         Path file = directory.resolve("failing_calls.rules");
-        try (RandomAccessFile of = new RandomAccessFile(file.toFile(), "rw")) {
-            of.setLength(RULES_AT + (long) RULE_BYTES * Call.values().length);
-            MappedByteBuffer rules = of.getChannel().map(FileChannel.MapMode.READ_WRITE, 0, of.length());
+        try (RandomAccessFile rulesFile = new RandomAccessFile(file.toFile(), "rw")) {
+            rulesFile.setLength(RULES_AT + (long) RULE_BYTES * Call.values().length);
+            MappedByteBuffer rules = rulesFile.getChannel().map(FileChannel.MapMode.READ_WRITE, 0, rulesFile.length());
             rules.order(ByteOrder.nativeOrder());
             return new FailingCalls(library, file, rules);
         }
@@ -116,12 +116,12 @@
                 .start();
         if (!compiler.waitFor(COMPILER_SECONDS, TimeUnit.SECONDS)) {
             compiler.destroyForcibly();
-            throw new IOException(command[0] + " does not end");
+            throw new IOException(command[0] + " does not exit in time");
         }
         return compiler.exitValue();
     }
 
-    /** What the environment of the process has to hold. */
+    /** The environment variables to set for the process. */
     public Map<String, String> environment() {
         return Map.of("LD_PRELOAD", library.toString(), "FAILING_CALLS", file.toString());
     }
@@ -130,54 +130,63 @@
         return RULES_AT + RULE_BYTES * call.ordinal();
     }
 
-    /** From now on one call in so many fails, in each of these ways in turn. */
-    public void fail(Call call, int oneIn, int seed, Errno... ways) {
-        failAtMost(call, 0, oneIn, seed, ways);
+    /**
+     * Makes calls fail from now on, with each of the errors in turn.
+     *
+     * @param oneIn one call in this many fails on average
+     * @param seed determines which calls fail
+     */
+    public void fail(Call call, int oneIn, int seed, Errno... errors) {
+        failAtMost(call, 0, oneIn, seed, errors);
     }
 
-    /** @param most so many fail and no more, 0 for no bound */
-    public void failAtMost(Call call, int most, int oneIn, int seed, Errno... ways) {
-        if (ways.length == 0 || ways.length > ERRNOS_MOST) {
-            throw new IllegalArgumentException("from 1 to " + ERRNOS_MOST + " ways to fail");
+    /**
+     * Makes a bounded number of calls fail.
+     *
+     * @param maxFailures the maximum number of calls that fail from now on, 0 for no bound
+     */
+    public void failAtMost(Call call, int maxFailures, int oneIn, int seed, Errno... errors) {
+        if (errors.length == 0 || errors.length > ERRNOS_MOST) {
+            throw new IllegalArgumentException("1 to " + ERRNOS_MOST + " errors are required");
         }
         mend(call);
-        int at = at(call);
-        for (int i = 0; i < ways.length; i++) {
-            rules.putInt(at + ERRNOS_AT + i * Integer.BYTES, ways[i].number);
+        int offset = at(call);
+        for (int i = 0; i < errors.length; i++) {
+            rules.putInt(offset + ERRNOS_AT + i * Integer.BYTES, errors[i].number);
         }
-        rules.putInt(at + ERRNO_COUNT_AT, ways.length);
-        rules.putInt(at + SEED_AT, seed);
-        rules.putInt(at + MOST_AT, most == 0 ? 0 : failures(call) + most);
-        rules.putInt(at, oneIn);
+        rules.putInt(offset + ERRNO_COUNT_AT, errors.length);
+        rules.putInt(offset + SEED_AT, seed);
+        rules.putInt(offset + MOST_AT, maxFailures == 0 ? 0 : failures(call) + maxFailures);
+        rules.putInt(offset, oneIn);
     }
 
-    /** From now on calls of this kind go as ever. */
+    /** Stops making calls of this kind fail. */
     public void mend(Call call) {
         rules.putInt(at(call), 0);
     }
 
-    /** From now on all calls go as ever. */
+    /** Stops making any calls fail. */
     public void mendAll() {
         for (Call call : Call.values()) {
             mend(call);
         }
     }
 
-    /** How many calls of this kind have failed so far. */
+    /** The number of calls of this kind that were made to fail so far. */
     public int failures(Call call) {
         return rules.getInt(at(call) + FAILED_AT);
     }
 
-    /** How many calls have failed so far. */
+    /** The number of calls of all kinds that were made to fail so far. */
     public int failures() {
-        int all = 0;
+        int sum = 0;
         for (Call call : Call.values()) {
-            all += failures(call);
+            sum += failures(call);
         }
-        return all;
+        return sum;
     }
 
-    /** The process's wall clock is so much ahead of the machine's from now on; the monotonic one runs on. */
+    /** Sets the process's wall clock ahead of the machine's by an offset from now on; the monotonic clock is not affected. */
     public void stepWall(long milliseconds) {
         rules.putLong(0, milliseconds);
     }
--- a/stand/src/main/java/tallyweir/stand/History.java
+++ b/stand/src/main/java/tallyweir/stand/History.java
@@ -7,9 +7,12 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What happened, as both sides of the program saw it, in the order in which it was seen. */
+/**
+ * The events that the stand-ins on both sides of the program observed, in the order of observation. Safe for use by several
+ * threads.
+ */
 public final class History {
-    /** What may happen. */
+    /** The types of events: {@link #RUN} is observed by the kernel, all others by the caller. */
     public enum What {
         ASKED,
         RUN,
@@ -20,24 +23,40 @@
         NOTHING
     }
 
-    /** @param text of a run and of a handled answer: the result; of an error: {@code at once} or {@code late} */
+    /**
+     * One event.
+     *
+     * @param mark the idempotency key
+     * @param job the id of the query, unique to each request, so it differs between retries of one key
+     * @param text the result for a run or a handled answer; {@code at once} or {@code late} for an error
+     */
     public record Event(What what, String mark, String job, String text) {}
 
-    /** What a history tells. */
+    /**
+     * The evaluation of a history.
+     *
+     * @param keys the number of idempotency keys seen
+     * @param ranTwice keys whose query ran more than once
+     * @param differing answers that differ from the first result of their key, and immediate errors after it
+     * @param unanswered requests without an answer
+     * @param handled keys with a handled answer
+     * @param repeatsHandled keys with more than one handled answer
+     */
     public record Verdict(int keys, int ranTwice, int differing, int unanswered, int handled, int repeatsHandled) {}
 
     private final List<Event> events = new ArrayList<>();
 
+    /** Appends an event. */
     public synchronized void add(What what, String mark, String job, String text) {
         events.add(new Event(what, mark, job, text));
     }
 
-    /** Reads the whole history and judges it; knows nothing of how the program works. */
+    /** Evaluates the complete history, independently of how the program is implemented. */
     public synchronized Verdict verdict() {
         Map<String, Integer> runs = new HashMap<>();
         Map<String, String> answers = new HashMap<>();
         Map<String, Integer> handled = new HashMap<>();
-        Set<String> after = new HashSet<>();
+        Set<String> askedAfterResult = new HashSet<>();
         int differing = 0;
         int unanswered = 0;
         for (Event e : events) {
@@ -45,16 +64,17 @@
                 case ASKED -> {
                     runs.putIfAbsent(e.mark, 0);
                     if (answers.containsKey(e.mark)) {
-                        after.add(e.job);
+                        askedAfterResult.add(e.job);
                     }
                 }
-                // Whoever asks once a result is out hears it, or to come again; late errors are those of a full queue.
-                case ERRORED -> differing += e.text.equals("at once") && after.contains(e.job) ? 1 : 0;
+                // After a result was sent, a retry must get that result or be deferred. Late errors are those of a full
+                // queue.
+                case ERRORED -> differing += e.text.equals("at once") && askedAfterResult.contains(e.job) ? 1 : 0;
                 case RUN -> runs.merge(e.mark, 1, Integer::sum);
                 case HANDLED -> {
                     handled.merge(e.mark, 1, Integer::sum);
-                    String before = answers.putIfAbsent(e.mark, e.text);
-                    differing += before != null && !before.equals(e.text) ? 1 : 0;
+                    String previous = answers.putIfAbsent(e.mark, e.text);
+                    differing += previous != null && !previous.equals(e.text) ? 1 : 0;
                 }
                 case NOTHING -> unanswered++;
                 default -> {}
@@ -69,7 +89,7 @@
                 (int) handled.values().stream().filter(n -> n > 1).count());
     }
 
-    /** How often each job was run. */
+    /** The number of runs of each job. */
     public synchronized Map<String, Integer> runsByJob() {
         Map<String, Integer> runs = new HashMap<>();
         for (Event e : events) {
--- a/stand/src/main/java/tallyweir/stand/LoadSettings.java
+++ b/stand/src/main/java/tallyweir/stand/LoadSettings.java
@@ -5,28 +5,29 @@
 import java.util.SplittableRandom;
 
 /**
- * What requests of a load are like.
+ * The properties of the requests that callers send.
  *
- * @param workload the workload that is asked for
- * @param keyed whether its requests carry a mark of their own
+ * @param workload the name of the workload
+ * @param keyed whether each request carries an idempotency key of its own
  * @param patienceMs how long a caller waits for an answer
  */
 public record LoadSettings(String workload, boolean keyed, int patienceMs) {
     private static final int FOOTPRINT_KB = 4;
 
-    Map<String, String> parameters(String id, SplittableRandom chance) {
-        Map<String, String> of = new LinkedHashMap<>();
-        of.put("REQUEST_METHOD", "POST");
-        of.put("SCRIPT_NAME", "/do/" + workload);
-        of.put("HTTP_REQUEST_ID", id);
-        of.put("HTTP_RECEIVED_AT", Long.toString(System.currentTimeMillis()));
-        of.put("HTTP_SENT_BY", "1");
-        of.put("HTTP_BUDGET_MS", Integer.toString(patienceMs));
-        of.put("HTTP_FOOTPRINT_KB", Integer.toString(FOOTPRINT_KB));
-        of.put("HTTP_PRIORITY_RANK", String.format("%.4f", chance.nextDouble(0.9999)));
+    /** The FastCGI parameters of a request. */
+    Map<String, String> parameters(String id, SplittableRandom random) {
+        Map<String, String> parameters = new LinkedHashMap<>();
+        parameters.put("REQUEST_METHOD", "POST");
+        parameters.put("SCRIPT_NAME", "/do/" + workload);
+        parameters.put("HTTP_REQUEST_ID", id);
+        parameters.put("HTTP_RECEIVED_AT", Long.toString(System.currentTimeMillis()));
+        parameters.put("HTTP_SENT_BY", "1");
+        parameters.put("HTTP_BUDGET_MS", Integer.toString(patienceMs));
+        parameters.put("HTTP_FOOTPRINT_KB", Integer.toString(FOOTPRINT_KB));
+        parameters.put("HTTP_PRIORITY_RANK", String.format("%.4f", random.nextDouble(0.9999)));
         if (keyed) {
-            of.put("HTTP_ONCE_KEY", id);
+            parameters.put("HTTP_ONCE_KEY", id);
         }
-        return of;
+        return parameters;
     }
 }
--- a/stand/src/main/java/tallyweir/stand/PipelinedCaller.java
+++ b/stand/src/main/java/tallyweir/stand/PipelinedCaller.java
@@ -15,21 +15,21 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A caller with several requests open on one connection, which may be slow to read answers; it connects again when its
- * connection has ended, and goes on until it is told to stop.
+ * A caller with several concurrent requests on one connection that may read answers slowly. It reconnects when its connection has
+ * ended and sends requests until it is stopped.
  */
 public final class PipelinedCaller implements AutoCloseable {
     /**
-     * How a caller behaves.
+     * The behaviour of a caller.
      *
-     * @param open how many requests it keeps open
-     * @param writeMs the wait between two requests, on average
-     * @param readMs the wait before an answer is read, at the most
+     * @param open the maximum number of concurrent requests
+     * @param writeMs the mean delay between two requests
+     * @param readMs the maximum delay before an answer is read
      */
     public record Manner(String name, int open, int writeMs, int readMs) {}
 
-    private static final int CROSSING_MS = 50; // by the protocol
-    private static final int SLACK_MS = 50; // by the protocol
+    private static final int CROSSING_MS = 50; // the protocol allows a close to cross a request this recent
+    private static final int SLACK_MS = 50; // the lateness of an answer that the protocol allows
     private static final int CONNECT_MS = 1_000;
     private static final int AGAIN_MS = 5;
     private static final int IDS = 30_000;
@@ -44,6 +44,7 @@
     private final Thread thread;
     private volatile boolean stopped;
 
+    /** Starts a daemon thread that connects to the server and sends requests. */
     public PipelinedCaller(InetSocketAddress server, Manner manner, LoadSettings settings, RequestLog log) {
         this.server = server;
         this.manner = manner;
@@ -71,7 +72,7 @@
         }
     }
 
-    /** One connection from its beginning to its end. */
+    /** One connection, used by the sending thread and a reader thread of its own. */
     private final class Connection {
         private final Socket socket;
         private final long connected = System.nanoTime();
@@ -85,7 +86,7 @@
         }
 
         void use() throws IOException, InterruptedException {
-            Thread reader = new Thread(this::read, "pipelined caller reads");
+            Thread reader = new Thread(this::read, "pipelined caller reader");
             reader.setDaemon(true);
             reader.start();
             while (!stopped && !ended) {
@@ -125,9 +126,9 @@
         private void read() {
             try (DataInputStream in = new DataInputStream(new BufferedInputStream(socket.getInputStream()))) {
                 while (true) {
-                    StandSidecar.Piece piece = StandSidecar.piece(in);
-                    take(piece);
-                    if (piece.type() == StandSidecar.END && manner.readMs > 0) {
+                    StandSidecar.Piece read = StandSidecar.piece(in);
+                    take(read);
+                    if (read.type() == StandSidecar.END && manner.readMs > 0) {
                         TimeUnit.MILLISECONDS.sleep(readerChance.nextInt(manner.readMs));
                     }
                 }
@@ -136,12 +137,12 @@
             }
         }
 
-        private synchronized void take(StandSidecar.Piece piece) {
-            Open request = open.get(piece.of());
-            if (request != null && piece.type() == StandSidecar.STDOUT) {
-                request.text.writeBytes(piece.content());
-            } else if (request != null && piece.type() == StandSidecar.END) {
-                open.remove(piece.of());
+        private synchronized void take(StandSidecar.Piece read) {
+            Open request = open.get(read.of());
+            if (request != null && read.type() == StandSidecar.STDOUT) {
+                request.text.writeBytes(read.content());
+            } else if (request != null && read.type() == StandSidecar.END) {
+                open.remove(read.of());
                 log.answered(request.id);
                 String text = request.text.toString(StandardCharsets.UTF_8);
                 add(request, answerEnd(request), StandSidecar.answer(text).status());
@@ -149,19 +150,20 @@
         }
 
         private RequestFate.End answerEnd(Open request) {
-            long most = settings.patienceMs() + SLACK_MS + (long) manner.open * manner.readMs;
-            boolean late = log.isOver(request.written, TimeUnit.MILLISECONDS.toNanos(most));
+            long maxMs = settings.patienceMs() + SLACK_MS + (long) manner.open * manner.readMs;
+            boolean late = log.isOver(request.written, TimeUnit.MILLISECONDS.toNanos(maxMs));
             return late ? RequestFate.End.ANSWERED_LATE : RequestFate.End.ANSWERED;
         }
 
         private synchronized void ended() {
             ended = true;
-            List<Open> left = new ArrayList<>(open.values());
+            List<Open> unanswered = new ArrayList<>(open.values());
             open.clear();
-            boolean wasAtRest = left.stream()
+            // A connection counts as idle if its unanswered requests are all recent enough to have crossed the close.
+            boolean wasIdle = unanswered.stream()
                     .noneMatch(request -> log.isOver(request.written, TimeUnit.MILLISECONDS.toNanos(CROSSING_MS)));
-            for (Open request : left) {
-                add(request, wasAtRest ? RequestFate.End.CROSSED : RequestFate.End.CONNECTION_ENDED, 0);
+            for (Open request : unanswered) {
+                add(request, wasIdle ? RequestFate.End.CROSSED : RequestFate.End.CONNECTION_ENDED, 0);
             }
         }
 
@@ -171,7 +173,7 @@
         }
     }
 
-    /** It sends nothing more. */
+    /** Stops sending requests; does not wait for answers. */
     public void stop() {
         stopped = true;
     }
--- a/stand/src/main/java/tallyweir/stand/RequestFate.java
+++ b/stand/src/main/java/tallyweir/stand/RequestFate.java
@@ -1,34 +1,34 @@
 package tallyweir.stand;
 
 /**
- * What became of one request, as its caller saw it. Times are those of {@link System#nanoTime()}.
+ * The outcome of one request as its caller observed it. Times are those of {@link System#nanoTime()}.
  *
  * @param id its Request-Id
- * @param caller which caller sent it, and how
+ * @param caller the name of the caller's profile
  * @param connected when its connection was established
  * @param written when its last byte was written
- * @param ended when its end was seen
+ * @param ended when the caller observed its end
  * @param end how it ended
- * @param status of its answer, 0 where there was none
- * @param resent whether it is the one resend of a request that crossed the end of its connection
+ * @param status the status of its answer, 0 without one
+ * @param resent whether it is the single retry of a request that crossed the close of its connection
  */
 public record RequestFate(
         String id, String caller, long connected, long written, long ended, End end, int status, boolean resent) {
-    /** How a request may end. */
+    /** The ways in which a request can end. */
     public enum End {
-        /** A whole answer came in time. */
+        /** A complete answer arrived in time. */
         ANSWERED,
-        /** A whole answer came, later than the caller waits. */
+        /** A complete answer arrived after the caller's timeout. */
         ANSWERED_LATE,
-        /** It crossed the end of a connection at rest and was sent once more. */
+        /** It crossed the server's close of an idle connection; the caller may send it again once. */
         CROSSED,
-        /** Its connection ended with no answer. */
+        /** Its connection ended without an answer. */
         CONNECTION_ENDED,
-        /** Its connection stayed open, and no answer came. */
+        /** Its connection stayed open, but no answer arrived. */
         UNANSWERED
     }
 
-    /** Whether its caller was owed an answer that it did not get. */
+    /** Whether the request should have been answered but was not. */
     public boolean isLost() {
         return end == End.CONNECTION_ENDED || end == End.UNANSWERED;
     }
--- a/stand/src/main/java/tallyweir/stand/RequestLog.java
+++ b/stand/src/main/java/tallyweir/stand/RequestLog.java
@@ -7,7 +7,7 @@
 import java.util.TreeMap;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** What all callers of a run have seen; any thread may add to it. */
+/** Collects the outcomes of all requests of a test run. Safe for use by several threads. */
 public final class RequestLog implements AutoCloseable {
     private static final double MILLION = 1e6;
 
@@ -20,20 +20,23 @@
         chance = new SplittableRandom(seed);
     }
 
-    /** A new Request-Id. */
+    /** Creates a new Request-Id. */
     public synchronized String newId() {
         return String.format("%016x", chance.nextLong());
     }
 
-    /** Chance for one caller, apart from that of all others. */
+    /** Creates a random number generator for one caller, independent of those of other callers. */
     public synchronized SplittableRandom split() {
         return chance.split();
     }
 
-    /** Whether so long a span, which ends now, is longer than allowed even without what this machine was late by in it. */
-    boolean isOver(long began, long allowedNanos) {
-        long span = System.nanoTime() - began;
-        return span > allowedNanos && span - lag.worstSince(began) > allowedNanos;
+    /**
+     * Whether the time since {@code startedAt} exceeds a maximum even after the machine's own scheduling lag in that time is
+     * subtracted.
+     */
+    boolean isOver(long startedAt, long maxNanos) {
+        long elapsed = System.nanoTime() - startedAt;
+        return elapsed > maxNanos && elapsed - lag.worstSince(startedAt) > maxNanos;
     }
 
     synchronized void add(RequestFate fate) {
@@ -44,46 +47,47 @@
         answersById.merge(id, 1, Integer::sum);
     }
 
-    /** Requests that got more than one whole answer. */
+    /** The number of requests that got more than one complete answer. */
     public long answeredTwice() {
         return answersById.values().stream().filter(n -> n > 1).count();
     }
 
+    /** A copy of the outcomes so far. */
     public synchronized List<RequestFate> all() {
         return List.copyOf(fates);
     }
 
     /**
-     * Those whose callers were owed an answer that they did not get. An end that came with the kill is no end of a connection at
-     * rest, so what was written before it did not cross it.
+     * The requests that should have been answered but were not. A connection that ended when the server was killed was not closed
+     * while idle, so its requests did not cross a regular close and count as lost too.
      *
-     * @param killed when the server was killed
+     * @param killedAt when the server was killed, by {@link System#nanoTime()}
      */
-    public List<RequestFate> lost(long killed) {
+    public List<RequestFate> lost(long killedAt) {
         return all().stream()
-                .filter(fate -> fate.isLost() || fate.end() == RequestFate.End.CROSSED && fate.ended() >= killed)
+                .filter(fate -> fate.isLost() || fate.end() == RequestFate.End.CROSSED && fate.ended() >= killedAt)
                 .toList();
     }
 
-    /** How many ended in each way. */
+    /** The number of requests by how they ended. */
     public Map<RequestFate.End, Integer> byEnd() {
         Map<RequestFate.End, Integer> count = new TreeMap<>();
         all().forEach(fate -> count.merge(fate.end(), 1, Integer::sum));
         return count;
     }
 
-    /** A line for each that was lost, its times in milliseconds before the moment given. */
-    public static String describe(List<RequestFate> lost, long moment) {
+    /** Describes each lost request on a line of its own, with times in milliseconds before {@code endedAt}. */
+    public static String describe(List<RequestFate> lost, long endedAt) {
         StringBuilder text = new StringBuilder();
         for (RequestFate fate : lost) {
             text.append(String.format(
                     "%n%s by %s: connected %.1f, written %.1f, %s seen %.1f ms before the end%s",
                     fate.id(),
                     fate.caller(),
-                    (moment - fate.connected()) / MILLION,
-                    (moment - fate.written()) / MILLION,
+                    (endedAt - fate.connected()) / MILLION,
+                    (endedAt - fate.written()) / MILLION,
                     fate.end(),
-                    (moment - fate.ended()) / MILLION,
+                    (endedAt - fate.ended()) / MILLION,
                     fate.resent() ? ", a resend" : ""));
         }
         return text.toString();
--- a/stand/src/main/java/tallyweir/stand/RigLag.java
+++ b/stand/src/main/java/tallyweir/stand/RigLag.java
@@ -4,8 +4,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * How late threads of this process are woken, so that what a test takes for the server's delay can be told from the machine's.
- * A thread sleeps for a few milliseconds again and again and notes by how much it overslept.
+ * Measures how late threads of this process are woken, so that a test can distinguish delays of the server from delays of the
+ * machine. A thread sleeps for a few milliseconds repeatedly and records by how much it overslept.
  */
 public final class RigLag implements AutoCloseable {
     private static final long SLEEP_MS = 5;
@@ -19,7 +19,7 @@
     private volatile boolean stopped;
 
     public RigLag() {
-        thread = new Thread(this::run, "rig lag");
+        thread = new Thread(this::run, "scheduling lag");
         thread.setDaemon(true);
         thread.start();
     }
@@ -27,11 +27,11 @@
     private void run() {
         try {
             while (!stopped) {
-                long due = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SLEEP_MS);
+                long wakeUpAt = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SLEEP_MS);
                 TimeUnit.MILLISECONDS.sleep(SLEEP_MS);
-                long late = System.nanoTime() - due;
-                if (late > NOTED_FROM_NANOS) {
-                    note(new Overslept(due + late, late));
+                long lag = System.nanoTime() - wakeUpAt;
+                if (lag > NOTED_FROM_NANOS) {
+                    note(new Overslept(wakeUpAt + lag, lag));
                 }
             }
         } catch (InterruptedException e) {
@@ -39,17 +39,17 @@
         }
     }
 
-    private synchronized void note(Overslept overslept) {
-        noted.add(overslept);
+    private synchronized void note(Overslept delay) {
+        noted.add(delay);
         if (noted.size() > KEPT) {
             noted.remove();
         }
     }
 
-    /** By how much a thread was woken late at the most since that moment, nanoseconds. */
-    public synchronized long worstSince(long moment) {
+    /** The maximum lag of a thread since {@code startedAt} (by {@link System#nanoTime()}), in nanoseconds; 0 below 2 ms. */
+    public synchronized long worstSince(long startedAt) {
         return noted.stream()
-                .filter(overslept -> overslept.until - moment >= 0)
+                .filter(delay -> delay.until - startedAt >= 0)
                 .mapToLong(Overslept::nanos)
                 .max()
                 .orElse(0);
--- a/stand/src/main/java/tallyweir/stand/SilentClient.java
+++ b/stand/src/main/java/tallyweir/stand/SilentClient.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** A bad client: connects many times, sends nothing or part of a record, and stays until the server ends it. */
+/** A misbehaving client: opens many connections, sends nothing or a partial record, and waits until the server closes them. */
 public final class SilentClient implements AutoCloseable {
     private static final byte[] PART_OF_A_RECORD = {1, 1, 0};
     private static final int CONNECT_MS = 1_000;
@@ -20,10 +20,14 @@
     private final List<Socket> open = new ArrayList<>();
     private volatile boolean stopped;
 
-    /** @param most how many connections it keeps open at once */
-    public SilentClient(InetSocketAddress server, int most) {
+    /**
+     * Starts a daemon thread that opens connections.
+     *
+     * @param maxOpen the number of connections it keeps open
+     */
+    public SilentClient(InetSocketAddress server, int maxOpen) {
         this.server = server;
-        this.most = most;
+        this.most = maxOpen;
         thread = new Thread(this::run, "silent client");
         thread.setDaemon(true);
         thread.start();
@@ -45,11 +49,11 @@
         open.forEach(SilentClient::close);
     }
 
-    private void open(byte[] first) throws InterruptedException {
+    private void open(byte[] firstBytes) throws InterruptedException {
         Socket socket = new Socket();
         try {
             socket.connect(server, CONNECT_MS);
-            socket.getOutputStream().write(first);
+            socket.getOutputStream().write(firstBytes);
             socket.setSoTimeout(1);
             open.add(socket);
         } catch (IOException e) {
@@ -77,7 +81,7 @@
         try {
             socket.close();
         } catch (IOException e) {
-            return; // it has gone already
+            return; // already closed
         }
     }
 
--- a/stand/src/main/java/tallyweir/stand/StandKernel.java
+++ b/stand/src/main/java/tallyweir/stand/StandKernel.java
@@ -27,13 +27,14 @@
 import java.util.function.ToIntFunction;
 
 /**
- * A kernel process as the protocol has it: runs what it is asked to, once for each job, tells how runs ended in numbered
- * notices of which it keeps the last 4,000, and may be killed and started anew. Bodies are {@code MARK rest}.
+ * A stand-in for the kernel process that follows its protocol: it runs each scheduled job once, reports the ends of runs in
+ * numbered notices, of which it retains the last 4,000, and can be killed and restarted. The first word of a request body is the
+ * idempotency key. Safe for use by several threads.
  */
 public final class StandKernel implements AutoCloseable {
     private static final int NOTICES_KEPT = 4_000;
-    private static final int SLOW_ONE_IN = 60; // runs that take
-    private static final int SLOW = 2_200_000; // longer than anybody waits, microseconds
+    private static final int SLOW_ONE_IN = 60; // one run in this many is slow
+    private static final int SLOW = 2_200_000; // longer than any caller waits
 
     private final History history;
     private final ServerSocket server;
@@ -52,23 +53,26 @@
     private long serial;
     private Socket link;
     private final Set<String> jobs = new HashSet<>();
-    private final List<String> notices = new ArrayList<>(); // without their numbers
-    private long first = 1; // the number of the first of them
+    private final List<String> notices = new ArrayList<>(); // with N in place of their numbers
+    private long first = 1; // the number of the first retained notice
     private volatile boolean closed;
 
-    /** One whose runs take 1 to 40 ms, and now and then longer than anybody waits. */
+    /** Creates a kernel whose runs take 1 to 40 ms, and occasionally longer than any caller waits. */
     public StandKernel(History history, int cores, long seed) throws IOException {
-        this(history, cores, seed, chance -> chance.nextInt(SLOW_ONE_IN) == 0 ? SLOW : chance.nextInt(1, 40) * 1_000);
+        this(history, cores, seed, random -> random.nextInt(SLOW_ONE_IN) == 0 ? SLOW : random.nextInt(1, 40) * 1_000);
     }
 
     /**
-     * @param history where runs are noted, null for nowhere
-     * @param cores how many runs go on at once
-     * @param work how long a run takes, microseconds
+     * Starts listening on a free port of loopback.
+     *
+     * @param history where runs are recorded, or null
+     * @param cores the number of concurrent runs
+     * @param runDurationUs draws the duration of a run, in microseconds
      */
-    public StandKernel(History history, int cores, long seed, ToIntFunction<SplittableRandom> work) throws IOException {
+    public StandKernel(History history, int cores, long seed, ToIntFunction<SplittableRandom> runDurationUs)
+            throws IOException {
         this.history = history;
-        this.work = work;
+        this.work = runDurationUs;
         most = cores;
         this.cores = Executors.newScheduledThreadPool(1);
         chance = new SplittableRandom(seed);
@@ -78,26 +82,27 @@
     }
 
     private static void thread(Runnable run) {
-        Thread t = new Thread(run, "stand-in kernel");
-        t.setDaemon(true);
-        t.start();
+        Thread thread = new Thread(run, "stand-in kernel");
+        thread.setDaemon(true);
+        thread.start();
     }
 
+    /** The port on which it listens. */
     public int port() {
         return server.getLocalPort();
     }
 
-    /** Results get up to so many bytes more. */
+    /** Appends up to so many bytes, drawn at random, to every later result. */
     public void resultsUpTo(int bytes) {
         longest = bytes;
     }
 
-    /** From now on every run makes so many calls to the store, one after the other, before it ends. */
-    public void runsCall(int times) {
-        calls = times;
+    /** Makes every run perform so many calls to the store from now on, one after the other, before it ends. */
+    public void runsCall(int count) {
+        calls = count;
     }
 
-    /** Kills it and starts it anew: what ran is gone, and nobody hears how it ended. */
+    /** Simulates a kill and restart: all runs and notices are lost, and their ends are never reported. */
     public void kill() {
         synchronized (lock) {
             life++;
@@ -125,23 +130,23 @@
     private void accept() {
         while (!closed) {
             try {
-                Socket s = server.accept();
-                s.setTcpNoDelay(true);
-                thread(() -> serve(s));
+                Socket accepted = server.accept();
+                accepted.setTcpNoDelay(true);
+                thread(() -> serve(accepted));
             } catch (IOException e) {
                 return;
             }
         }
     }
 
-    private void serve(Socket s) {
+    private void serve(Socket socket) {
         try (BufferedReader in =
-                new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.UTF_8))) {
+                new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
-                command(s, fields(line));
+                command(socket, fields(line));
             }
         } catch (IOException e) {
-            return; // the other side has gone
+            return; // the client has disconnected
         }
     }
 
@@ -158,33 +163,37 @@
         return fields;
     }
 
-    private void command(Socket s, Map<String, String> c) throws IOException {
+    private void command(Socket socket, Map<String, String> fields) throws IOException {
         synchronized (lock) {
-            switch (c.get("type")) {
-                case "OPEN" -> open(s, Long.parseLong(c.get("n")));
+            switch (fields.get("type")) {
+                case "OPEN" -> open(socket, Long.parseLong(fields.get("n")));
                 case "SCHED" ->
-                    run(c.get("job"), new String(Base64.getDecoder().decode(c.get("data")), StandardCharsets.UTF_8));
-                case "IODONE" -> called(c.get("job"));
+                    run(
+                            fields.get("job"),
+                            new String(Base64.getDecoder().decode(fields.get("data")), StandardCharsets.UTF_8));
+                case "IODONE" -> called(fields.get("job"));
                 case "SYSINFO" ->
                     send(
-                            s,
-                            "{\"type\":\"INFO\",\"ref\":\"" + c.get("ref") + "\",\"gauges\":[" + (double) busy / most
-                                    + "," + (busy + queue.size()) + ",0.2,0.1]}");
+                            socket,
+                            "{\"type\":\"INFO\",\"ref\":\"" + fields.get("ref") + "\",\"gauges\":["
+                                    + (double) busy / most + "," + (busy + queue.size()) + ",0.2,0.1]}");
                 default -> {}
             }
         }
     }
 
-    private void open(Socket s, long n) throws IOException {
+    private void open(Socket socket, long lastReceived) throws IOException {
         drop();
-        link = s;
-        if (n == 0) {
-            first = 1; // another process of the program: notices are numbered from 1 for it
+        link = socket;
+        if (lastReceived == 0) {
+            first = 1; // a new process of the program, for which notices are numbered from 1
         }
-        send(s, "{\"type\":\"BOOTED\",\"state\":\"old\",\"took\":" + (System.nanoTime() - started) / 1_000_000 + "}");
+        send(
+                socket,
+                "{\"type\":\"BOOTED\",\"state\":\"old\",\"took\":" + (System.nanoTime() - started) / 1_000_000 + "}");
         for (int i = 0; i < notices.size(); i++) {
-            if (first + i > n) {
-                send(s, notices.get(i).replace("N,", first + i + ","));
+            if (first + i > lastReceived) {
+                send(socket, notices.get(i).replace("N,", first + i + ","));
             }
         }
     }
@@ -193,42 +202,42 @@
         if (!jobs.add(job)) {
             return;
         }
-        String mark = body.split(" ")[0];
-        String result = mark + "#" + ++serial + " " + "x".repeat(longest == 0 ? 0 : chance.nextInt(longest));
+        String key = body.split(" ")[0];
+        String result = key + "#" + ++serial + " " + "x".repeat(longest == 0 ? 0 : chance.nextInt(longest));
         if (history != null) {
-            history.add(History.What.RUN, mark, job, result);
+            history.add(History.What.RUN, key, job, result);
         }
-        Run r = new Run(life, job, result, work.applyAsInt(chance), 0);
+        Run run = new Run(life, job, result, work.applyAsInt(chance), 0);
         if (busy < most) {
-            begin(r);
+            begin(run);
         } else {
-            queue.add(r);
+            queue.add(run);
         }
     }
 
     private record Run(int life, String job, String result, int work, int called) {}
 
-    private void begin(Run r) {
+    private void begin(Run run) {
         busy++;
-        cores.schedule(() -> over(r), r.work, TimeUnit.MICROSECONDS);
+        cores.schedule(() -> over(run), run.work, TimeUnit.MICROSECONDS);
     }
 
-    private void over(Run r) {
+    private void over(Run run) {
         synchronized (lock) {
-            if (r.life != life) {
+            if (run.life != life) {
                 return;
             }
-            if (r.called < calls) {
-                atCall.put(r.job, r);
-                tell("{\"type\":\"IOREQ\",\"n\":N,\"job\":\"" + r.job + "\",\"data\":\"Y2FsbA==\"}");
+            if (run.called < calls) {
+                atCall.put(run.job, run);
+                tell("{\"type\":\"IOREQ\",\"n\":N,\"job\":\"" + run.job + "\",\"data\":\"Y2FsbA==\"}");
                 return;
             }
             busy--;
             if (!queue.isEmpty()) {
                 begin(queue.remove());
             }
-            String job = r.job;
-            String result = r.result;
+            String job = run.job;
+            String result = run.result;
             String notice =
                     "{\"type\":\"REAP\",\"n\":N,\"job\":\"" + job + "\",\"state\":\"good\",\"took\":1,\"data\":\""
                             + Base64.getEncoder().encodeToString(result.getBytes(StandardCharsets.UTF_8)) + "\"}";
@@ -245,24 +254,26 @@
         send(link, notice.replace("N,", first + notices.size() - 1 + ","));
     }
 
-    /** The reply to a run's call has come: it ends after as long again. */
+    /** Handles the reply to a run's call: the run continues for its duration once more. */
     private void called(String job) {
-        Run r = atCall.remove(job);
-        if (r != null) {
+        Run run = atCall.remove(job);
+        if (run != null) {
             cores.schedule(
-                    () -> over(new Run(r.life, r.job, r.result, r.work, r.called + 1)), r.work, TimeUnit.MICROSECONDS);
+                    () -> over(new Run(run.life, run.job, run.result, run.work, run.called + 1)),
+                    run.work,
+                    TimeUnit.MICROSECONDS);
         }
     }
 
-    private static void send(Socket s, String line) {
+    private static void send(Socket socket, String line) {
         try {
-            if (s != null) {
-                OutputStream out = s.getOutputStream();
+            if (socket != null) {
+                OutputStream out = socket.getOutputStream();
                 out.write((line + "\n").getBytes(StandardCharsets.UTF_8));
                 out.flush();
             }
         } catch (IOException e) {
-            return; // told again on the next link
+            return; // sent again on the next link
         }
     }
 
--- a/stand/src/main/java/tallyweir/stand/StandRelay.java
+++ b/stand/src/main/java/tallyweir/stand/StandRelay.java
@@ -13,7 +13,10 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** The way from one server to another: whatever goes over it can be cut, held back in one direction or both, delayed or damaged. */
+/**
+ * A TCP relay between two servers that can inject network faults: reset all connections, stall one direction or both, delay or
+ * damage the data. Forward is the direction from the connecting side to the target. Safe for use by several threads.
+ */
 public final class StandRelay implements AutoCloseable {
     private static final int PIECE = 16 << 10;
     private static final int LOOK_MS = 5;
@@ -30,52 +33,57 @@
     private final AtomicLong replied = new AtomicLong();
     private final AtomicInteger damaged = new AtomicInteger();
 
-    /** @param at where it is reached, on loopback */
-    public StandRelay(InetSocketAddress at, InetSocketAddress to) throws IOException {
-        this.to = to;
-        server = new ServerSocket(at.getPort(), 64, at.getAddress());
+    /**
+     * Starts listening.
+     *
+     * @param listenAddress where the relay listens, on loopback
+     * @param target where it connects to
+     */
+    public StandRelay(InetSocketAddress listenAddress, InetSocketAddress target) throws IOException {
+        this.to = target;
+        server = new ServerSocket(listenAddress.getPort(), 64, listenAddress.getAddress());
         thread(this::accept);
     }
 
     private static void thread(Runnable run) {
-        Thread t = new Thread(run, "relay");
-        t.setDaemon(true);
-        t.start();
+        Thread thread = new Thread(run, "relay");
+        thread.setDaemon(true);
+        thread.start();
     }
 
-    /** Everything open is reset, and nothing opens, until it is mended. */
+    /** Resets all open connections, and every new one at once, until {@link #mend()}. */
     public void cut() {
         cut = true;
         open.forEach(StandRelay::reset);
     }
 
-    /** Nothing is passed on any more in these directions, and nobody is told. */
-    public void hold(boolean there, boolean back) {
-        thereHeld = there;
-        backHeld = back;
+    /** Stalls or resumes each direction: data of a stalled one is no longer passed on, but its connections stay open. */
+    public void hold(boolean forward, boolean backward) {
+        thereHeld = forward;
+        backHeld = backward;
     }
 
-    /** Every piece comes so much later. */
+    /** Delays every chunk that is read, in both directions. */
     public void delay(int milliseconds) {
         delayMs = milliseconds;
     }
 
-    /** Of what comes back, each piece of at least so many bytes has one bit of the byte in its middle flipped. */
-    public void damageReplies(int leastBytes) {
-        damagedFrom = leastBytes;
+    /** Flips one bit of the middle byte of each backward chunk of at least {@code minBytes} bytes. */
+    public void damageReplies(int minBytes) {
+        damagedFrom = minBytes;
     }
 
-    /** How many pieces have been damaged so far. */
+    /** The number of chunks damaged so far. */
     public int damaged() {
         return damaged.get();
     }
 
-    /** How many bytes have come back so far. */
+    /** The number of bytes passed backward so far. */
     public long replied() {
         return replied.get();
     }
 
-    /** Everything is passed on as it came, and at once. */
+    /** Ends all faults: everything is passed on unchanged and without delay. */
     public void mend() {
         damagedFrom = NOTHING_DAMAGED;
         cut = false;
@@ -84,84 +92,84 @@
         delayMs = 0;
     }
 
-    private static void reset(Socket s) {
+    private static void reset(Socket socket) {
         try {
-            s.setSoLinger(true, 0);
-            s.close();
+            socket.setSoLinger(true, 0);
+            socket.close();
         } catch (IOException e) {
-            return; // it was closed already
+            return; // already closed
         }
     }
 
     private void accept() {
         try {
             while (true) {
-                Socket one = server.accept();
-                open.add(one);
+                Socket accepted = server.accept();
+                open.add(accepted);
                 if (cut) {
-                    reset(one);
-                    open.remove(one);
+                    reset(accepted);
+                    open.remove(accepted);
                 } else {
-                    thread(() -> join(one));
+                    thread(() -> join(accepted));
                 }
             }
         } catch (IOException e) {
-            return; // closed
+            return; // the relay was closed
         }
     }
 
-    private void join(Socket one) {
-        Socket other = new Socket();
-        open.add(other);
+    private void join(Socket accepted) {
+        Socket outgoing = new Socket();
+        open.add(outgoing);
         try {
-            other.connect(to, 1_000);
-            one.setTcpNoDelay(true);
-            other.setTcpNoDelay(true);
-            thread(() -> pump(one, other, true));
-            pump(other, one, false);
+            outgoing.connect(to, 1_000);
+            accepted.setTcpNoDelay(true);
+            outgoing.setTcpNoDelay(true);
+            thread(() -> pump(accepted, outgoing, true));
+            pump(outgoing, accepted, false);
         } catch (IOException e) {
-            end(one, other);
+            end(accepted, outgoing);
         }
     }
 
-    private void pump(Socket from, Socket into, boolean there) {
-        byte[] piece = new byte[PIECE];
+    private void pump(Socket source, Socket destination, boolean forward) {
+        byte[] chunk = new byte[PIECE];
         try {
-            InputStream in = from.getInputStream();
-            OutputStream out = into.getOutputStream();
-            for (int n = in.read(piece); n >= 0; n = in.read(piece)) {
+            InputStream in = source.getInputStream();
+            OutputStream out = destination.getOutputStream();
+            for (int length = in.read(chunk); length >= 0; length = in.read(chunk)) {
                 if (delayMs > 0) {
                     TimeUnit.MILLISECONDS.sleep(delayMs);
                 }
-                while (there ? thereHeld : backHeld) {
+                while (forward ? thereHeld : backHeld) {
                     TimeUnit.MILLISECONDS.sleep(LOOK_MS);
                 }
-                if (!there) {
-                    reply(piece, n);
+                if (!forward) {
+                    reply(chunk, length);
                 }
-                out.write(piece, 0, n);
+                out.write(chunk, 0, length);
             }
         } catch (IOException e) {
-            end(from, into);
+            end(source, destination);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        end(from, into);
+        end(source, destination);
     }
 
-    private void reply(byte[] piece, int bytes) {
-        replied.addAndGet(bytes);
-        if (bytes >= damagedFrom) {
-            piece[bytes / 2] ^= 1;
+    private void reply(byte[] chunk, int length) {
+        replied.addAndGet(length);
+        if (length >= damagedFrom) {
+            chunk[length / 2] ^= 1;
             damaged.incrementAndGet();
         }
     }
 
-    private void end(Socket one, Socket other) {
-        reset(one);
-        reset(other);
-        open.remove(one);
-        open.remove(other);
+    private void end(Socket first, Socket second) {
+        reset(first);
+        reset(second);
+        open.remove(first);
+        open.remove(second);
     }
 
     @Override
@@ -170,7 +178,7 @@
         cut();
     }
 
-    /** An address on loopback of its own for each pair. */
+    /** A loopback address that is unique to a pair of servers, by their numbers from 0 to 254. */
     public static InetAddress pair(int from, int to) throws IOException {
         return InetAddress.getByAddress(new byte[] {127, 77, (byte) (from + 1), (byte) (to + 1)});
     }
--- a/stand/src/main/java/tallyweir/stand/StandSidecar.java
+++ b/stand/src/main/java/tallyweir/stand/StandSidecar.java
@@ -11,9 +11,13 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 
-/** One connection of a sidecar, as FastCGI 1.0 has it, with one request at a time. */
+/** A sidecar's FastCGI 1.0 connection with one request at a time. Not thread-safe. */
 public final class StandSidecar implements AutoCloseable {
-    /** @param status 0 where the connection broke, -1 where nothing came in time */
+    /**
+     * An answer.
+     *
+     * @param status the HTTP status, 0 if the connection broke, -1 if no answer arrived in time
+     */
     public record Answer(int status, String body) {}
 
     private static final int BEGIN = 1;
@@ -25,6 +29,7 @@
     private final Socket socket = new Socket();
     private int id;
 
+    /** Connects to a port on loopback. */
     public StandSidecar(int port) throws IOException {
         socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 1_000);
         socket.setTcpNoDelay(true);
@@ -53,7 +58,7 @@
         }
     }
 
-    /** The bytes of a whole request. */
+    /** Encodes a complete request. */
     static byte[] request(int id, Map<String, String> parameters, String body) {
         ByteArrayOutputStream params = new ByteArrayOutputStream();
         parameters.forEach((name, value) -> {
@@ -62,47 +67,49 @@
             params.writeBytes(name.getBytes(StandardCharsets.UTF_8));
             params.writeBytes(value.getBytes(StandardCharsets.UTF_8));
         });
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
-        record(all, BEGIN, id, new byte[] {0, 1, 1, 0, 0, 0, 0, 0});
-        record(all, PARAMS, id, params.toByteArray());
-        record(all, PARAMS, id, new byte[0]);
-        record(all, STDIN, id, body.getBytes(StandardCharsets.UTF_8));
-        record(all, STDIN, id, new byte[0]);
-        return all.toByteArray();
+        ByteArrayOutputStream out = new ByteArrayOutputStream();
+        record(out, BEGIN, id, new byte[] {0, 1, 1, 0, 0, 0, 0, 0});
+        record(out, PARAMS, id, params.toByteArray());
+        record(out, PARAMS, id, new byte[0]);
+        record(out, STDIN, id, body.getBytes(StandardCharsets.UTF_8));
+        record(out, STDIN, id, new byte[0]);
+        return out.toByteArray();
     }
 
-    /** One record of FastCGI. */
+    /** A FastCGI record. */
     record Piece(int type, int of, byte[] content) {}
 
+    /** Reads the next record; blocks until it is complete. */
     static Piece piece(DataInputStream in) throws IOException {
         in.readUnsignedByte();
         int type = in.readUnsignedByte();
-        int of = in.readUnsignedShort();
+        int requestId = in.readUnsignedShort();
         byte[] content = new byte[in.readUnsignedShort()];
         int padding = in.readUnsignedByte();
         in.readUnsignedByte();
         in.readFully(content);
         in.skipNBytes(padding);
-        return new Piece(type, of, content);
+        return new Piece(type, requestId, content);
     }
 
-    /** What the text of an answer says. */
-    static Answer answer(String all) {
-        int body = all.indexOf("\r\n\r\n");
-        if (!all.startsWith("Status: ")) {
-            return new Answer(503, ""); // an end without an answer: overloaded
+    /** Parses the output of a request. */
+    static Answer answer(String output) {
+        int headerEnd = output.indexOf("\r\n\r\n");
+        if (!output.startsWith("Status: ")) {
+            return new Answer(503, ""); // an empty output means that the server is overloaded
         }
-        return new Answer(Integer.parseInt(all.substring(8, 11)), body < 0 ? "" : all.substring(body + 4));
+        return new Answer(
+                Integer.parseInt(output.substring(8, 11)), headerEnd < 0 ? "" : output.substring(headerEnd + 4));
     }
 
-    /** Asks and waits for the answer, for so many milliseconds. */
-    public Answer ask(Map<String, String> parameters, String body, int patience) {
+    /** Sends a request and waits for its answer. */
+    public Answer ask(Map<String, String> parameters, String body, int timeoutMs) {
         id = id % 30_000 + 1;
         try {
             OutputStream out = socket.getOutputStream();
             out.write(request(id, parameters, body));
             out.flush();
-            return answer(patience);
+            return answer(timeoutMs);
         } catch (SocketTimeoutException e) {
             return new Answer(-1, "");
         } catch (IOException e) {
@@ -110,16 +117,16 @@
         }
     }
 
-    private Answer answer(int patience) throws IOException {
+    private Answer answer(int timeoutMs) throws IOException {
         ByteArrayOutputStream text = new ByteArrayOutputStream();
         DataInputStream in = new DataInputStream(socket.getInputStream());
-        long end = System.nanoTime() + patience * 1_000_000L;
+        long deadline = System.nanoTime() + timeoutMs * 1_000_000L;
         while (true) {
-            socket.setSoTimeout((int) Math.max(1, (end - System.nanoTime()) / 1_000_000));
-            Piece p = piece(in);
-            if (p.of == id && p.type == STDOUT) {
-                text.writeBytes(p.content);
-            } else if (p.of == id && p.type == END) {
+            socket.setSoTimeout((int) Math.max(1, (deadline - System.nanoTime()) / 1_000_000));
+            Piece read = piece(in);
+            if (read.of == id && read.type == STDOUT) {
+                text.writeBytes(read.content);
+            } else if (read.of == id && read.type == END) {
                 return answer(text.toString(StandardCharsets.UTF_8));
             }
         }
--- a/stand/src/main/java/tallyweir/stand/StandStore.java
+++ b/stand/src/main/java/tallyweir/stand/StandStore.java
@@ -11,26 +11,28 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** The store's side of its links, played on loopback: every call goes well, and whose it was is remembered. */
+/** A stand-in for the store, on loopback: it answers every call with success and records which jobs have called. */
 public final class StandStore implements AutoCloseable {
     private final ServerSocket server = new ServerSocket(0, 256, InetAddress.getLoopbackAddress());
     private final Set<String> jobs = ConcurrentHashMap.newKeySet();
 
+    /** Starts listening on a free port. */
     public StandStore() throws IOException {
         thread(this::accept);
     }
 
     private static void thread(Runnable run) {
-        Thread t = new Thread(run, "stand-in store");
-        t.setDaemon(true);
-        t.start();
+        Thread thread = new Thread(run, "stand-in store");
+        thread.setDaemon(true);
+        thread.start();
     }
 
+    /** The host and port on which it listens. */
     public String address() {
         return "127.0.0.1:" + server.getLocalPort();
     }
 
-    /** Whether a query of this name has called here. */
+    /** Whether a job of this id has called the store. */
     public boolean called(String job) {
         return jobs.contains(job);
     }
@@ -38,17 +40,17 @@
     private void accept() {
         try {
             while (true) {
-                Socket s = server.accept();
-                thread(() -> serve(s));
+                Socket accepted = server.accept();
+                thread(() -> serve(accepted));
             }
         } catch (IOException e) {
-            return; // closed
+            return; // the store was closed
         }
     }
 
-    private void serve(Socket s) {
-        try (DataInputStream in = new DataInputStream(new BufferedInputStream(s.getInputStream()))) {
-            OutputStream out = s.getOutputStream();
+    private void serve(Socket socket) {
+        try (DataInputStream in = new DataInputStream(new BufferedInputStream(socket.getInputStream()))) {
+            OutputStream out = socket.getOutputStream();
             for (String line = line(in); line != null; line = line(in)) {
                 String[] words = line.split(" ");
                 if (words[0].equals("CALL")) {
@@ -58,17 +60,17 @@
                 }
             }
         } catch (IOException e) {
-            return; // the other side has gone
+            return; // the client has disconnected
         }
     }
 
     private static String line(DataInputStream in) throws IOException {
-        StringBuilder s = new StringBuilder();
+        StringBuilder line = new StringBuilder();
         for (int c = in.read(); c >= 0; c = in.read()) {
             if (c == '\n') {
-                return s.toString().strip();
+                return line.toString().strip();
             }
-            s.append((char) c);
+            line.append((char) c);
         }
         return null;
     }
--- a/stand/src/main/java/tallyweir/stand/StandStream.java
+++ b/stand/src/main/java/tallyweir/stand/StandStream.java
@@ -15,7 +15,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** One connection of a sidecar with many requests at once, as FastCGI 1.0 has it. Any thread may ask. */
+/** A sidecar's FastCGI 1.0 connection with many concurrent requests. Safe for use by several threads. */
 public final class StandStream implements AutoCloseable {
     private static final int IDS = 60_000;
 
@@ -25,15 +25,21 @@
     private final Map<Integer, Asked> waiting = new HashMap<>();
     private int last;
 
+    /** Connects to a port on loopback and starts a daemon thread that reads the answers. */
     public StandStream(int port) throws IOException {
         socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 1_000);
         socket.setTcpNoDelay(true);
-        Thread t = new Thread(this::read, "stand-in sidecar");
-        t.setDaemon(true);
-        t.start();
+        Thread reader = new Thread(this::read, "stand-in sidecar");
+        reader.setDaemon(true);
+        reader.start();
     }
 
-    /** Asks; what becomes of it is told on a thread of this connection, status 0 where the connection broke. */
+    /**
+     * Sends a request.
+     *
+     * @param then called once with the answer on this connection's reader thread, or with status 0 on the thread that finds the
+     *     connection broken
+     */
     public void ask(Map<String, String> parameters, String body, Consumer<StandSidecar.Answer> then) {
         byte[] bytes;
         try {
@@ -51,7 +57,7 @@
         }
     }
 
-    /** How many are not answered. */
+    /** The number of requests without an answer so far. */
     public synchronized int waiting() {
         return waiting.size();
     }
@@ -59,33 +65,33 @@
     private void read() {
         try (DataInputStream in = new DataInputStream(new BufferedInputStream(socket.getInputStream(), 64 << 10))) {
             while (true) {
-                StandSidecar.Piece p = StandSidecar.piece(in);
-                take(p.type(), p.of(), p.content());
+                StandSidecar.Piece read = StandSidecar.piece(in);
+                take(read.type(), read.of(), read.content());
             }
         } catch (IOException e) {
             broken();
         }
     }
 
-    private void take(int type, int of, byte[] content) {
-        Asked a;
+    private void take(int type, int id, byte[] content) {
+        Asked request;
         synchronized (this) {
-            a = type == StandSidecar.END ? waiting.remove(of) : waiting.get(of);
+            request = type == StandSidecar.END ? waiting.remove(id) : waiting.get(id);
         }
-        if (a != null && type == StandSidecar.STDOUT) {
-            a.text.writeBytes(content);
-        } else if (a != null && type == StandSidecar.END) {
-            a.then.accept(StandSidecar.answer(a.text.toString(StandardCharsets.UTF_8)));
+        if (request != null && type == StandSidecar.STDOUT) {
+            request.text.writeBytes(content);
+        } else if (request != null && type == StandSidecar.END) {
+            request.then.accept(StandSidecar.answer(request.text.toString(StandardCharsets.UTF_8)));
         }
     }
 
     private void broken() {
-        List<Asked> all;
+        List<Asked> failed;
         synchronized (this) {
-            all = new ArrayList<>(waiting.values());
+            failed = new ArrayList<>(waiting.values());
             waiting.clear();
         }
-        all.forEach(a -> a.then.accept(new StandSidecar.Answer(0, "")));
+        failed.forEach(request -> request.then.accept(new StandSidecar.Answer(0, "")));
     }
 
     @Override
--- a/stand/src/main/java/tallyweir/stand/SteadyCaller.java
+++ b/stand/src/main/java/tallyweir/stand/SteadyCaller.java
@@ -12,23 +12,23 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 
-/** A caller with one request at a time, which goes on until it is told to stop, whatever becomes of the server. */
+/** A caller with one request at a time. It sends requests until it is stopped, also while the server is unavailable. */
 public final class SteadyCaller implements AutoCloseable {
     /**
-     * How a caller behaves.
+     * The behaviour of a caller.
      *
-     * @param newConnectionEach whether each request gets a connection of its own
-     * @param pieces in how many pieces a request is written
-     * @param pieceMs the wait between two pieces
-     * @param thinkMs the wait between two requests, on average
+     * @param newConnectionEach whether each request is sent on a connection of its own
+     * @param pieces the number of chunks in which a request is written
+     * @param pieceMs the delay between two chunks
+     * @param thinkMs the mean delay between two requests
      */
     public record Manner(String name, boolean newConnectionEach, int pieces, int pieceMs, int thinkMs) {}
 
-    private static final int CROSSING_MS = 50; // by the protocol
-    private static final int SLACK_MS = 50; // by the protocol
-    private static final int GIVE_UP_MS = 1_500; // later than this an answer counts as none
+    private static final int CROSSING_MS = 50; // the protocol allows a close to cross a request this recent
+    private static final int SLACK_MS = 50; // the lateness of an answer that the protocol allows
+    private static final int GIVE_UP_MS = 1_500; // an answer that is later than this counts as missing
     private static final int CONNECT_MS = 1_000;
-    private static final int AGAIN_MS = 5; // after a connection was refused
+    private static final int AGAIN_MS = 5; // after a failed connection attempt
 
     private final InetSocketAddress server;
     private final Manner manner;
@@ -41,6 +41,7 @@
     private long connected;
     private int requestNumber;
 
+    /** Starts a daemon thread that sends requests to the server. */
     public SteadyCaller(InetSocketAddress server, Manner manner, LoadSettings settings, RequestLog log) {
         this.server = server;
         this.manner = manner;
@@ -52,7 +53,7 @@
         thread.start();
     }
 
-    /** At a port of loopback. */
+    /** The address of a port on loopback. */
     public static InetSocketAddress at(int port) {
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
     }
@@ -73,20 +74,20 @@
         disconnect();
     }
 
-    /** A connection that cannot be had proves that nothing was had by the server. */
+    /** Returns false if the connection fails; then the server cannot have received the request, so it is not counted. */
     private boolean connect() {
         if (socket != null) {
             return true;
         }
-        Socket fresh = new Socket();
+        Socket opened = new Socket();
         try {
-            fresh.setTcpNoDelay(true);
-            fresh.connect(server, CONNECT_MS);
-            socket = fresh;
+            opened.setTcpNoDelay(true);
+            opened.connect(server, CONNECT_MS);
+            socket = opened;
             connected = System.nanoTime();
             return true;
         } catch (IOException e) {
-            close(fresh);
+            close(opened);
             return false;
         }
     }
@@ -103,7 +104,7 @@
         }
     }
 
-    /** Null where the request was not written whole, so that the server never had it. */
+    /** Returns null if the request could not be written completely; then the server never received all of it. */
     private RequestFate attempt(String id, boolean resent) throws InterruptedException {
         requestNumber = requestNumber % 30_000 + 1;
         byte[] request = StandSidecar.request(requestNumber, settings.parameters(id, chance), id + " body");
@@ -144,11 +145,11 @@
     private void write(byte[] request) throws IOException, InterruptedException {
         OutputStream out = socket.getOutputStream();
         int from = 0;
-        for (int piece = 1; piece <= manner.pieces; piece++) {
-            int to = piece == manner.pieces ? request.length : request.length * piece / manner.pieces;
+        for (int chunk = 1; chunk <= manner.pieces; chunk++) {
+            int to = chunk == manner.pieces ? request.length : request.length * chunk / manner.pieces;
             out.write(request, from, to - from);
             from = to;
-            if (piece < manner.pieces) {
+            if (chunk < manner.pieces) {
                 TimeUnit.MILLISECONDS.sleep(manner.pieceMs);
             }
         }
@@ -159,12 +160,12 @@
         ByteArrayOutputStream text = new ByteArrayOutputStream();
         DataInputStream in = new DataInputStream(socket.getInputStream());
         while (true) {
-            long left = TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime());
-            socket.setSoTimeout((int) Math.max(1, left));
-            StandSidecar.Piece piece = StandSidecar.piece(in);
-            if (piece.of() == requestNumber && piece.type() == StandSidecar.STDOUT) {
-                text.writeBytes(piece.content());
-            } else if (piece.of() == requestNumber && piece.type() == StandSidecar.END) {
+            long remainingMs = TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime());
+            socket.setSoTimeout((int) Math.max(1, remainingMs));
+            StandSidecar.Piece read = StandSidecar.piece(in);
+            if (read.of() == requestNumber && read.type() == StandSidecar.STDOUT) {
+                text.writeBytes(read.content());
+            } else if (read.of() == requestNumber && read.type() == StandSidecar.END) {
                 return StandSidecar.answer(text.toString(StandardCharsets.UTF_8))
                         .status();
             }
@@ -182,16 +183,16 @@
         try {
             socket.close();
         } catch (IOException e) {
-            return; // it has gone already
+            return; // already closed
         }
     }
 
-    /** It sends nothing more, and what it has sent is waited for. */
+    /** Stops sending requests; a pending one still waits for its answer. */
     public void stop() {
         stopped = true;
     }
 
-    /** Waits until all that it has sent has ended in some way. */
+    /** Stops sending and waits until the pending request has been answered or has timed out. */
     @Override
     public void close() throws InterruptedException {
         stop();
--- a/stand/src/main/resources/tallyweir/stand/failing_calls.c
+++ b/stand/src/main/resources/tallyweir/stand/failing_calls.c
@@ -1,7 +1,8 @@
 /*
- * Makes system calls of one process fail in the ways that Linux documents, as told by a file that this library and the
- * test map both. Loaded with LD_PRELOAD; FAILING_CALLS names the file. Calls on anything but TCP sockets are left alone,
- * as are files unless a rule for files is set.
+ * Makes system calls of one process fail in the ways that Linux documents. The rules are read from a file that both this
+ * library and the test map into memory. Loaded with LD_PRELOAD; the environment variable FAILING_CALLS names the file.
+ * Calls on descriptors that are not stream sockets are not affected, except for writes and syncs of files if a rule for
+ * files is set.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -17,24 +18,25 @@
 #include <time.h>
 #include <unistd.h>
 
-#define ERRNOS_MOST 8
-#define MILLISECONDS_A_SECOND 1000
-#define NANOSECONDS_A_MILLISECOND 1000000L
-#define NANOSECONDS_A_SECOND 1000000000L
+#define MAX_ERRNOS 8
+#define MS_PER_SECOND 1000
+#define NANOS_PER_MS 1000000L
+#define NANOS_PER_SECOND 1000000000L
 
-/* In the order of FailingCalls.Call. */
+/* In the order of FailingCalls.Call; CALLS is their number. */
 enum call { ACCEPT, SOCKET, CONNECT, READ, WRITE, EPOLL_WAIT, EPOLL_CTL, CLOSE, FILE_WRITE, FILE_SYNC, CALLS };
 
 struct rule {
-    int32_t one_in; /* 0: none fails */
+    int32_t one_in; /* one call in this many fails, 0: none */
     int32_t errno_count;
-    int32_t errnos[ERRNOS_MOST];
+    int32_t errnos[MAX_ERRNOS];
     int32_t seed;
-    int32_t made;
-    int32_t failed;
-    int32_t most; /* no more than so many fail, 0: no bound */
+    int32_t call_count;
+    int32_t failure_count;
+    int32_t max_failures; /* 0: no bound */
 };
 
+/* The layout of the mapped file, which FailingCalls writes. */
 struct control {
     int64_t wall_step_ms;
     struct rule rules[CALLS];
@@ -60,7 +62,7 @@
     return dlsym(RTLD_NEXT, name);
 }
 
-__attribute__((constructor)) static void begin(void) {
+__attribute__((constructor)) static void initialize(void) {
     real_accept = next("accept");
     real_accept4 = next("accept4");
     real_socket = next("socket");
@@ -83,50 +85,50 @@
     }
 }
 
-static uint32_t mixed(uint64_t value) {
+static uint32_t hash(uint64_t value) {
     value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9ULL;
     value = (value ^ (value >> 27)) * 0x94d049bb133111ebULL;
     return (uint32_t)(value >> 32);
 }
 
-/* The error that this call is to end with, 0 for none. */
+/* The errno with which this call must fail, 0 for none. */
 static int failure(enum call call) {
     if (control == NULL) {
         return 0;
     }
     struct rule *rule = &control->rules[call];
     int32_t one_in = __atomic_load_n(&rule->one_in, __ATOMIC_ACQUIRE);
-    int32_t kinds = rule->errno_count;
-    if (one_in <= 0 || kinds <= 0) {
+    int32_t errno_count = rule->errno_count;
+    if (one_in <= 0 || errno_count <= 0) {
         return 0;
     }
-    uint32_t number = (uint32_t)__atomic_add_fetch(&rule->made, 1, __ATOMIC_RELAXED);
-    uint32_t drawn = mixed(((uint64_t)(uint32_t)rule->seed << 32) + number * 0x9e3779b9ULL);
+    uint32_t number = (uint32_t)__atomic_add_fetch(&rule->call_count, 1, __ATOMIC_RELAXED);
+    uint32_t drawn = hash(((uint64_t)(uint32_t)rule->seed << 32) + number * 0x9e3779b9ULL);
     if (drawn % (uint32_t)one_in != 0) {
         return 0;
     }
-    int32_t failed = __atomic_add_fetch(&rule->failed, 1, __ATOMIC_RELAXED);
-    if (rule->most > 0 && failed > rule->most) {
-        __atomic_sub_fetch(&rule->failed, 1, __ATOMIC_RELAXED);
+    int32_t failure_count = __atomic_add_fetch(&rule->failure_count, 1, __ATOMIC_RELAXED);
+    if (rule->max_failures > 0 && failure_count > rule->max_failures) {
+        __atomic_sub_fetch(&rule->failure_count, 1, __ATOMIC_RELAXED);
         return 0;
     }
-    return rule->errnos[(uint32_t)failed % (uint32_t)kinds];
+    return rule->errnos[(uint32_t)failure_count % (uint32_t)errno_count];
 }
 
 static int is_socket(int fd) {
     int type = 0;
     socklen_t length = sizeof type;
-    int before = errno;
+    int saved_errno = errno;
     int is = getsockopt(fd, SOL_SOCKET, SO_TYPE, &type, &length) == 0 && type == SOCK_STREAM;
-    errno = before;
+    errno = saved_errno;
     return is;
 }
 
 static int is_file(int fd) {
     struct stat status;
-    int before = errno;
+    int saved_errno = errno;
     int is = fstat(fd, &status) == 0 && S_ISREG(status.st_mode);
-    errno = before;
+    errno = saved_errno;
     return is;
 }
 
@@ -170,9 +172,9 @@
     return error != 0 ? fail_with(error) : real_pwrite64(fd, from, length, at);
 }
 
-int epoll_wait(int fd, struct epoll_event *events, int most, int timeout) {
+int epoll_wait(int fd, struct epoll_event *events, int max_events, int timeout) {
     int error = failure(EPOLL_WAIT);
-    return error != 0 ? fail_with(error) : real_epoll_wait(fd, events, most, timeout);
+    return error != 0 ? fail_with(error) : real_epoll_wait(fd, events, max_events, timeout);
 }
 
 int epoll_ctl(int epoll, int operation, int fd, struct epoll_event *event) {
@@ -180,7 +182,7 @@
     return error != 0 ? fail_with(error) : real_epoll_ctl(epoll, operation, fd, event);
 }
 
-/* Linux has closed the descriptor whatever close returns. */
+/* Closes the descriptor first, because Linux closes it even if close returns an error. */
 int close(int fd) {
     int error = is_socket(fd) ? failure(CLOSE) : 0;
     int closed = real_close(fd);
@@ -201,13 +203,13 @@
     int result = real_clock_gettime(clock, time);
     if (result == 0 && clock == CLOCK_REALTIME && control != NULL) {
         int64_t step = __atomic_load_n(&control->wall_step_ms, __ATOMIC_ACQUIRE);
-        long nanoseconds = time->tv_nsec + (long)(step % MILLISECONDS_A_SECOND) * NANOSECONDS_A_MILLISECOND;
-        time->tv_sec += step / MILLISECONDS_A_SECOND;
+        long nanoseconds = time->tv_nsec + (long)(step % MS_PER_SECOND) * NANOS_PER_MS;
+        time->tv_sec += step / MS_PER_SECOND;
         if (nanoseconds < 0) {
-            nanoseconds += NANOSECONDS_A_SECOND;
+            nanoseconds += NANOS_PER_SECOND;
             time->tv_sec -= 1;
-        } else if (nanoseconds >= NANOSECONDS_A_SECOND) {
-            nanoseconds -= NANOSECONDS_A_SECOND;
+        } else if (nanoseconds >= NANOS_PER_SECOND) {
+            nanoseconds -= NANOS_PER_SECOND;
             time->tv_sec += 1;
         }
         time->tv_nsec = nanoseconds;
