--- a/fleet/src/main/java/tallyweir/fleet/LeaseSpans.java
+++ b/fleet/src/main/java/tallyweir/fleet/LeaseSpans.java
@@ -1,18 +1,19 @@
 package tallyweir.fleet;
 
 /**
- * LeaseSpans of time that two clocks measure. Each may run fast or slow by a set ratio; of the one that relies on something
- * the span is made shorter, of the one that gives it to another longer, so that the first is over before the second.
+ * Converts a duration between two clocks that may each run fast or slow by the configured drift ratio. The holder of a
+ * lease uses a shorter duration and the grantor a longer one, so the holder's lease ends before the grantor lends the
+ * same thing to another. Durations may have any unit; the result has the same one.
  */
 public final class LeaseSpans {
     private LeaseSpans() {}
 
-    /** How long a server may rely on what lasts so long by the fleet's clock. */
+    /** How long, by its own clock, the holder may rely on a lease that lasts {@code duration} by the fleet's clock. */
     public static long relied(long span, double drift) {
         return (long) Math.floor(span * (1 - drift) / (1 + drift));
     }
 
-    /** How long the fleet waits so that so long has surely passed by a server's clock. */
+    /** How long the fleet must wait, by its own clock, until {@code duration} has certainly passed by a server's clock. */
     public static long waited(long span, double drift) {
         return (long) Math.ceil(span * (1 + drift) / (1 - drift));
     }
--- a/fleet/src/main/java/tallyweir/fleet/Lending.java
+++ b/fleet/src/main/java/tallyweir/fleet/Lending.java
@@ -14,13 +14,15 @@
 import tallyweir.ids.TenantId;
 
 /**
- * The caps on tenants' connections: a floor for each place of the fleet, never lent, and the rest lent in shares. At any
- * moment the floors that any server may rely on and all that is lent make up no more than the cap, but while a cap that
- * was lowered comes into force: then nothing more is lent until they do.
+ * Divides the caps on tenants' connections among the servers: each slot of the fleet has a floor that is never lent, and
+ * the rest of the cap is lent in shares. The floors that servers may rely on plus all that is lent never exceed the cap,
+ * except while a lowered cap comes into force: then nothing more is lent until the sum fits again.
  *
- * <p>There is a pool only for a tenant of which something is held, or whose floor was higher in a revision that some
- * place still acts under; of all others the cap tells everything. So a change costs as many caps as differ, and what
- * concerns a place costs what that place holds and names.
+ * <p>A pool exists only for a tenant of which something is lent, or whose floor was higher in a revision that some slot
+ * still applies; for all others the cap alone determines the state. So a change costs time in proportion to the caps that
+ * differ, and an operation on a slot in proportion to the tenants that it holds or names.
+ *
+ * <p>Times are tenths of a millisecond by the fleet's clock. Not thread-safe: used by the thread that applies the log.
  */
 final class Lending {
     static final int UNCAPPED = Caps.UNCAPPED;
@@ -28,51 +30,54 @@
     private static final Need NOTHING = new Need(0, 0);
     private static final Comparator<TenantId> BY_NAME = Comparator.comparing(TenantId::value);
 
-    private final boolean floorsLent; // only where a check has switched the guard off
+    private final boolean floorsLent; // floors are lent too: only where a check has switched the guard off
     private final Caps caps; // of the revision in force
     private final Map<TenantId, CapPool> pools = new HashMap<>();
-    private final Map<Integer, Map<TenantId, CapPool>> poolsOfPlace = new HashMap<>(); // where it has a share
+    private final Map<Integer, Map<TenantId, CapPool>> poolsOfPlace = new HashMap<>(); // pools with a share of the slot
     private final PlacesByRevision places = new PlacesByRevision();
     private final TreeMap<Long, List<TenantId>> loweredAt =
-            new TreeMap<>(); // by the revision that lowered their floors
-    private final Set<TenantId> overcommitted = new LinkedHashSet<>(); // all that do not fit, and some that do by now
+            new TreeMap<>(); // keyed by the revision that lowered the tenants' floors
+    private final Set<TenantId> overcommitted = new LinkedHashSet<>(); // may hold some that fit by now
     private int placesMost;
     private double floorShare;
     private long levelEvery;
     private long revision;
-    private boolean floorsFree; // under the caps in force; once they are, they stay so
+    private boolean floorsFree; // under the caps in force; once true, stays true until the next revision
     private long poolsVisited;
 
-    /** @param caps always those of the revision in force; may change only right before {@link #caps(long, List)} */
+    /**
+     * @param floorsLent whether floors are lent too, which is wrong and only for checks
+     * @param caps always the caps of the revision in force; may change only right before {@link #caps(long, List)}
+     */
     Lending(boolean floorsLent, Caps caps) {
         this.floorsLent = floorsLent;
         this.caps = caps;
     }
 
     /**
-     * The number of places and the share of floors are set once, before a place acts on anything.
+     * Sets the parameters. The number of slots and the floor share can be set only before any pool exists.
      *
-     * @param floorShare the part of each cap that is spread over all places as floors
-     * @param levelEvery how often what each may have is worked out anew while there is too little
+     * @param floorShare the fraction of each cap that is spread over all slots as floors
+     * @param levelEvery minimum interval between computations of the max-min level while demand exceeds the cap
      */
     void settings(int places, double floorShare, long levelEvery) {
         boolean floorsDiffer = places != placesMost || floorShare != this.floorShare;
         if (floorsDiffer && !pools.isEmpty()) {
-            throw new IllegalStateException("the floors of pools that are in use cannot change by settings");
+            throw new IllegalStateException("the slot count and the floor share cannot change while pools are in use");
         }
         placesMost = places;
         this.floorShare = floorShare;
         this.levelEvery = levelEvery;
     }
 
-    /** The floor of each place under a cap. */
+    /** The floor of each slot under a cap. */
     int floor(int cap) {
         return cap == UNCAPPED ? 0 : Gate.floor(cap, floorShare, placesMost);
     }
 
     // ---- revisions
 
-    /** Another revision is in force, in which these caps differ; what is lent beyond them comes back as it is given back. */
+    /** Applies the changed caps of a new revision in force. Grants beyond a lowered cap are returned as servers report. */
     void caps(long newRevision, List<CapChange> changes) {
         revision = newRevision;
         floorsFree = false;
@@ -84,7 +89,7 @@
         int newFloor = floor(change.after());
         if (pool == null) {
             if (newFloor >= floor(change.before())) {
-                return; // nothing is lent and nobody has a higher floor
+                return; // nothing is lent and no slot has a higher floor
             }
             pool = pool(change.tenant(), change.before());
         }
@@ -111,19 +116,20 @@
     }
 
     /**
-     * A place acts under another revision than before. Floors that rose it uses only once it was told that they are free,
-     * which only the revision in force can tell; so a place that is new here has no floor by any earlier one.
+     * Notes that a slot applies another revision than before. A server uses a raised floor only after the fleet has told it
+     * that floors are free, which happens only for the revision in force; so a slot that is new here has no floor from any
+     * earlier revision.
      */
-    void acting(int place, long newRevision) {
-        if (!places.contains(place)) {
-            places.put(place, revision);
-        } else if (newRevision > places.revision(place)) {
-            places.put(place, Math.min(newRevision, revision));
+    void acting(int slot, long newRevision) {
+        if (!places.contains(slot)) {
+            places.put(slot, revision);
+        } else if (newRevision > places.revision(slot)) {
+            places.put(slot, Math.min(newRevision, revision));
             forgetEarlierFloors();
         }
     }
 
-    /** What floors were under revisions that nobody acts under any more. */
+    /** Drops the floors of revisions that no slot applies any more. */
     private void forgetEarlierFloors() {
         long oldest = places.oldest();
         while (!loweredAt.isEmpty() && loweredAt.firstKey() <= oldest) {
@@ -138,12 +144,12 @@
         }
     }
 
-    /** Whether the floors of all places and what is lent fit into each cap, so that all floors may be used. */
+    /** Whether the floors of all slots plus what is lent fit into each cap, so that all floors may be used. */
     boolean floorsFree() {
         if (floorsFree) {
             return true;
         }
-        // Who fits once does so until its cap changes: each is taken out at most once for each time it was put in.
+        // A pool that fits keeps fitting until its cap changes, so each entry is removed at most once per insertion.
         Iterator<TenantId> waiting = overcommitted.iterator();
         while (waiting.hasNext()) {
             CapPool pool = pools.get(waiting.next());
@@ -163,105 +169,107 @@
         return pool.cap() == UNCAPPED || spoken(pool) <= pool.cap();
     }
 
-    // ---- places
+    // ---- slots
 
     /**
-     * A place says what it needs: what it does not name it has given back. What it may have more is lent at once where
-     * there is any.
+     * Takes a slot's report of its needs. It has returned whatever it does not name. Anything more that it may have is lent
+     * at once as far as there is any left.
+     *
+     * @return what the slot is lent now, by tenant in the order of their names
      */
-    Map<TenantId, Grant> report(int place, Map<TenantId, Need> needs, long now) {
-        if (!places.contains(place)) {
-            places.put(place, revision); // it may hear that floors are free
+    Map<TenantId, Grant> report(int slot, Map<TenantId, Need> needs, long now) {
+        if (!places.contains(slot)) {
+            places.put(slot, revision); // from now on it may be told that floors are free
         }
-        for (CapPool pool : List.copyOf(poolsOf(place))) {
+        for (CapPool pool : List.copyOf(poolsOf(slot))) {
             if (!needs.containsKey(pool.tenant())) {
-                report(pool, place, NOTHING, now);
+                report(pool, slot, NOTHING, now);
             }
         }
         needs.forEach((tenant, need) -> {
             CapPool known = pools.get(tenant);
-            report(known != null ? known : pool(tenant, caps.of(tenant)), place, need, now);
+            report(known != null ? known : pool(tenant, caps.of(tenant)), slot, need, now);
         });
-        return lent(place);
+        return lent(slot);
     }
 
-    private void report(CapPool pool, int place, Need need, long now) {
+    private void report(CapPool pool, int slot, Need need, long now) {
         poolsVisited++;
-        pool.report(place, need, lendable(pool), now, levelEvery);
-        if (pool.concerns(place)) {
-            poolsOfPlace.computeIfAbsent(place, p -> new HashMap<>()).put(pool.tenant(), pool);
+        pool.report(slot, need, lendable(pool), now, levelEvery);
+        if (pool.concerns(slot)) {
+            poolsOfPlace.computeIfAbsent(slot, p -> new HashMap<>()).put(pool.tenant(), pool);
         } else {
-            removeShare(pool, place);
+            removeShare(pool, slot);
         }
     }
 
-    private void removeShare(CapPool pool, int place) {
-        pool.remove(place);
-        Map<TenantId, CapPool> ofPlace = poolsOfPlace.get(place);
-        if (ofPlace != null && ofPlace.remove(pool.tenant()) != null && ofPlace.isEmpty()) {
-            poolsOfPlace.remove(place);
+    private void removeShare(CapPool pool, int slot) {
+        pool.remove(slot);
+        Map<TenantId, CapPool> ofSlot = poolsOfPlace.get(slot);
+        if (ofSlot != null && ofSlot.remove(pool.tenant()) != null && ofSlot.isEmpty()) {
+            poolsOfPlace.remove(slot);
         }
         dropIfIdle(pool);
     }
 
-    /** All that may be lent, lent or not. */
+    /** The total that may be lent, including what is lent already. */
     private long lendable(CapPool pool) {
         return floorsLent ? pool.cap() : pool.cap() - floors(pool);
     }
 
-    /** The floors of all places, and by how much those may be higher that they have by earlier revisions. */
+    /** The floors of all slots, plus the excess of floors that slots may still use from earlier revisions. */
     private long floors(CapPool pool) {
         return (long) pool.floor() * placesMost + pool.floorsOver(places);
     }
 
-    private Collection<CapPool> poolsOf(int place) {
-        return poolsOfPlace.getOrDefault(place, Map.of()).values();
+    private Collection<CapPool> poolsOf(int slot) {
+        return poolsOfPlace.getOrDefault(slot, Map.of()).values();
     }
 
-    /** What a place is lent, for an answer that changes nothing. */
-    Map<TenantId, Grant> lent(int place) {
-        Map<TenantId, Grant> told = new TreeMap<>(BY_NAME);
-        for (CapPool pool : poolsOf(place)) {
+    /** What a slot is lent, without changing anything; for the answer to a repeated report. */
+    Map<TenantId, Grant> lent(int slot) {
+        Map<TenantId, Grant> grants = new TreeMap<>(BY_NAME);
+        for (CapPool pool : poolsOf(slot)) {
             poolsVisited++;
-            if (pool.concerns(place)) {
-                told.put(pool.tenant(), pool.lent(place));
+            if (pool.concerns(slot)) {
+                grants.put(pool.tenant(), pool.lent(slot));
             }
         }
-        return told;
+        return grants;
     }
 
-    /** Nothing that a place was lent can be in use there any more. */
-    void back(int place) {
-        for (CapPool pool : poolsOf(place)) {
+    /** Takes back everything that a slot was lent: none of it can be in use there any more. */
+    void back(int slot) {
+        for (CapPool pool : poolsOf(slot)) {
             poolsVisited++;
-            pool.back(place);
+            pool.back(slot);
         }
     }
 
-    /** A place is free: nobody relies on a floor there. */
-    void free(int place) {
-        for (CapPool pool : List.copyOf(poolsOf(place))) {
+    /** Frees a slot: no server relies on its floors or grants any more. */
+    void free(int slot) {
+        for (CapPool pool : List.copyOf(poolsOf(slot))) {
             poolsVisited++;
-            removeShare(pool, place);
+            removeShare(pool, slot);
         }
-        places.remove(place);
+        places.remove(slot);
         forgetEarlierFloors();
     }
 
-    /** Whether a place was lent anything that it has not given back. */
-    boolean holds(int place) {
-        for (CapPool pool : poolsOf(place)) {
+    /** Whether a slot was lent anything that it has not returned. */
+    boolean holds(int slot) {
+        for (CapPool pool : poolsOf(slot)) {
             poolsVisited++;
-            if (pool.lent(place).granted() > 0) {
+            if (pool.lent(slot).granted() > 0) {
                 return true;
             }
         }
         return false;
     }
 
-    // ---- what can be seen
+    // ---- queries
 
-    /** All that may be relied on of a tenant's cap, against that cap: floors of all places, and what is lent. */
+    /** How much of a tenant's cap may be relied on: the floors of all slots plus what is lent. */
     long spoken(TenantId tenant) {
         CapPool pool = pools.get(tenant);
         return pool == null ? (long) floor(caps.of(tenant)) * placesMost : spoken(pool);
@@ -271,40 +279,40 @@
         return floors(pool) + pool.granted();
     }
 
-    /** What is lent of a tenant's cap. */
+    /** How much of a tenant's cap is lent. */
     long granted(TenantId tenant) {
         CapPool pool = pools.get(tenant);
         return pool == null ? 0 : pool.granted();
     }
 
-    /** By how much the floors that places may have by earlier revisions are above those of the revision in force. */
+    /** By how much the floors that slots may use from earlier revisions exceed those of the revision in force, in total. */
     long floorsOver(TenantId tenant) {
         CapPool pool = pools.get(tenant);
         return pool == null ? 0 : pool.floorsOver(places);
     }
 
-    /** How many pools there are. */
+    /** The number of pools. */
     int pools() {
         return pools.size();
     }
 
-    /** How many pools were looked at so far: what the inputs cost, for tests. */
+    /** How many pools were visited so far: the cost of the inputs, for tests. */
     long poolsVisited() {
         return poolsVisited;
     }
 
     // ---- for snapshots
 
-    /** What cannot be worked out from the caps, piece by piece, always in the same order. */
+    /** Writes all state that cannot be derived from the caps, in parts, always in the same order. */
     void save(Consumer<LendingPart> to) {
         to.accept(new LendingPart.RevisionState(revision));
-        places.forEach((place, under) -> to.accept(new LendingPart.PlaceState(place, under)));
+        places.forEach((slot, applied) -> to.accept(new LendingPart.PlaceState(slot, applied)));
         pools.values().stream()
                 .sorted(Comparator.comparing(CapPool::tenant, BY_NAME))
                 .forEach(pool -> to.accept(pool.save()));
     }
 
-    /** Into one that is new but for its settings: a piece of what another saved. */
+    /** Loads one part that another instance saved; this one must be new except for its settings. */
     void load(LendingPart part) {
         if (part instanceof LendingPart.RevisionState state) {
             revision = state.revision();
@@ -318,7 +326,7 @@
     private void load(LendingPart.PoolState state) {
         CapPool pool = pool(state.tenant(), state.cap());
         pool.load(state);
-        overcommitted.add(pool.tenant()); // for floorsFree to find out
+        overcommitted.add(pool.tenant()); // floorsFree() removes it if it fits
         for (LendingPart.EarlierFloor earlier : state.earlierFloors()) {
             loweredAt.computeIfAbsent(earlier.until(), r -> new ArrayList<>()).add(pool.tenant());
         }
--- a/fleet/src/main/java/tallyweir/fleet/LendingPart.java
+++ b/fleet/src/main/java/tallyweir/fleet/LendingPart.java
@@ -3,20 +3,20 @@
 import java.util.List;
 import tallyweir.ids.TenantId;
 
-/** A piece of a snapshot of {@link Lending}. The pieces may be loaded in any order. */
+/** A part of a snapshot of {@link Lending}. Parts may be loaded in any order. */
 public sealed interface LendingPart {
-    /** Which revision's caps are lent. */
+    /** The revision whose caps are lent. */
     record RevisionState(long revision) implements LendingPart {}
 
-    /** The revision that a place acts under, as far as its floors go. */
+    /** The revision that a slot applies, as far as its floors are concerned. */
     record PlaceState(int place, long revision) implements LendingPart {}
 
     /**
      * What is lent of one tenant's cap.
      *
-     * @param level up to which the wishes of all places were met when that was last worked out
-     * @param levelAt when that was, Long.MIN_VALUE if it is to be worked out anew
-     * @param turn who was first then to get what does not divide
+     * @param level max-min level: the share up to which the demand of every slot is met, as last computed
+     * @param levelAt when the level was computed, Long.MIN_VALUE if it is to be computed anew
+     * @param turn index, among the slots with demand, of the one that is next to get a unit that does not divide evenly
      * @param earlierFloors oldest first
      */
     record PoolState(
@@ -30,14 +30,14 @@
             implements LendingPart {}
 
     /**
-     * A floor that places may still have by an earlier revision.
+     * A floor that slots may still use from an earlier revision.
      *
-     * @param until the revision from which on the floor was lower
+     * @param until the first revision in which the floor was lower
      */
     record EarlierFloor(long until, int floor) {}
 
     /**
-     * What one place holds of one tenant's cap beyond its floor.
+     * What one slot holds of one tenant's cap beyond its floor.
      *
      * @param extra whether it gets one more than the level
      */
--- a/fleet/src/main/java/tallyweir/fleet/Member.java
+++ b/fleet/src/main/java/tallyweir/fleet/Member.java
@@ -5,12 +5,14 @@
 import tallyweir.rules.Rules;
 
 /**
- * A server's own side of the fleet: what it may do at this moment, by what it was told and its own clock. Nothing here
- * waits: a server that hears nothing goes on under the revision it has, and what it was lent ends by its own clock
- * before the fleet lends it to another.
+ * A server's side of the fleet protocol: decides from the fleet's answers and its own clock what the server may do now.
+ * Nothing here blocks. A server that hears nothing from the fleet continues with the revision it has, and its leases
+ * expire by its own clock before the fleet lends the same share to another server.
+ *
+ * <p>Times are tenths of a millisecond. Not thread-safe.
  */
 public final class Member {
-    private static final int AGAIN_MOST = 16; // doublings of the wait are bounded: no fleet is left alone for long
+    private static final int AGAIN_MOST = 16; // bounds the delay, so that the fleet is retried regularly
 
     private final MemberActions out;
     private final Gate gate;
@@ -23,11 +25,11 @@
     private final Rules rules = new Rules();
     private long now;
     private Incarnation as;
-    private boolean inHand; // asked, and no answer yet
-    private long dueAt; // of the next report or join
-    private long number;
-    private long sentAt; // the report of that number, when it went first
-    private boolean answered = true; // that report
+    private boolean inHand; // a join or report was sent and is unanswered
+    private long dueAt; // when the next report or join is due
+    private long number; // of the last report
+    private long sentAt; // when the last report was first sent
+    private boolean answered = true; // the last report
     private long leaseUntil = Long.MIN_VALUE;
     private boolean member;
     private int failures;
@@ -45,9 +47,11 @@
     private boolean back;
 
     /**
-     * @param gate the counts of tenants' connections, which this tells what the server may accept
-     * @param again how long it waits at the least before it asks again what was not answered
-     * @param backWhole whether a server that is out stands back whole, or goes on but for what it was lent
+     * @param gate the counts of tenants' connections; this class sets how many the server may accept
+     * @param again minimum delay before an unanswered request is sent again
+     * @param backWhole whether a server without a lease withdraws completely, or continues without its grants
+     * @param seed of the random part of delays
+     * @param without guards that are switched off, for checks only
      */
     public Member(
             MemberActions out,
@@ -69,7 +73,7 @@
         this.now = now;
         chance = new SplittableRandom(seed);
         dueAt = now;
-        // What is over comes first, then what is to be found out or done here, then what is to be said.
+        // Order: expiries first, then checking and applying revisions, then requests to the fleet.
         rules.add(() -> member && now() >= leaseUntil && !without.contains(Guard.LEASE), this::leaseOver);
         rules.add(() -> shouldStandBack() != back, this::tellStandBack);
         rules.add(() -> checked.before(toCheck.id()) && !checking.equals(toCheck.id()), this::check);
@@ -140,7 +144,7 @@
                 gate.needs()));
     }
 
-    /** So long until the next try; longer each time, never the same as others'. */
+    /** The delay until the next attempt: exponential in the number of failures, with random jitter. */
     private long backOff(long least) {
         long most = least << Math.min(4, failures);
         return least / 2 + chance.nextLong(Math.max(1, Math.min(most, least * AGAIN_MOST)));
@@ -148,19 +152,20 @@
 
     // ---- inputs
 
+    /** Advances the clock and does what is due by now. */
     public void clock(long now) {
         this.now = Math.max(this.now, now);
         gate.clock(this.now);
         settle();
     }
 
-    /** When clock has something to do. */
+    /** When {@link #clock} next has something to do, Long.MAX_VALUE for never. */
     public long next() {
         long at = inHand ? Long.MAX_VALUE : dueAt;
         return member ? Math.min(at, leaseUntil) : at;
     }
 
-    /** The fleet answered what was asked last. */
+    /** The fleet answered the last request. */
     public void hear(Answer answer) {
         if (answer instanceof Answer.Joined joined) {
             joined(joined);
@@ -184,7 +189,7 @@
         settle();
     }
 
-    /** To an earlier report than the last nothing counts. */
+    /** Ignores answers to any report but the last. */
     private void told(Answer.Told told) {
         if (as == null || told.number() != number || answered) {
             return;
@@ -203,14 +208,14 @@
                     told.floorsFree() && told.inForce().id().equals(acting));
         }
         if (told.inForce().id().value() == 0 && acting.value() == 0) {
-            gate.caps(Caps.NONE); // there is no revision yet
+            gate.caps(Caps.NONE); // no revision is in force yet
         }
         wanted = told.inForce();
         toCheck = told.toCheck();
         settle();
     }
 
-    /** The fleet turned down what was asked last. */
+    /** The fleet refused the last request. */
     private void refused(Fault why) {
         inHand = false;
         long wait = again;
@@ -227,7 +232,7 @@
         settle();
     }
 
-    /** No answer came to what was asked last; it may have been heard or not. */
+    /** No answer came to the last request; the fleet may have received it or not. */
     public void failed() {
         if (inHand) {
             inHand = false;
@@ -237,17 +242,22 @@
         }
     }
 
-    /** A revision is in force here, as the parts in use show. */
+    /**
+     * This server has applied a revision.
+     *
+     * @param inForce the root of the table that is really in use here
+     * @param outdated queries that began under an earlier revision after this one came into force
+     */
     public void acting(RevisionId revision, Digest inForce, long outdated) {
         acting = revision;
         this.inForce = inForce;
         this.outdated = outdated;
         moving = RevisionId.NONE;
-        dueAt = Math.min(dueAt, now); // the fleet waits to hear of it
+        dueAt = Math.min(dueAt, now); // the fleet waits for this report
         settle();
     }
 
-    /** A revision could not be brought into force here; it is tried again. */
+    /** A revision could not be applied here; it is tried again after the retry delay. */
     public void cannotAct(RevisionId revision) {
         moving = RevisionId.NONE;
         failed = revision;
@@ -255,7 +265,11 @@
         settle();
     }
 
-    /** Whether this server could act on a revision: why not, empty if it could. */
+    /**
+     * This server has checked whether it could apply a revision.
+     *
+     * @param why the reason why it could not, empty if it could
+     */
     public void checked(RevisionId revision, String why) {
         checked = revision;
         checking = RevisionId.NONE;
@@ -264,27 +278,30 @@
         settle();
     }
 
-    /** Something is to be said soon: a tenant came near what this server may accept, or news wait at the fleet. */
+    /** Asks for a report within a delay: a tenant came near its limit here, or the fleet has something new to tell. */
     public void stir(long within) {
         dueAt = Math.min(dueAt, now + within);
         settle();
     }
 
-    // ---- what can be seen
+    // ---- queries
 
+    /** Whether the server holds a lease, by its own clock as of the last call of {@link #clock}. */
     public boolean member() {
         return member;
     }
 
+    /** The revision that this server has applied. */
     public RevisionId acting() {
         return acting;
     }
 
+    /** The incarnation that the fleet gave this server, null while it has none. */
     public Incarnation as() {
         return as;
     }
 
-    /** All that its future hangs on, times from this one on. */
+    /** All state that determines later behaviour as text, with times relative to {@code from}; for checks. */
     String describe(long from) {
         return (as == null ? "-" : as.value()) + "," + inHand + "," + (dueAt - from) + "," + answered
                 + "," + (answered ? 0 : sentAt - from) + "," + (member ? leaseUntil - from : "-") + "," + failures + ","
--- a/fleet/src/main/java/tallyweir/fleet/MemberActions.java
+++ b/fleet/src/main/java/tallyweir/fleet/MemberActions.java
@@ -1,29 +1,29 @@
 package tallyweir.fleet;
 
-/** What a server's own side of the fleet asks for. None of these calls back before it returns. */
+/** What {@link Member} asks its owner to do. No method calls back into the member before it returns. */
 public interface MemberActions {
     /**
-     * Queries that have ended since the process began.
+     * Counts of queries that have ended since the process started.
      *
-     * @param bad of them, late or errored
+     * @param bad how many of them were late or errored
      */
     record Ended(long ended, long bad) {}
 
-    /** How many queries have ended here so far. */
+    /** Counts of the queries that have ended here so far. */
     Ended ended();
 
-    /** Asks the fleet for a place; its answer comes back, or failed. */
+    /** Asks the fleet for a slot; followed by {@link Member#hear} or {@link Member#failed}. */
     void join(ServerId server, String listen);
 
-    /** Reports to the fleet; its answer comes back, or failed. */
+    /** Reports to the fleet; followed by {@link Member#hear} or {@link Member#failed}. */
     void report(Command.Report report);
 
-    /** Finds out whether this server could act on a revision; checked comes back. */
+    /** Checks whether this server could apply a revision; followed by {@link Member#checked}. */
     void check(RevisionRoot revision);
 
-    /** Brings a revision into force here; acting comes back, or cannotAct. */
+    /** Applies a revision here; followed by {@link Member#acting(RevisionId, Digest, long)} or {@link Member#cannotAct}. */
     void act(RevisionRoot revision);
 
-    /** Whether this server is to turn new queries away and be announced no more. */
+    /** Sets whether this server turns new queries away and is taken off the announce service's list. */
     void standBack(boolean back);
 }
--- a/fleet/src/main/java/tallyweir/fleet/Need.java
+++ b/fleet/src/main/java/tallyweir/fleet/Need.java
@@ -1,9 +1,9 @@
 package tallyweir.fleet;
 
 /**
- * What a server says of a tenant's connections beyond its floor.
+ * A server's demand for a tenant's connections beyond its floor.
  *
- * @param keep so many of what it was granted it goes on relying on; the rest it has given back
- * @param want so many it would use
+ * @param keep how many of its granted connections it continues to rely on; it has returned the rest
+ * @param want how many it would use
  */
 public record Need(int keep, int want) {}
--- a/fleet/src/main/java/tallyweir/fleet/PlacesByRevision.java
+++ b/fleet/src/main/java/tallyweir/fleet/PlacesByRevision.java
@@ -5,48 +5,48 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 
-/** The revision that each place acts under, and how many places act under each revision. */
+/** The revision that each slot applies, and how many slots apply each revision. */
 final class PlacesByRevision {
     private final Map<Integer, Long> revisions = new HashMap<>();
     private final TreeMap<Long, Integer> counts = new TreeMap<>();
 
-    boolean contains(int place) {
-        return revisions.containsKey(place);
+    boolean contains(int slot) {
+        return revisions.containsKey(slot);
     }
 
-    /** The revision of a place that is contained. */
-    long revision(int place) {
-        return revisions.get(place);
+    /** The revision of a slot that is contained. */
+    long revision(int slot) {
+        return revisions.get(slot);
     }
 
-    void put(int place, long revision) {
-        remove(place);
-        revisions.put(place, revision);
+    void put(int slot, long revision) {
+        remove(slot);
+        revisions.put(slot, revision);
         counts.merge(revision, 1, Integer::sum);
     }
 
-    void remove(int place) {
-        Long revision = revisions.remove(place);
+    void remove(int slot) {
+        Long revision = revisions.remove(slot);
         if (revision != null) {
             counts.computeIfPresent(revision, (r, count) -> count == 1 ? null : count - 1);
         }
     }
 
-    /** How many places act under a revision from the first on and before the second. */
+    /** How many slots apply a revision in the range from {@code from}, inclusive, to {@code until}, exclusive. */
     int between(long from, long until) {
-        int places = 0;
+        int slots = 0;
         for (int count : counts.subMap(from, until).values()) {
-            places += count;
+            slots += count;
         }
-        return places;
+        return slots;
     }
 
-    /** The oldest revision that a place acts under, Long.MAX_VALUE if there is no place. */
+    /** The oldest revision that a slot applies, Long.MAX_VALUE if there is no slot. */
     long oldest() {
         return counts.isEmpty() ? Long.MAX_VALUE : counts.firstKey();
     }
 
-    /** Each place with its revision, in the order of the places. */
+    /** Calls {@code action} with each slot and its revision, in the order of the slots. */
     void forEach(BiConsumer<Integer, Long> action) {
         new TreeMap<>(revisions).forEach(action);
     }
--- a/fleet/src/main/java/tallyweir/fleet/Probation.java
+++ b/fleet/src/main/java/tallyweir/fleet/Probation.java
@@ -2,18 +2,21 @@
 
 import java.util.BitSet;
 
-/** Whether servers fare worse under the revision in force than before, as long as that is new. */
+/**
+ * Judges, while the revision in force is new, whether servers have more late or errored queries under it than before.
+ * Times are tenths of a millisecond by the fleet's clock.
+ */
 final class Probation {
-    /** Who rolls back what made a fleet fare worse. */
+    /** The author of rollbacks that probation itself makes. */
     static final String AUTHOR = "probation";
 
     private static final int JUDGED_IN_LEASE = 40;
-    private static final int ENDED_LEAST = 20; // queries, before a server's share of bad ones tells anything
-    private static final double WORSE_LEAST = 0.05; // a share below it is not worse, whatever it was before
+    private static final int ENDED_LEAST = 20; // a server's share of bad queries is not judged on fewer
+    private static final double WORSE_LEAST = 0.05; // a lower share of bad queries never counts as worse
 
     private final FleetContext context;
     private final RevisionHistory history;
-    private final BitSet worse = new BitSet(); // places of live servers that fare worse
+    private final BitSet worse = new BitSet(); // slots of live servers that have more bad queries than before
     private long judgedAt;
 
     Probation(FleetContext context, RevisionHistory history) {
@@ -21,7 +24,7 @@
         this.history = history;
     }
 
-    /** The revision in force can still be taken back by itself: it is new, followed another, and was no such rollback. */
+    /** Whether the revision in force may be rolled back automatically: new, not the first, and no such rollback itself. */
     boolean isActive() {
         Revision revision = history.inForce();
         return revision != null
@@ -30,12 +33,17 @@
                 && !revision.by().equals(AUTHOR);
     }
 
-    /** Another revision is in force. */
+    /** Starts over for another revision in force. */
     void begin() {
         worse.clear();
     }
 
-    /** A server has said how its queries ended. */
+    /**
+     * Takes a server's counts of ended queries.
+     *
+     * @param ended since its process started
+     * @param bad how many of them were late or errored
+     */
     void report(ServerRecord server, long ended, long bad) {
         server.health.under(history.inForceId());
         boolean counts = isActive() && server.acting.equals(history.inForceId());
@@ -48,7 +56,7 @@
         note(server);
     }
 
-    /** Whether a server fares worse is known by its last report. */
+    /** Updates from a server's last report whether it fares worse. */
     void note(ServerRecord server) {
         worse.set(
                 server.place,
@@ -59,8 +67,8 @@
                         && server.health.worse(context.settings().worseRatio(), WORSE_LEAST));
     }
 
-    void remove(int place) {
-        worse.clear(place);
+    void remove(int slot) {
+        worse.clear(slot);
     }
 
     boolean isDue() {
@@ -68,7 +76,11 @@
         return isActive() && context.now() >= judgedAt + every;
     }
 
-    /** Whether so many of the live servers fare worse that the revision is to be taken back. */
+    /**
+     * Whether so many live servers fare worse that the revision is to be rolled back.
+     *
+     * @param live the number of live servers
+     */
     boolean judge(int live) {
         judgedAt = context.now();
         int count = worse.cardinality();
--- a/fleet/src/main/java/tallyweir/fleet/Proposal.java
+++ b/fleet/src/main/java/tallyweir/fleet/Proposal.java
@@ -5,21 +5,21 @@
 import java.util.TreeMap;
 import java.util.function.IntFunction;
 
-/** The revision that is proposed, if any, and what live servers say of it. */
+/** The proposed revision, if any, and the answers of live servers whether they can apply it. */
 final class Proposal {
     private static final int REASONS_MOST = 8;
 
     private Revision revision;
-    private long until;
-    private BitSet pending = new BitSet(); // places of live servers that have not said whether they can take it
+    private long until; // by the fleet's clock
+    private BitSet pending = new BitSet(); // slots of live servers that have not answered
     private final TreeMap<ServerId, String> rejections = new TreeMap<>();
-    private int accepted;
+    private int accepted; // servers that can apply it
 
     /**
-     * Opens a revision for servers to say whether they can take it.
+     * Opens a proposal for servers to check.
      *
-     * @param until when those count as unable that have not said
-     * @param ask places of the servers that are to say
+     * @param until when servers that have not answered count as unable
+     * @param ask slots of the servers that are to answer
      */
     void open(Revision proposed, long until, BitSet ask) {
         revision = proposed;
@@ -29,7 +29,7 @@
         accepted = 0;
     }
 
-    /** It has been decided. */
+    /** Closes the proposal: it has been decided. */
     void close() {
         revision = null;
     }
@@ -38,11 +38,12 @@
         return revision != null;
     }
 
-    /** The one that is open, null for none. */
+    /** The open proposal's revision, null for none. */
     Revision revision() {
         return revision;
     }
 
+    /** The id of the proposed revision, NONE if none is open. */
     RevisionId id() {
         return isOpen() ? revision.id : RevisionId.NONE;
     }
@@ -51,17 +52,21 @@
         return isOpen() ? revision.named() : RevisionRoot.NONE;
     }
 
-    /** When the clock alone decides something of it, Long.MAX_VALUE for never. */
+    /** When servers that have not answered count as unable, Long.MAX_VALUE if no proposal is open. */
     long due() {
         return isOpen() ? until : Long.MAX_VALUE;
     }
 
-    /** A server has looked at a revision; why it cannot take it, empty if it can. */
-    void checked(int place, ServerId server, RevisionId which, String why) {
-        if (!which.equals(id()) || !pending.get(place)) {
+    /**
+     * Records that a server has checked a revision.
+     *
+     * @param why the reason why it cannot apply it, empty if it can
+     */
+    void checked(int slot, ServerId server, RevisionId which, String why) {
+        if (!which.equals(id()) || !pending.get(slot)) {
             return;
         }
-        pending.clear(place);
+        pending.clear(slot);
         if (why.isEmpty()) {
             accepted++;
         } else {
@@ -69,28 +74,28 @@
         }
     }
 
-    /** A server that is not live any more need not say. */
-    void remove(int place) {
-        pending.clear(place);
+    /** Waits no longer for the answer of a server that is no longer live. */
+    void remove(int slot) {
+        pending.clear(slot);
     }
 
     boolean isComplete() {
         return pending.isEmpty();
     }
 
-    /** Those who are silent though live count as unable. */
+    /** Counts all servers that have not answered as unable. */
     void expire(IntFunction<ServerId> serverAt) {
-        pending.stream().forEach(place -> rejections.put(serverAt.apply(place), "it did not say in time"));
+        pending.stream().forEach(slot -> rejections.put(serverAt.apply(slot), "it did not say in time"));
         pending.clear();
     }
 
-    /** Of those who have said, the share that cannot take it. */
+    /** Of the servers that have answered, the fraction that cannot apply it. */
     double rejectedShare() {
         int said = accepted + rejections.size();
         return said == 0 ? 0 : rejections.size() / (double) said;
     }
 
-    /** How many cannot take it, and why the first of them cannot. */
+    /** How many servers cannot apply it, and the reasons of the first of them, at most {@link #REASONS_MOST}. */
     String reasons() {
         List<String> first = rejections.entrySet().stream()
                 .limit(REASONS_MOST)
--- a/fleet/src/main/java/tallyweir/fleet/Revision.java
+++ b/fleet/src/main/java/tallyweir/fleet/Revision.java
@@ -5,31 +5,35 @@
 import tallyweir.fleet.table.Key;
 import tallyweir.fleet.table.Table;
 
-/** One revision of what the fleet routes by: the table that it makes of the one that it was proposed on. */
+/** One revision of the fleet's routing table: a change to the table of the revision that it was proposed on. */
 public final class Revision {
-    /** What has become of it. */
+    /** The state of a revision. The names are written into snapshots and audits. */
     public enum Fate {
+        /** Live servers are checking whether they can apply it. */
         PROPOSED,
+        /** The one that servers are to apply. */
         IN_FORCE,
+        /** Was in force and has been superseded. */
         PAST,
+        /** Never came into force; it cannot be rolled back to. */
         TURNED_DOWN
     }
 
     final RevisionId id;
-    final RevisionId base; // whose table it changes
-    final RevisionId of; // whose table it takes up again, NONE for one of its own
+    final RevisionId base; // the revision whose table it changes
+    final RevisionId of; // the revision whose table it restores, NONE if it has one of its own
     final Digest root;
     final boolean forced;
     final long proposedWall;
     private final List<ChangeRecord> records;
     private final Table baseTable;
-    private Table table; // null once it was turned down: nobody can come back to it
+    private Table table; // null once turned down: nobody can roll back to it
     private final int size;
     private final int changed;
-    boolean firstOfRoot; // no revision before it has the same table
+    boolean firstOfRoot; // no earlier revision has the same table
     Fate fate = Fate.PROPOSED;
-    long since; // in force, by the fleet's clock
-    long sinceWall;
+    long since; // when it came into force, by the fleet's clock
+    long sinceWall; // the same by the leader's wall clock
     long supersededAt = Long.MAX_VALUE; // by the fleet's clock
     String reasons = ""; // why it was turned down
 
@@ -56,7 +60,7 @@
         this.proposedWall = proposedWall;
     }
 
-    /** One that was saved; without a table if it was turned down. */
+    /** Restores a saved revision; {@code table} is null if it was turned down. */
     Revision(SnapshotPart.RevisionHeader saved, Table baseTable, Table table, List<ChangeRecord> records) {
         id = saved.id();
         base = saved.base();
@@ -96,54 +100,57 @@
         return id;
     }
 
-    /** The one whose table it changes, NONE for the empty table. */
+    /** The revision whose table it changes, NONE for the empty table. */
     public RevisionId base() {
         return base;
     }
 
-    /** The one whose table it takes up again, NONE for one of its own. */
+    /** The revision whose table it restores, NONE if it has a table of its own. */
     public RevisionId of() {
         return of;
     }
 
-    /** Names its table. */
+    /** The digest of its table. */
     public Digest root() {
         return root;
     }
 
-    /** Its number and what names its table. */
+    /** Its id together with the digest of its table. */
     public RevisionRoot named() {
         return new RevisionRoot(id, root);
     }
 
-    /** How many entries its table has. */
+    /** The number of entries in its table. */
     public int size() {
         return size;
     }
 
-    /** How many entries it changes in the table of its base. */
+    /** The number of entries that differ from the table of its base. */
     public int changed() {
         return changed;
     }
 
-    /** What operators asked for, in the order in which it came. */
+    /** The operators' commands that it consists of, in the order of their arrival. */
     public List<ChangeRecord> records() {
         return records;
     }
 
-    /** What it says, null once it was turned down. */
+    /** Its table, null once it was turned down. */
     Table table() {
         return table;
     }
 
-    /** Nobody can come back to it. */
+    /** Marks it as turned down and drops its table: nobody can roll back to it. */
     void turnedDown(String reasons) {
         fate = Fate.TURNED_DOWN;
         this.reasons = reasons;
         table = null;
     }
 
-    /** All entries that it changes in the table of its base; of a whole one that was turned down none are kept. */
+    /**
+     * All entries that differ from the table of its base. For a revision that was turned down, only the changes of records
+     * that name their entries are still known.
+     */
     public List<Change> changes() {
         if (table != null) {
             return baseTable.differenceTo(table);
@@ -151,27 +158,27 @@
         return records.stream().flatMap(record -> record.changes().stream()).toList();
     }
 
-    /** Whether the entry of a key is another than in the table of its base. */
+    /** Whether the entry of a key differs from that in the table of its base. */
     boolean changes(Key key) {
         return table != null && !baseTable.get(key).equals(table.get(key));
     }
 
-    /** Whether somebody asked for a change of that entry in it, though it be to what it is. */
+    /** Whether a command in it names the entry of a key, even if it does not alter it, or the entry differs. */
     boolean touches(Key key) {
         return records.stream().anyMatch(record -> record.names(key)) || changes(key);
     }
 
-    /** What an operator asked for by which the entry of a key changed. */
+    /** The record of the command that changed the entry of a key; the first record if none names it. */
     ChangeRecord recordOf(Key key) {
         return records.stream().filter(record -> record.names(key)).findFirst().orElse(records.get(0));
     }
 
-    /** Who asked for it; of several the first, and how many more there are. */
+    /** The author; of several commands that of the first, and how many more there are. */
     public String by() {
         return andMore(records.get(0).by());
     }
 
-    /** Why; of several changes that of the first. */
+    /** The reason given; of several commands that of the first, and how many more there are. */
     public String why() {
         return andMore(records.get(0).why());
     }
@@ -184,14 +191,17 @@
         return fate;
     }
 
+    /** When it was proposed, ms since 1970 by the leader's wall clock. */
     public long proposedWall() {
         return proposedWall;
     }
 
+    /** When it came into force, ms since 1970 by the leader's wall clock, 0 if it has not. */
     public long sinceWall() {
         return sinceWall;
     }
 
+    /** Why it was turned down, empty if it was not. */
     public String reasons() {
         return reasons;
     }
--- a/fleet/src/main/java/tallyweir/fleet/RevisionControl.java
+++ b/fleet/src/main/java/tallyweir/fleet/RevisionControl.java
@@ -15,10 +15,14 @@
 import tallyweir.ids.TenantId;
 import tallyweir.rules.Rules;
 
-/** What operators ask for: the conditions of it, which revision it becomes part of, and whether that comes into force. */
+/**
+ * Handles operators' commands: checks their preconditions, makes revisions of them, and decides whether a revision comes
+ * into force, is turned down or is rolled back.
+ */
 final class RevisionControl {
-    private static final int SAYING_LEASES = 2; // in which every live server is to say whether it can take a revision
-    private static final int REFUSED_MOST = 1_000; // that are remembered
+    private static final int SAYING_LEASES =
+            2; // within which live servers must answer whether they can apply a revision
+    private static final int REFUSED_MOST = 1_000; // refused changes that are remembered
     private static final int TENTHS_IN_MS = 10;
     private static final String NOBODY = "nobody";
     private static final String UNKNOWN = "unknown";
@@ -30,7 +34,7 @@
     private final ServerRegistry servers;
     private final Lending lending;
     private final ChangeQueue queue = new ChangeQueue();
-    private final ArrayDeque<ChangeRecord> refused = new ArrayDeque<>(); // after they had waited, the latest last
+    private final ArrayDeque<ChangeRecord> refused = new ArrayDeque<>(); // refused after they had waited, latest last
     private final Rules rules = new Rules();
 
     RevisionControl(
@@ -46,7 +50,7 @@
         this.probation = probation;
         this.servers = servers;
         this.lending = lending;
-        // First what is proposed comes into force or not, then whether what is in force is taken back, then what waits.
+        // Order: decide the open proposal, then judge the revision in force, then propose what waits.
         rules.add(
                 () -> proposal.isOpen() && !proposal.isComplete() && context.now() >= proposal.due(),
                 () -> proposal.expire(servers::serverAt));
@@ -56,7 +60,7 @@
         rules.add(() -> !proposal.isOpen() && !queue.isEmpty(), this::proposeWaiting);
     }
 
-    /** Everything that follows by now. */
+    /** Applies all rules that are due by now. */
     void settle() {
         rules.settle();
     }
@@ -65,12 +69,12 @@
         return queue;
     }
 
-    /** Changes that were turned down after they had waited, the latest last. */
+    /** Changes that were refused after they had waited, latest last; older ones are forgotten. */
     List<ChangeRecord> refused() {
         return List.copyOf(refused);
     }
 
-    // ---- what is proposed, and what is in force
+    // ---- the proposal and the revision in force
 
     private boolean enoughCan() {
         return proposal.isComplete()
@@ -94,12 +98,15 @@
                 .toList();
     }
 
-    /** What the entry of a cap says. */
+    /** The number of connections of a cap entry, {@link Caps#UNCAPPED} without one. */
     static int connections(Optional<Value> cap) {
         return cap.map(value -> ((Value.Cap) value).connections()).orElse(Caps.UNCAPPED);
     }
 
-    /** Too many servers cannot take it. Of several changes one may be at fault, so that each half has its turn. */
+    /**
+     * Turns down the proposal because too many servers cannot apply it. If it consists of several changes, one of them may
+     * be the cause, so its halves are tried one after the other.
+     */
     private void reject() {
         List<ChangeRecord> batch = proposal.revision().records();
         turnDown(proposal.reasons());
@@ -119,7 +126,7 @@
         }
     }
 
-    /** Rolled back once, by the state itself: the one before comes into force again at this point of the log. */
+    /** Rolls back, once, to the previous revision: an automatic command at this point of the log, on every voter. */
     private void rollBack() {
         Revision worse = history.inForce();
         if (proposal.isOpen()) {
@@ -137,7 +144,7 @@
         propose(worse, back.id, back.table(), List.of(record));
     }
 
-    /** What waits goes into one revision together, but for what does not hold any more. */
+    /** Proposes the next batch of waiting changes as one revision, except those whose precondition no longer holds. */
     private void proposeWaiting() {
         Table table = history.inForceTable();
         List<ChangeRecord> holding = new ArrayList<>();
@@ -173,7 +180,7 @@
         return revision;
     }
 
-    // ---- what operators ask for
+    // ---- commands of operators
 
     Answer publish(Command.Publish publish) {
         Optional<Answer> known = outcome(publish.command());
@@ -273,7 +280,7 @@
 
     // ---- conditions
 
-    /** What has become of a command that was sent before. */
+    /** The outcome of a command that was received before, if it is remembered. */
     private Optional<Answer> outcome(OperatorCommand command) {
         return history.record(command).map(this::outcome);
     }
@@ -292,7 +299,7 @@
                 : new Answer.Done(revision.id);
     }
 
-    /** The condition of a change to the whole: nothing came after the revision that its author saw. */
+    /** The precondition of a publication or rollback: nothing came after the revision that its author saw. */
     private Optional<Answer> lostRace(RevisionId expected) {
         if (!context.has(Guard.EXPECTED)) {
             return Optional.empty();
@@ -316,7 +323,7 @@
         return new Answer.Refused(new Fault.LostRace(expected.value(), found.value(), by, wall));
     }
 
-    /** A command names each entry once. */
+    /** The fault of a command that names an entry twice, if any. */
     private static Optional<Fault> firstFault(List<Change> changes) {
         Set<Key> named = new HashSet<>();
         for (Change change : changes) {
@@ -327,7 +334,7 @@
         return Optional.empty();
     }
 
-    /** The condition of a change to some entries: nobody else has changed them since their author looked, or is about to. */
+    /** The precondition of a change of entries: nobody has changed them since their author read them, or is about to. */
     private Optional<Fault> conflict(List<Change> changes) {
         if (!context.has(Guard.EXPECTED)) {
             return Optional.empty();
@@ -341,7 +348,7 @@
         return conflictWith(history.inForceTable(), changes);
     }
 
-    /** Who is about to change an entry. */
+    /** The record of a proposed or waiting change of an entry, if any. */
     private Optional<ChangeRecord> pending(Key key) {
         if (proposal.isOpen() && proposal.revision().touches(key)) {
             return Optional.of(proposal.revision().recordOf(key));
@@ -353,7 +360,7 @@
         return firstConflict(table, changes).map(conflict -> conflict);
     }
 
-    /** The first entry that is not what a change has as before. */
+    /** The conflict of the first entry whose value is not the one that a change expects. */
     private Optional<Fault.KeyConflict> firstConflict(Table table, List<Change> changes) {
         if (!context.has(Guard.EXPECTED)) {
             return Optional.empty();
--- a/fleet/src/main/java/tallyweir/fleet/RevisionHistory.java
+++ b/fleet/src/main/java/tallyweir/fleet/RevisionHistory.java
@@ -9,41 +9,41 @@
 import tallyweir.fleet.table.Key;
 import tallyweir.fleet.table.Table;
 
-/** Every revision there has been, and which of them is in force. */
+/** All revisions there have been, and which of them is in force. Times are tenths of a millisecond by the fleet's clock. */
 final class RevisionHistory {
-    /** How many revisions are gone back through for who changed an entry last. */
+    /** How many revisions are searched for the last change of an entry. */
     static final int BLAME_MOST = 500;
 
     private static final Digest EMPTY_ROOT = Table.EMPTY.root();
 
     private final TreeMap<RevisionId, Revision> all = new TreeMap<>();
-    private final Map<Digest, Table> tables = new HashMap<>(); // of all that were not turned down, by root
+    private final Map<Digest, Table> tables = new HashMap<>(); // by root, of all revisions that were not turned down
     private final Map<OperatorCommand, ChangeRecord> commands = new HashMap<>();
     private Revision inForce;
-    private Revision previous; // what was in force before
-    private long firstSince = Long.MAX_VALUE; // when the first came into force
+    private Revision previous; // was in force before that
+    private long firstSince = Long.MAX_VALUE; // when the first revision came into force
 
     RevisionHistory() {
         tables.put(EMPTY_ROOT, Table.EMPTY);
     }
 
-    // ---- what there is
+    // ---- queries
 
     Collection<Revision> all() {
         return all.values();
     }
 
-    /** A revision, null for one that was never there. */
+    /** A revision, null if it never existed. */
     Revision get(RevisionId id) {
         return all.get(id);
     }
 
-    /** What is in force, null before there is any. */
+    /** The revision in force, null before the first. */
     Revision inForce() {
         return inForce;
     }
 
-    /** What was in force before what is, null if there was none. */
+    /** The revision that was in force before the one that is, null if there was none. */
     Revision previous() {
         return previous;
     }
@@ -60,12 +60,12 @@
         return inForce == null ? Table.EMPTY : inForce.table();
     }
 
-    /** When what is in force came into force, Long.MIN_VALUE where nothing has. */
+    /** When the revision in force came into force, Long.MIN_VALUE if there is none. */
     long inForceSince() {
         return inForce == null ? Long.MIN_VALUE : inForce.since;
     }
 
-    /** What a revision says: the empty table for NONE, null for one that was never there or was turned down. */
+    /** The table of a revision: the empty table for NONE, null if it never existed or was turned down. */
     Table table(RevisionId id) {
         if (id.equals(RevisionId.NONE)) {
             return Table.EMPTY;
@@ -74,12 +74,12 @@
         return revision == null ? null : revision.table();
     }
 
-    /** The table of that root, if any revision that was not turned down has it. */
+    /** The table with a root, if a revision that was not turned down has it. */
     Optional<Table> table(Digest root) {
         return Optional.ofNullable(tables.get(root));
     }
 
-    /** Whether a revision is or was in force; NONE was. */
+    /** Whether a revision is or was in force; NONE counts as such. */
     boolean wasInForce(RevisionId id) {
         Revision revision = all.get(id);
         return revision == null
@@ -87,7 +87,7 @@
                 : revision.fate == Revision.Fate.IN_FORCE || revision.fate == Revision.Fate.PAST;
     }
 
-    /** When another came into force in its place, Long.MAX_VALUE if none has or it never was in force. */
+    /** When a revision was superseded by another, Long.MAX_VALUE if it was not, or never was in force. */
     long supersededAt(RevisionId id) {
         if (id.equals(RevisionId.NONE)) {
             return firstSince;
@@ -96,12 +96,12 @@
         return revision == null ? Long.MAX_VALUE : revision.supersededAt;
     }
 
-    /** What an operator asked for by that command, if it is remembered. */
+    /** The record of an operator's command, if it is remembered. */
     Optional<ChangeRecord> record(OperatorCommand command) {
         return Optional.ofNullable(commands.get(command));
     }
 
-    /** Who changed the entry of a key last, if that is not too long ago. */
+    /** The last change of the entry of a key, if it is among the last {@link #BLAME_MOST} revisions. */
     Optional<ChangeRecord> lastChange(Key key) {
         Revision revision = inForce;
         for (int looked = 0; revision != null && looked < BLAME_MOST; looked++) {
@@ -113,9 +113,9 @@
         return Optional.empty();
     }
 
-    // ---- what changes
+    // ---- changes
 
-    /** A new revision with the next number, proposed. */
+    /** Adds a proposed revision with the next number. */
     Revision add(Revision base, RevisionId of, Table table, List<ChangeRecord> records, boolean forced, long wall) {
         RevisionId id = new RevisionId(all.isEmpty() ? 1 : all.lastKey().value() + 1);
         Revision revision = new Revision(
@@ -153,7 +153,7 @@
         }
     }
 
-    /** A revision comes into force in the place of the one that was. */
+    /** Brings a revision into force; it supersedes the one that was. */
     void bringIntoForce(Revision revision, long now, long wall) {
         revision.fate = Revision.Fate.IN_FORCE;
         revision.since = now;
@@ -172,7 +172,7 @@
         inForce = by;
     }
 
-    /** A proposed revision is turned down: nobody can come back to it. */
+    /** Turns down a proposed revision: nobody can roll back to it. */
     void turnDown(Revision revision, String reasons) {
         revision.turnedDown(reasons);
         if (revision.firstOfRoot) {
@@ -180,7 +180,7 @@
         }
     }
 
-    /** Puts back a revision that was saved; they come in the order of their numbers. */
+    /** Restores a saved revision; to be called in the order of their numbers. */
     void restore(Revision revision) {
         put(revision);
         if (revision.fate == Revision.Fate.IN_FORCE || revision.fate == Revision.Fate.PAST) {
--- a/fleet/src/main/java/tallyweir/fleet/RevisionId.java
+++ b/fleet/src/main/java/tallyweir/fleet/RevisionId.java
@@ -1,7 +1,8 @@
 package tallyweir.fleet;
 
-/** The number of a revision; 0 is what each server was configured with, before there is any. */
+/** The number of a revision; 0 stands for each server's own configuration, before the first revision. */
 public record RevisionId(long value) implements Comparable<RevisionId> {
+    /** No revision: the empty table, or what each server was configured with. */
     public static final RevisionId NONE = new RevisionId(0);
 
     @Override
--- a/fleet/src/main/java/tallyweir/fleet/RevisionRoot.java
+++ b/fleet/src/main/java/tallyweir/fleet/RevisionRoot.java
@@ -1,6 +1,6 @@
 package tallyweir.fleet;
 
-/** A revision and the digest of the root of its table, which a server holds what it has fetched against. */
+/** A revision and the root digest of its table, against which a server checks the entries that it has fetched. */
 public record RevisionRoot(RevisionId id, Digest root) {
     public static final RevisionRoot NONE = new RevisionRoot(RevisionId.NONE, Digest.NONE);
 }
--- a/fleet/src/main/java/tallyweir/fleet/RevisionTransition.java
+++ b/fleet/src/main/java/tallyweir/fleet/RevisionTransition.java
@@ -1,11 +1,11 @@
 package tallyweir.fleet;
 
 /**
- * A server passed from one revision to another.
+ * A server's change from one applied revision to another.
  *
- * @param behind how long after the other came into force, by the fleet's clock, tenths of a millisecond
- * @param outdated queries it began under the earlier one after that
- * @param wall when it was taken down, by the leader's wall clock, ms since 1970; for people
+ * @param behind how long after the new revision came into force, in tenths of a millisecond by the fleet's clock
+ * @param outdated queries that the server began under the earlier revision after that
+ * @param wall when it was recorded, ms since 1970 by the leader's wall clock; for display only
  */
 public record RevisionTransition(
         Incarnation as, RevisionId from, RevisionId to, long behind, long outdated, long wall) {}
--- a/fleet/src/main/java/tallyweir/fleet/ServerId.java
+++ b/fleet/src/main/java/tallyweir/fleet/ServerId.java
@@ -1,6 +1,6 @@
 package tallyweir.fleet;
 
-/** The name of a server, the same after a restart. */
+/** The name of a server; it stays the same across restarts. */
 public record ServerId(String value) implements Comparable<ServerId> {
     @Override
     public int compareTo(ServerId o) {
--- a/fleet/src/main/java/tallyweir/fleet/ServerRegistry.java
+++ b/fleet/src/main/java/tallyweir/fleet/ServerRegistry.java
@@ -10,10 +10,13 @@
 import java.util.TreeSet;
 import tallyweir.rules.Rules;
 
-/** The servers of the fleet and their places: who is live, behind or shut out, and when each is to be looked at again. */
+/**
+ * The servers of the fleet and their slots: which are live, behind or shut out, and when each is next to be examined.
+ * Times are tenths of a millisecond by the fleet's clock.
+ */
 final class ServerRegistry {
-    private static final int FLAPS_MOST = 7; // doublings of the wait
-    private static final int STEADY_LEASES = 20; // after which earlier times of being shut out are forgotten
+    private static final int FLAPS_MOST = 7; // bounds the doublings of the wait before a return
+    private static final int STEADY_LEASES = 20; // after so many leases as live, earlier shut-outs are forgotten
     private static final int WAITS_IN_LEASE = 10;
     private static final int GONE_MOST = 1_000;
 
@@ -35,14 +38,14 @@
     private final Map<Integer, ServerRecord> byPlace = new HashMap<>();
     private final TreeSet<Integer> free = new TreeSet<>();
     private final TreeSet<ServerId> marked = new TreeSet<>();
-    private final BitSet heard = new BitSet(); // places of servers that are live and not silent
+    private final BitSet heard = new BitSet(); // slots of servers that are live and not silent
     private final TreeSet<Due> dues = new TreeSet<>();
     private final Map<Integer, Long> dueAt = new HashMap<>();
     private final ArrayDeque<ServerRecord> gone = new ArrayDeque<>();
     private long incarnations;
     private int live;
     private int out;
-    private ServerRecord current; // what the rules are about
+    private ServerRecord current; // the server that the rules apply to
 
     ServerRegistry(
             FleetContext context, RevisionHistory history, Proposal proposal, Probation probation, Lending lending) {
@@ -52,7 +55,7 @@
         this.probation = probation;
         this.lending = lending;
         stragglers = new Stragglers(history);
-        // First what a server's silence means, then whether it goes out, then what comes back from it.
+        // Order: expiry of the lease, then whether the server is shut out, then reclaiming what it held.
         rules.add(this::didNotComeIn, () -> out("did not come in"));
         rules.add(() -> current.isHeard() && now() >= current.leaseUntil, this::silent);
         rules.add(() -> stays() && current.marked, this::unmark);
@@ -70,9 +73,9 @@
         return context.settings();
     }
 
-    // ---- what there is
+    // ---- queries
 
-    /** The server of that name, null if it has no place. */
+    /** The server with a name, null if it has no slot. */
     ServerRecord get(ServerId server) {
         return byName.get(server);
     }
@@ -81,28 +84,30 @@
         return byName.values();
     }
 
-    /** Servers that have had a place and left it, the latest last. */
+    /** Servers that had a slot and left it, latest last; older ones are forgotten. */
     Collection<ServerRecord> gone() {
         return gone;
     }
 
-    ServerId serverAt(int place) {
-        return byPlace.get(place).server;
+    ServerId serverAt(int slot) {
+        return byPlace.get(slot).server;
     }
 
     boolean hasPlace() {
         return !free.isEmpty();
     }
 
-    /** Places of the servers that are live and not silent. */
+    /** Slots of the servers that are live and not silent. */
     BitSet heard() {
         return heard;
     }
 
+    /** The number of live servers, silent ones included. */
     int live() {
         return live;
     }
 
+    /** The number of servers that are shut out and still have a slot. */
     int out() {
         return out;
     }
@@ -111,7 +116,7 @@
         return incarnations;
     }
 
-    /** Since when a server does not act as the revision in force says, Long.MAX_VALUE if it does. */
+    /** Since when a server has not applied the revision in force, Long.MAX_VALUE if it has. */
     long behindSince(ServerRecord server) {
         if (server.status == ServerRecord.Status.ENTERING) {
             return Math.max(server.enteredAt, history.inForceSince());
@@ -138,7 +143,7 @@
         return current.isHeard() && !behindTooLong();
     }
 
-    /** Nothing that it accepted on what it was lent can be open any more. */
+    /** Whether no connection that it accepted on its grants can be open any more. */
     private boolean nothingIsOpen() {
         return now() >= current.leaseUntil + context.tail();
     }
@@ -204,7 +209,7 @@
         removeFromVotes(current);
     }
 
-    /** Nobody is at the place any more, by any clock. */
+    /** Frees the slot of the current server: by any clock nobody uses it any more. */
     private void release() {
         count(current, -1);
         removeFromVotes(current);
@@ -232,20 +237,25 @@
         probation.remove(server.place);
     }
 
-    // ---- what happens to one
+    // ---- changes of one server
 
-    /** The settings allow for so many places. */
+    /**
+     * Adds free slots when the settings allow more.
+     *
+     * @param before the earlier number of slots
+     * @param most the number of slots from now on
+     */
     void places(int before, int most) {
-        for (int place = before; place < most; place++) {
-            free.add(place);
+        for (int slot = before; slot < most; slot++) {
+            free.add(slot);
         }
     }
 
     /**
-     * A server comes to its place, or to a free one.
+     * A server joins, in the slot that it has or else in a free one.
      *
-     * @param life of the process, higher than that of any before at this address; one that is no higher frees nothing, so
-     *     that a word which was long on its way takes nothing from who has come in since
+     * @param life generation of the process, higher than that of any earlier one at this address. A join whose generation
+     *     is no higher releases nothing, so that a delayed message takes nothing from a process that has joined since.
      */
     ServerRecord join(ServerId name, String listen, long life) {
         ServerRecord server = byName.computeIfAbsent(name, id -> new ServerRecord(free.pollFirst(), id, listen));
@@ -272,7 +282,7 @@
         return server;
     }
 
-    /** What is in force at a server is what the revision in force says. */
+    /** Makes a server that has entered live: it has applied the revision in force. */
     void admit(ServerRecord server) {
         if (server.status == ServerRecord.Status.ENTERING) {
             server.status = ServerRecord.Status.LIVE;
@@ -281,7 +291,7 @@
         }
     }
 
-    /** A live server may rely on what it is lent for another lease. */
+    /** Renews the leases of a live server from now on. */
     void renewLease(ServerRecord server) {
         if (server.status == ServerRecord.Status.LIVE) {
             server.leaseUntil = now() + settings().lease();
@@ -290,7 +300,7 @@
         }
     }
 
-    /** A server ends in an orderly way. */
+    /** A server leaves in an orderly way; its slot is free at once. */
     void leave(ServerRecord server) {
         current = server;
         release();
@@ -298,27 +308,27 @@
         server.outWall = context.wall();
     }
 
-    // ---- what is due
+    // ---- deadlines
 
-    /** When the clock alone would change something, Long.MAX_VALUE for never. */
+    /** When the passage of time alone next changes something, Long.MAX_VALUE for never. */
     long nextDue() {
         long first = dues.isEmpty() ? Long.MAX_VALUE : dues.first().at;
         return Math.min(first, stragglers.due(settings().behindMost()));
     }
 
-    /** All that is due by now. */
+    /** Examines all servers whose deadline has passed. */
     void settleDue() {
         while (!dues.isEmpty() && dues.first().at <= now()) {
-            int place = dues.first().place;
-            due(place, Long.MAX_VALUE);
-            settle(byPlace.get(place));
+            int slot = dues.first().place;
+            due(slot, Long.MAX_VALUE);
+            settle(byPlace.get(slot));
         }
         while (stragglers.due(settings().behindMost()) <= now()) {
-            stragglers.takeDue().stream().forEach(place -> settle(byPlace.get(place)));
+            stragglers.takeDue().stream().forEach(slot -> settle(byPlace.get(slot)));
         }
     }
 
-    /** Those that ought to be shut out are, as far as that is allowed by now. */
+    /** Shuts out marked servers, as far as the limit on servers that are out now allows. */
     void shutOutMarked() {
         while (!marked.isEmpty() && hasRoom()) {
             ServerRecord first = byName.get(marked.first());
@@ -330,12 +340,12 @@
         }
     }
 
-    /** Every server is looked at: other settings. */
+    /** Examines every server, after a change of settings. */
     void settleAll() {
         List.copyOf(byName.values()).forEach(this::settle);
     }
 
-    /** One more round of the rules for a server, after which it is noted when it is to be looked at again. */
+    /** Applies the rules to a server, and notes when it is next to be examined. */
     void settle(ServerRecord server) {
         if (byPlace.get(server.place) != server) {
             return;
@@ -347,7 +357,7 @@
         }
     }
 
-    /** Notes when a server is to be looked at again, and among whom it counts. */
+    /** Notes when a server is next to be examined, and whether it counts as heard and as a straggler. */
     void reschedule(ServerRecord server) {
         heard.set(server.place, server.isHeard());
         if (server.status == ServerRecord.Status.LIVE && history.wasInForce(server.acting)) {
@@ -375,16 +385,16 @@
         return at;
     }
 
-    private void due(int place, long at) {
-        Long before = at == Long.MAX_VALUE ? dueAt.remove(place) : dueAt.put(place, at);
+    private void due(int slot, long at) {
+        Long before = at == Long.MAX_VALUE ? dueAt.remove(slot) : dueAt.put(slot, at);
         if (before != null && before == at) {
             return;
         }
         if (before != null) {
-            dues.remove(new Due(before, place));
+            dues.remove(new Due(before, slot));
         }
         if (at != Long.MAX_VALUE) {
-            dues.add(new Due(at, place));
+            dues.add(new Due(at, slot));
         }
     }
 
@@ -394,7 +404,7 @@
         this.incarnations = incarnations;
     }
 
-    /** Puts back a server that was saved, after the revisions and what is lent. */
+    /** Restores a saved server; revisions and lending must have been restored before. */
     void restore(SnapshotPart.Server saved) {
         ServerRecord server = ServerRecord.load(saved);
         if (saved.gone()) {
--- a/fleet/src/main/java/tallyweir/fleet/SnapshotPart.java
+++ b/fleet/src/main/java/tallyweir/fleet/SnapshotPart.java
@@ -6,23 +6,25 @@
 import tallyweir.fleet.table.Change;
 
 /**
- * A part of a snapshot of the {@link State}. The order in which they were saved is that in which they are loaded; each is
- * small, so that no more than one need be in memory.
+ * A part of a snapshot of the {@link State}. Parts are loaded in the order in which they were saved; each is small, so that
+ * no more than one need be in memory. The simple names of the records and the order of their components are the stored
+ * format. Times are tenths of a millisecond by the fleet's clock, or ms since 1970 by the leader's wall clock where named
+ * so.
  */
 public sealed interface SnapshotPart {
-    /** Entries in one part at the most. */
+    /** Maximum number of changed entries in one part. */
     int CHANGES_MOST = 1_000;
 
-    /** What the whole fleet goes by, and its clock. */
+    /** The fleet's settings and clock. */
     record Fleet(String fleet, FleetSettings settings, long now, long wall, long incarnations, long judgedAt)
             implements SnapshotPart {}
 
     /**
      * A revision.
      *
-     * @param size entries of its table
-     * @param changed entries that differ from the table of its base
-     * @param records how many records of what operators asked for follow
+     * @param size number of entries in its table
+     * @param changed number of entries that differ from the table of its base
+     * @param records how many {@link Record}s follow
      */
     record RevisionHeader(
             RevisionId id,
@@ -40,27 +42,27 @@
             int records)
             implements SnapshotPart {}
 
-    /** Why records are kept beside those of revisions. */
+    /** Why records are kept that belong to no revision. The names are the stored format. */
     enum Group {
-        /** Part of a batch that was turned down, to be tried by itself. */
+        /** Part of a batch that was turned down, to be tried on its own. */
         RETRY,
-        /** Waits for the revision that is open. */
+        /** Waits until the open proposal is decided. */
         WAITING,
-        /** Was turned down after it had waited. */
+        /** Was refused after it had waited. */
         REFUSED
     }
 
     /**
-     * What operators asked for beside the revisions.
+     * A group of operators' commands that belong to no revision.
      *
-     * @param records how many records follow
+     * @param records how many {@link Record}s follow
      */
     record RecordGroup(Group group, int records) implements SnapshotPart {}
 
     /**
-     * What an operator asked for, as part of the revision or the group before it.
+     * An operator's command, part of the preceding revision or group.
      *
-     * @param more how many parts with its changes follow
+     * @param more how many {@link Changes} parts follow
      */
     record Record(
             OperatorCommand command,
@@ -75,26 +77,27 @@
             int more)
             implements SnapshotPart {}
 
-    /** Some of the entries that the record before changes. */
+    /** Some of the entries that the preceding record changes. */
     record Changes(List<Change> changes) implements SnapshotPart {}
 
     /**
-     * What live servers have said of the revision that is open.
+     * The open proposal and the servers' answers to it.
      *
-     * @param revision NONE where none is
-     * @param pending places of those that are still to say
+     * @param revision NONE if no proposal is open
+     * @param pending slots of the servers that have not answered
+     * @param accepted how many servers can apply it
      */
     record Proposed(
             RevisionId revision, long until, List<Integer> pending, Map<ServerId, String> rejections, int accepted)
             implements SnapshotPart {}
 
-    /** Something of what is lent of the caps. */
+    /** A part of the state of {@link Lending}. */
     record Lent(LendingPart part) implements SnapshotPart {}
 
     /**
-     * A server.
+     * A server, with the fields of {@link ServerRecord}.
      *
-     * @param gone whether it has left its place
+     * @param gone whether it has left its slot
      */
     record Server(
             int place,
@@ -126,7 +129,7 @@
             boolean gone)
             implements SnapshotPart {}
 
-    /** How a server's queries ended, before and since the revision in force. */
+    /** Counts of a server's ended queries before and since the revision in force; see {@link Health}. */
     record Counts(
             long ended,
             long bad,
--- a/fleet/src/main/java/tallyweir/fleet/SnapshotReader.java
+++ b/fleet/src/main/java/tallyweir/fleet/SnapshotReader.java
@@ -6,7 +6,7 @@
 import tallyweir.fleet.table.Change;
 import tallyweir.fleet.table.Table;
 
-/** Puts back what operators asked for and the revisions that came of it. Tables share what is equal, as they did before. */
+/** Restores operators' commands and revisions. Tables share their equal parts, as they did before. */
 final class SnapshotReader {
     private final Iterator<SnapshotPart> from;
     private final RevisionHistory history;
@@ -17,7 +17,7 @@
     }
 
     /**
-     * A revision; its records follow.
+     * Reads a revision; takes its records from the parts that follow.
      *
      * @throws FleetException if its table is not the one that was saved
      */
@@ -43,7 +43,7 @@
         return header.of().equals(RevisionId.NONE) ? base.apply(changes) : history.table(header.of());
     }
 
-    /** The records of a group, which follow. */
+    /** Reads the records of a group from the parts that follow. */
     List<ChangeRecord> read(SnapshotPart.RecordGroup group) {
         List<ChangeRecord> records = new ArrayList<>();
         for (int more = group.records(); more > 0; more--) {
@@ -52,7 +52,7 @@
         return records;
     }
 
-    /** One that is part of several revisions, which were turned down but for the last, is the same in each. */
+    /** Reads a record. One that is part of several revisions, all but the last turned down, is the same object in each. */
     private ChangeRecord readRecord(List<Change> all) {
         SnapshotPart.Record saved = (SnapshotPart.Record) from.next();
         List<Change> changes = new ArrayList<>();
--- a/fleet/src/main/java/tallyweir/fleet/SnapshotWriter.java
+++ b/fleet/src/main/java/tallyweir/fleet/SnapshotWriter.java
@@ -4,7 +4,7 @@
 import java.util.function.Consumer;
 import tallyweir.fleet.table.Change;
 
-/** Saves what operators asked for and the revisions that came of it, in parts. */
+/** Saves operators' commands and revisions in parts. */
 final class SnapshotWriter {
     private final Consumer<SnapshotPart> to;
 
@@ -12,7 +12,7 @@
         this.to = to;
     }
 
-    /** A revision with its records; its table is what they make of that of its base, or that of another revision. */
+    /** Writes a revision with its records. Its table is derived from that of its base, or is that of another revision. */
     void write(Revision revision) {
         to.accept(revision.save());
         for (ChangeRecord record : revision.records()) {
@@ -21,7 +21,7 @@
         }
     }
 
-    /** Records beside those of revisions. */
+    /** Writes records that belong to no revision. */
     void write(SnapshotPart.Group group, List<ChangeRecord> records) {
         to.accept(new SnapshotPart.RecordGroup(group, records.size()));
         records.forEach(record -> write(record, record.changes()));
--- a/fleet/src/main/java/tallyweir/fleet/State.java
+++ b/fleet/src/main/java/tallyweir/fleet/State.java
@@ -17,17 +17,19 @@
 import tallyweir.ids.TenantId;
 
 /**
- * What the voters agree on: which servers there are, which revision is in force, what each tenant's cap is lent to. Each
- * command of the log is applied here, after the clock that the leader stamped it with; the same commands make the same
- * state on every voter. The fleet's clock only goes on while somebody leads and never faster than a leader's own, so what
- * lasts a span by it lasts no less by any other, but for the ratio by which clocks run apart.
+ * The replicated state of the voters: the servers of the fleet, the revision in force, and to whom each tenant's cap is
+ * lent. Each command of the log is applied here, after the clock was set to the leader's timestamp of the command; the same
+ * commands produce the same state on every voter. The fleet's clock advances only while there is a leader, and never faster
+ * than the leader's own. So a duration by the fleet's clock is no shorter by any other clock, except for the drift ratio.
+ *
+ * <p>Times are tenths of a millisecond by the fleet's clock. Not thread-safe.
  */
 public final class State {
-    /** Of a lease: how often a fleet's share of a scarce cap is worked out anew, and servers report, at the least. */
+    /** How often the max-min level of a scarce cap is computed anew, per lease. */
     private static final int LEVELS_IN_LEASE = 40;
 
-    private static final int REPORTS_IN_LEASE = 40;
-    private static final int REPORTS_LEAST = 4;
+    private static final int REPORTS_IN_LEASE = 40; // twice as many while something is pending
+    private static final int REPORTS_LEAST = 4; // a server reports at least this often per lease
     private static final int REPORTS_PER_SECOND = 2_000; // of all servers together
     private static final long SECOND = 10_000;
 
@@ -43,7 +45,7 @@
         this(Set.of());
     }
 
-    /** @param without guards that are off, for checks only */
+    /** @param without guards that are switched off, for checks only */
     public State(Set<Guard> without) {
         context = new FleetContext(without);
         lending = new Lending(!context.has(Guard.FLOOR), this::cap);
@@ -59,12 +61,17 @@
 
     // ---- commands
 
-    /** What the next command was stamped with: the fleet's clock, tenths of a millisecond, and the wall's, ms since 1970. */
+    /**
+     * Sets the clocks to the timestamp of the next command.
+     *
+     * @param at the fleet's clock, tenths of a millisecond
+     * @param wall the leader's wall clock, ms since 1970
+     */
     public void clock(long at, long wall) {
         context.clock(at, wall);
     }
 
-    /** What a command does, and its answer; the clock has been set to its stamp before. */
+    /** Applies a command and returns its answer; {@link #clock} must have been called with its timestamp before. */
     public Answer apply(Command command) {
         if (command instanceof Command.Found found) {
             return found(found);
@@ -98,7 +105,7 @@
         return new Answer.Done(history.inForceId()); // a tick
     }
 
-    /** All that is due by now, and what follows from it. */
+    /** Does everything that is due by now, and what follows from it. */
     private void settle() {
         servers.settleDue();
         control.settle();
@@ -126,8 +133,8 @@
     }
 
     /**
-     * A server wants a place, its own if it had one. That another process listens at the same address proves that the
-     * one before has ended.
+     * A server asks for a slot, or for the one that it has. A new process listening at the same address proves that the
+     * earlier one has ended.
      */
     private Answer join(Command.Join join) {
         ServerRecord server = servers.get(join.server());
@@ -145,7 +152,7 @@
                 entered.as, context.settings().serversMost(), context.settings().floorShare(), next(entered));
     }
 
-    /** A server says what is in force there. Only what names the incarnation it has here counts. */
+    /** A server's report. It counts only if it names the server's current incarnation. */
     private Answer report(Command.Report report) {
         ServerRecord server = servers.get(report.server());
         Optional<Fault> why = shutOut(server, report);
@@ -189,7 +196,7 @@
         proposal.checked(server.place, server.server, report.checked(), report.cannot());
         servers.renewLease(server);
         servers.settle(server);
-        settle(); // who says last that it can hears at once that it is in force
+        settle(); // so that the answer to the last acceptance already names the revision as in force
     }
 
     private void acts(ServerRecord server, Command.Report report) {
@@ -232,7 +239,7 @@
                 next(server));
     }
 
-    /** How soon a server should report again: the more there are, the more seldom. */
+    /** The delay until a server should report again; it grows with the number of servers. */
     private long next(ServerRecord server) {
         long lease = context.settings().lease();
         long all = (long) (servers.live() + servers.out()) * SECOND / REPORTS_PER_SECOND;
@@ -250,9 +257,9 @@
         return new Answer.Done(history.inForceId());
     }
 
-    // ---- what can be seen
+    // ---- queries
 
-    /** When the clock alone would change something, MAX_VALUE for never. */
+    /** When the passage of time alone next changes something, Long.MAX_VALUE for never. */
     public long nextDue() {
         return Math.min(servers.nextDue(), proposal.due());
     }
@@ -265,95 +272,98 @@
         return context.fleet();
     }
 
-    /** The version of the settings that it goes by, 0 before it is founded. */
+    /** The version of the settings in use, 0 before the fleet is founded. */
     public long version() {
         return context.settings().version();
     }
 
+    /** The revision in force, NONE before the first. */
     public RevisionId inForce() {
         return history.inForceId();
     }
 
-    /** The revision that is open, NONE where none is. */
+    /** The proposed revision that is not decided yet, NONE if there is none. */
     public RevisionId proposed() {
         return proposal.id();
     }
 
-    /** A revision, null for one that was never there. */
+    /** A revision, null if it never existed. */
     public Revision revision(RevisionId id) {
         return history.get(id);
     }
 
-    /** All revisions, the latest last. */
+    /** All revisions, latest last. */
     public Collection<Revision> revisions() {
         return Collections.unmodifiableCollection(history.all());
     }
 
-    /** The changes that wait until the revision that is open has been decided, in the order in which they are taken up. */
+    /** The changes that wait until the open proposal is decided, in the order in which they will be proposed. */
     public List<ChangeRecord> waiting() {
         return control.queue().all();
     }
 
-    /** The changes that were turned down after they had waited, the latest last; older ones are forgotten. */
+    /** The changes that were refused after they had waited, latest last; older ones are forgotten. */
     public List<ChangeRecord> refused() {
         return control.refused();
     }
 
-    /** What a revision says: the empty table for NONE, null for one that there is not or that was turned down. */
+    /** The table of a revision: the empty table for NONE, null if it does not exist or was turned down. */
     public Table table(RevisionId id) {
         return history.table(id);
     }
 
-    /** The table of that root, if a revision has it that is, was or may come into force. */
+    /** The table with a root, if a revision has it that was not turned down. */
     public Optional<Table> table(Digest root) {
         return history.table(root);
     }
 
     /**
-     * What differs from a table that somebody has to a revision.
+     * The changes that turn a table into that of a revision.
      *
-     * @param from the root of that table
-     * @param most entries; empty if there are more, or if either is not known
+     * @param from the root of the table
+     * @param most maximum number of changes; the result is empty if there are more, or if either table is unknown
      */
     public Optional<List<Change>> difference(Digest from, RevisionId to, int most) {
         Table want = history.table(to);
         return want == null ? Optional.empty() : history.table(from).flatMap(have -> have.differenceTo(want, most));
     }
 
-    /** All servers that have a place, by name. */
+    /** All servers that have a slot, by name. */
     public Collection<ServerRecord> servers() {
         return Collections.unmodifiableCollection(servers.all());
     }
 
-    /** Since when a server does not act as the revision in force says, MAX_VALUE if it does. */
+    /** Since when a server has not applied the revision in force, Long.MAX_VALUE if it has. */
     public long behindSince(ServerRecord server) {
         return servers.behindSince(server);
     }
 
-    /** Servers that have had a place and left it, the latest last. */
+    /** Servers that had a slot and left it, latest last; older ones are forgotten. */
     public Collection<ServerRecord> gone() {
         return Collections.unmodifiableCollection(servers.gone());
     }
 
+    /** The number of live servers, silent ones included. */
     public int live() {
         return servers.live();
     }
 
+    /** The number of servers that are shut out and still have a slot. */
     public int out() {
         return servers.out();
     }
 
-    /** All that may be relied on of a tenant's cap. */
+    /** How much of a tenant's cap may be relied on: the floors of all slots plus what is lent. */
     public long spoken(TenantId tenant) {
         return lending.spoken(tenant);
     }
 
-    /** What servers are lent of a tenant's cap, beyond the floors. */
+    /** How much of a tenant's cap is lent to servers beyond their floors. */
     public long lent(TenantId tenant) {
         return lending.granted(tenant);
     }
 
-    /** The caps of the revision in force; goes through its whole table. */
+    /** The caps of the revision in force; iterates over its whole table. */
     public Map<TenantId, Integer> caps() {
         Map<TenantId, Integer> caps = new HashMap<>();
         history.inForceTable().forEach(entry -> {
@@ -364,14 +374,14 @@
         return caps;
     }
 
-    /** The floor of each server under a cap. */
+    /** The floor of each slot under a cap. */
     public int floor(int cap) {
         return lending.floor(cap);
     }
 
     // ---- for snapshots
 
-    /** The whole, in parts. */
+    /** Saves the whole state, in parts. */
     public void save(Consumer<SnapshotPart> to) {
         to.accept(new SnapshotPart.Fleet(
                 context.fleet(),
@@ -391,7 +401,7 @@
         servers.gone().forEach(server -> to.accept(server.save(true)));
     }
 
-    /** Into a new state: what another saved. */
+    /** Loads into a new state what another saved. */
     public void load(Iterator<SnapshotPart> from) {
         SnapshotReader reader = new SnapshotReader(from, history);
         while (from.hasNext()) {
--- a/fleet/src/main/java/tallyweir/fleet/Stragglers.java
+++ b/fleet/src/main/java/tallyweir/fleet/Stragglers.java
@@ -6,50 +6,50 @@
 import java.util.TreeMap;
 
 /**
- * Live servers by the revision that each acts on, so that another revision in force costs nothing here: all that act on one
- * revision are behind since the same moment, and become due together.
+ * Live servers grouped by the revision that each applies. All servers that apply the same revision have been behind since
+ * the same time and become due together, so a new revision in force needs no work here.
  */
 final class Stragglers {
     private final RevisionHistory history;
-    private final TreeMap<RevisionId, BitSet> places = new TreeMap<>(); // without those that were due already
+    private final TreeMap<RevisionId, BitSet> places = new TreeMap<>(); // without slots that were taken as due already
     private final Map<Integer, RevisionId> actsOn = new HashMap<>();
 
     Stragglers(RevisionHistory history) {
         this.history = history;
     }
 
-    /** The server of a place acts on a revision that is or was in force. */
-    void track(int place, RevisionId acting) {
-        RevisionId earlier = actsOn.put(place, acting);
+    /** The server of a slot applies a revision that is or was in force. */
+    void track(int slot, RevisionId acting) {
+        RevisionId earlier = actsOn.put(slot, acting);
         if (acting.equals(earlier)) {
             return;
         }
-        remove(place, earlier);
-        places.computeIfAbsent(acting, id -> new BitSet()).set(place);
+        remove(slot, earlier);
+        places.computeIfAbsent(acting, id -> new BitSet()).set(slot);
     }
 
-    /** The server of a place is not live, or acts on no such revision. */
-    void untrack(int place) {
-        remove(place, actsOn.remove(place));
+    /** The server of a slot is not live, or applies no such revision. */
+    void untrack(int slot) {
+        remove(slot, actsOn.remove(slot));
     }
 
-    private void remove(int place, RevisionId acting) {
+    private void remove(int slot, RevisionId acting) {
         BitSet together = acting == null ? null : places.get(acting);
         if (together != null) {
-            together.clear(place);
+            together.clear(slot);
             if (together.isEmpty()) {
                 places.remove(acting);
             }
         }
     }
 
-    /** When the first of them have been behind for a span, Long.MAX_VALUE for never. */
+    /** When the first of them will have been behind for {@code maxLag}, Long.MAX_VALUE for never. */
     long due(long behindMost) {
         long since = places.isEmpty() ? Long.MAX_VALUE : history.supersededAt(places.firstKey());
         return since == Long.MAX_VALUE ? Long.MAX_VALUE : since + behindMost;
     }
 
-    /** Takes out the places that are due first. */
+    /** Removes and returns the slots that are due first. */
     BitSet takeDue() {
         return places.pollFirstEntry().getValue();
     }
--- a/fleet/src/test/java/tallyweir/fleet/LendingCostTest.java
+++ b/fleet/src/test/java/tallyweir/fleet/LendingCostTest.java
@@ -12,14 +12,14 @@
 import org.junit.jupiter.api.Test;
 import tallyweir.ids.TenantId;
 
-/** What inputs of lending cost, counted in the pools that are looked at and the caps that are looked up. */
+/** The cost of lending's operations, counted as pools visited and caps looked up; guards against walking all pools. */
 class LendingCostTest {
     private static final int TENANTS = 10_000;
     private static final int PLACES = 100;
     private static final int CAP = 1_000;
     private static final int LOWER_CAP = 600;
     private static final int FEW = 5;
-    private static final int LOOKS_PER_POOL = 3; // as a report, for the answer, and as given back
+    private static final int LOOKS_PER_POOL = 3; // for the report, for the answer, and for what was returned
 
     private final Map<TenantId, Integer> caps = new HashMap<>();
     private long lookups;
@@ -61,14 +61,14 @@
         return lending.poolsVisited() - before;
     }
 
-    /** All tenants have a cap; the first place holds some of each, the others nothing. */
+    /** All tenants have a cap; slot 0 holds one connection of each, the other slots nothing. */
     @BeforeEach
     void begin() {
         lending.settings(PLACES, 0.5, 10);
         lending.caps(1, changeAll(CAP));
-        assertEquals(0, lending.pools(), "a cap of which nothing is held needs no pool");
-        for (int place = 0; place < PLACES; place++) {
-            lending.acting(place, 1);
+        assertEquals(0, lending.pools(), "a cap of which nothing is lent needs no pool");
+        for (int slot = 0; slot < PLACES; slot++) {
+            lending.acting(slot, 1);
         }
         lending.report(0, needs(0, TENANTS), 0);
         assertEquals(TENANTS, lending.pools());
@@ -93,15 +93,15 @@
         assertEquals(0, lookups);
         assertTrue(lending.floorsOver(tenant(7)) > 0);
         assertTrue(visitedBy(() -> assertTrue(lending.floorsFree())) <= 1);
-        assertEquals(0, visitedBy(lending::floorsFree), "floors that are free stay so");
+        assertEquals(0, visitedBy(lending::floorsFree), "floors that are free stay free");
     }
 
     @Test
     void aPlaceThatMovesOnCostsNoPoolsUntilTheLastHas() {
         lending.caps(2, changeAll(LOWER_CAP));
         assertEquals(0, visitedBy(() -> {
-            for (int place = 1; place < PLACES; place++) {
-                lending.acting(place, 2);
+            for (int slot = 1; slot < PLACES; slot++) {
+                lending.acting(slot, 2);
             }
         }));
         assertTrue(lending.floorsOver(tenant(7)) > 0);
@@ -111,11 +111,11 @@
 
     @Test
     void floorsThatAreNotFreeCostOnePoolToSee() {
-        Map<TenantId, Need> much = new HashMap<>();
+        Map<TenantId, Need> highDemand = new HashMap<>();
         for (int i = 0; i < TENANTS; i++) {
-            much.put(tenant(i), new Need(1, CAP));
+            highDemand.put(tenant(i), new Need(1, CAP));
         }
-        lending.report(0, much, 20);
+        lending.report(0, highDemand, 20);
         lending.caps(2, changeAll(LOWER_CAP));
         assertFalse(lending.floorsFree());
         assertEquals(1, visitedBy(lending::floorsFree));
@@ -124,8 +124,8 @@
     @Test
     void nothingIsKeptOfWhatNobodyHolds() {
         lending.caps(2, changeAll(LOWER_CAP));
-        for (int place = 0; place < PLACES; place++) {
-            lending.free(place);
+        for (int slot = 0; slot < PLACES; slot++) {
+            lending.free(slot);
         }
         assertEquals(0, lending.pools());
         List<LendingPart> saved = new ArrayList<>();
--- a/fleet/src/test/java/tallyweir/fleet/LendingModelTest.java
+++ b/fleet/src/test/java/tallyweir/fleet/LendingModelTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.constraints.IntRange;
 import tallyweir.ids.TenantId;
 
-/** Lending beside a plain slow model: each unit of a cap is given, one by one, to whoever has least and wants more. */
+/** Compares lending with a simple, slow model: each unit of a cap goes to the server that has least and wants more. */
 class LendingModelTest {
     private static final TenantId T = new TenantId("t");
 
@@ -35,14 +35,14 @@
         return has;
     }
 
-    /** Servers that keep what they use and come down to what they are told, in any order, end at the model's shares. */
+    /** Servers that keep what they use and go down to their targets, reporting in any order, end with the model's shares. */
     @Property(tries = 300, seed = "7")
     void sharesEndWhereTheModelHasThem(
             @ForAll long seed,
             @ForAll @IntRange(min = 1, max = 9) int servers,
             @ForAll @IntRange(min = 0, max = 60) int cap,
             @ForAll @IntRange(min = 0, max = 2) int floors) {
-        SplittableRandom chance = new SplittableRandom(seed);
+        SplittableRandom random = new SplittableRandom(seed);
         Lending lending = new Lending(false, t -> cap);
         lending.settings(servers, floors * 0.25, 10);
         lending.caps(1, List.of(new CapChange(T, Caps.UNCAPPED, cap)));
@@ -52,17 +52,17 @@
         long now = 0;
         for (int round = 0; round < 3; round++) {
             for (int i = 0; i < servers; i++) {
-                wants[i] = chance.nextInt(0, 20);
+                wants[i] = random.nextInt(0, 20);
             }
             int[] target = has.clone();
             for (int turn = 0; turn < 40 * servers; turn++) {
-                int i = turn < 20 * servers ? chance.nextInt(servers) : turn % servers;
-                now += 1 + chance.nextInt(3);
+                int i = turn < 20 * servers ? random.nextInt(servers) : turn % servers;
+                now += 1 + random.nextInt(3);
                 Grant g = lending.report(i, Map.of(T, new Need(Math.min(has[i], target[i]), wants[i])), now)
                         .getOrDefault(T, new Grant(0, 0));
                 has[i] = g.granted();
                 target[i] = g.target();
-                assertTrue(lending.spoken(T) <= cap, "over cap");
+                assertTrue(lending.spoken(T) <= cap, "more than the cap is relied on");
                 assertEquals(
                         has[i], lending.lent(i).getOrDefault(T, new Grant(0, 0)).granted());
             }
@@ -72,7 +72,7 @@
                 assertTrue(Math.abs(has[i] - model[i]) <= 1, i + " has " + has[i] + ", the model " + model[i]);
                 sum += model[i] - has[i];
             }
-            assertTrue(sum <= servers && sum >= 0, "not all is lent: " + sum);
+            assertTrue(sum <= servers && sum >= 0, "not everything is lent: " + sum);
         }
         for (int i = 0; i < servers; i++) {
             lending.free(i);
@@ -80,10 +80,13 @@
         assertEquals(0, lending.granted(T));
     }
 
-    /** A cap that changes at will, and servers that come under the other one later: nothing more is lent until all have. */
+    /**
+     * The cap changes at random and servers apply the change later. What servers rely on never grows beyond the cap, because
+     * floors of an earlier cap count as long as a server may use them.
+     */
     @Property(tries = 300, seed = "8")
     void floorsOfAnEarlierCapCountAsLongAsAnybodyMayRelyOnThem(@ForAll long seed) {
-        SplittableRandom chance = new SplittableRandom(seed);
+        SplittableRandom random = new SplittableRandom(seed);
         int servers = 4;
         List<Map<TenantId, Integer>> caps = new ArrayList<>(List.of(Map.of(T, 40)));
         Lending lending = new Lending(false, t -> caps.get(caps.size() - 1).get(t));
@@ -97,19 +100,19 @@
             floors[i] = lending.floor(40);
         }
         for (int turn = 1; turn < 200; turn++) {
-            int i = chance.nextInt(servers);
+            int i = random.nextInt(servers);
             long before = relied(floors, has);
-            if (chance.nextInt(10) == 0) {
+            if (random.nextInt(10) == 0) {
                 int earlier = caps.get(caps.size() - 1).get(T);
-                int later = chance.nextInt(0, 80);
+                int later = random.nextInt(0, 80);
                 caps.add(Map.of(T, later));
                 lending.caps(caps.size(), List.of(new CapChange(T, earlier, later)));
-            } else if (chance.nextInt(4) == 0) {
+            } else if (random.nextInt(4) == 0) {
                 under[i] = caps.size() - 1;
                 lending.acting(i, under[i] + 1);
                 floors[i] = Math.min(floors[i], lending.floor(caps.get(under[i]).get(T)));
             } else {
-                int want = chance.nextInt(0, 30);
+                int want = random.nextInt(0, 30);
                 has.put(
                         i,
                         lending.report(i, Map.of(T, new Need(has.getOrDefault(i, 0), want)), turn * 20L)
--- a/fleet/src/test/java/tallyweir/fleet/LendingPlainTest.java
+++ b/fleet/src/test/java/tallyweir/fleet/LendingPlainTest.java
@@ -16,9 +16,9 @@
 import tallyweir.ids.TenantId;
 
 /**
- * Lending beside the plain model that walks all pools, over random sequences of what a fleet does. One place, the first,
- * wants some of each tenant all the time: lending forgets the turn and level of a tenant that nobody wants anything of,
- * which the plain model does not.
+ * Compares lending with the plain model that walks all pools, over random sequences of operations. Slot 0 wants something of
+ * each tenant all the time, because lending drops the turn and level of a tenant that nobody wants anything of, and the
+ * plain model does not.
  */
 class LendingPlainTest {
     private static final int TENANTS = 4;
@@ -32,7 +32,7 @@
         return new TenantId("t" + i);
     }
 
-    /** Both, told the same, and what the servers of the fleet really rely on by the rules of {@link Gate}. */
+    /** Both implementations, given the same inputs, and what the servers really rely on by the rules of {@link Gate}. */
     private static final class Fleet {
         final SplittableRandom chance;
         final PlainLending plain = new PlainLending(false);
@@ -40,12 +40,12 @@
         final double floorShare;
         Lending lending;
         final boolean[] here = new boolean[PLACES];
-        final int[] reported = new int[PLACES]; // the revision that a place has reported
-        final int[] acting = new int[PLACES]; // and that it does act under
-        final int[][] floors = new int[PLACES][TENANTS]; // that it may use
+        final int[] reported = new int[PLACES]; // the revision that a slot has reported
+        final int[] acting = new int[PLACES]; // the revision that it really applies
+        final int[][] floors = new int[PLACES][TENANTS]; // that the slot may use
         final int[][] granted = new int[PLACES][TENANTS];
         final int[][] grantedByPlain = new int[PLACES][TENANTS];
-        final boolean[] parted = new boolean[TENANTS]; // floors over differed at some time: shares may since then
+        final boolean[] parted = new boolean[TENANTS]; // excess floors differed once, so shares may differ since
         long now;
 
         Fleet(long seed, double floorShare) {
@@ -73,7 +73,7 @@
             return revisions.get(revision).getOrDefault(tenant(t), Caps.UNCAPPED);
         }
 
-        /** Another revision; the level is due everywhere, as the plain model works it out anew after each. */
+        /** Publishes a revision, and advances the time so that the level is due everywhere: the plain model recomputes it then. */
         void publish(Map<TenantId, Integer> caps) {
             List<CapChange> changes = new ArrayList<>();
             for (int t = 0; t < TENANTS; t++) {
@@ -89,48 +89,48 @@
             now += LEVEL_EVERY;
         }
 
-        /** A place acts under a revision, and does not say so yet. */
-        void move(int place, int revision) {
-            acting[place] = revision;
+        /** A slot applies a revision and does not report it yet. */
+        void move(int slot, int revision) {
+            acting[slot] = revision;
             for (int t = 0; t < TENANTS; t++) {
-                floors[place][t] = Math.min(floors[place][t], lending.floor(cap(revision, t)));
+                floors[slot][t] = Math.min(floors[slot][t], lending.floor(cap(revision, t)));
             }
         }
 
-        void say(int place) {
-            here[place] = true;
-            reported[place] = acting[place];
-            lending.acting(place, reported[place]);
-            plain.acting(place, revisions.get(reported[place]));
+        void say(int slot) {
+            here[slot] = true;
+            reported[slot] = acting[slot];
+            lending.acting(slot, reported[slot]);
+            plain.acting(slot, revisions.get(reported[slot]));
         }
 
-        void enter(int place) {
-            move(place, lastRevision());
-            say(place);
+        void enter(int slot) {
+            move(slot, lastRevision());
+            say(slot);
         }
 
-        void report(int place, boolean namesAll) {
+        void report(int slot, boolean namesAll) {
             Map<TenantId, Need> needs = new HashMap<>();
             Map<TenantId, Need> needsOfPlain = new HashMap<>();
             for (int t = 0; t < TENANTS; t++) {
-                if (namesAll || place == 0 || chance.nextInt(3) > 0) {
-                    int want = chance.nextInt(namesAll || place == 0 ? 1 : 0, WANT_MOST);
+                if (namesAll || slot == 0 || chance.nextInt(3) > 0) {
+                    int want = chance.nextInt(namesAll || slot == 0 ? 1 : 0, WANT_MOST);
                     int returned = chance.nextInt(4) == 0 ? chance.nextInt(5) : 0;
-                    needs.put(tenant(t), new Need(granted[place][t] - returned, want));
-                    needsOfPlain.put(tenant(t), new Need(grantedByPlain[place][t] - returned, want));
+                    needs.put(tenant(t), new Need(granted[slot][t] - returned, want));
+                    needsOfPlain.put(tenant(t), new Need(grantedByPlain[slot][t] - returned, want));
                 }
             }
             now += chance.nextInt(5);
-            Map<TenantId, Grant> grants = lending.report(place, needs, now);
-            Map<TenantId, Grant> grantsOfPlain = plain.report(place, needsOfPlain, now);
+            Map<TenantId, Grant> grants = lending.report(slot, needs, now);
+            Map<TenantId, Grant> grantsOfPlain = plain.report(slot, needsOfPlain, now);
             for (int t = 0; t < TENANTS; t++) {
                 if (!parted[t]) {
                     assertEquals(grantsOfPlain.get(tenant(t)), grants.get(tenant(t)));
                 }
-                granted[place][t] = grantOf(grants, t);
-                grantedByPlain[place][t] = grantOf(grantsOfPlain, t);
+                granted[slot][t] = grantOf(grants, t);
+                grantedByPlain[slot][t] = grantOf(grantsOfPlain, t);
             }
-            assertEquals(grants, lending.lent(place));
+            assertEquals(grants, lending.lent(slot));
         }
 
         private static int grantOf(Map<TenantId, Grant> grants, int t) {
@@ -138,32 +138,32 @@
             return grant == null ? 0 : grant.granted();
         }
 
-        /** A place is told whether floors are free, perhaps ahead of what it has reported. */
-        void hearOfFloors(int place) {
-            if (here[place] && lending.floorsFree() && acting[place] == lastRevision()) {
+        /** A slot is told whether floors are free; the revision it applies may be newer than the one it has reported. */
+        void hearOfFloors(int slot) {
+            if (here[slot] && lending.floorsFree() && acting[slot] == lastRevision()) {
                 for (int t = 0; t < TENANTS; t++) {
-                    floors[place][t] = lending.floor(cap(lastRevision(), t));
+                    floors[slot][t] = lending.floor(cap(lastRevision(), t));
                 }
             }
         }
 
-        void back(int place) {
-            lending.back(place);
-            plain.back(place);
-            Arrays.fill(granted[place], 0);
-            Arrays.fill(grantedByPlain[place], 0);
+        void back(int slot) {
+            lending.back(slot);
+            plain.back(slot);
+            Arrays.fill(granted[slot], 0);
+            Arrays.fill(grantedByPlain[slot], 0);
         }
 
-        void free(int place) {
-            lending.free(place);
-            plain.free(place);
-            here[place] = false;
-            Arrays.fill(granted[place], 0);
-            Arrays.fill(grantedByPlain[place], 0);
-            Arrays.fill(floors[place], 0);
+        void free(int slot) {
+            lending.free(slot);
+            plain.free(slot);
+            here[slot] = false;
+            Arrays.fill(granted[slot], 0);
+            Arrays.fill(grantedByPlain[slot], 0);
+            Arrays.fill(floors[slot], 0);
         }
 
-        /** Goes on as one that was loaded from a snapshot. */
+        /** Replaces lending by an instance loaded from its snapshot. */
         void reload() {
             Lending loaded = fresh();
             lending.save(loaded::load);
@@ -177,8 +177,8 @@
 
         long relied(int t) {
             long all = 0;
-            for (int place = 0; place < PLACES; place++) {
-                all += floors[place][t] + granted[place][t];
+            for (int slot = 0; slot < PLACES; slot++) {
+                all += floors[slot][t] + granted[slot][t];
             }
             return all;
         }
@@ -186,19 +186,19 @@
         void compare() {
             for (int t = 0; t < TENANTS; t++) {
                 long over = lending.floorsOver(tenant(t));
-                assertTrue(over >= floorsOverOfPlain(t), "floors over are fewer than in the plain model");
+                assertTrue(over >= floorsOverOfPlain(t), "excess floors are lower than in the plain model");
                 parted[t] |= over != floorsOverOfPlain(t);
                 if (!parted[t]) {
                     assertEquals(plain.granted(tenant(t)), lending.granted(tenant(t)));
                     assertEquals(plain.spoken(tenant(t)), lending.spoken(tenant(t)));
                 }
             }
-            for (int place = 0; place < PLACES; place++) {
-                assertEquals(Arrays.stream(granted[place]).sum() > 0, lending.holds(place));
+            for (int slot = 0; slot < PLACES; slot++) {
+                assertEquals(Arrays.stream(granted[slot]).sum() > 0, lending.holds(slot));
             }
         }
 
-        /** Once all places act under the revision in force no earlier floor is kept, and of an empty fleet nothing. */
+        /** Once all slots apply the revision in force no earlier floor is kept, and for an empty fleet nothing. */
         void end() {
             allAct(this);
             lending.save(part -> {
@@ -206,8 +206,8 @@
                     assertEquals(List.of(), pool.earlierFloors());
                 }
             });
-            for (int place = 0; place < PLACES; place++) {
-                free(place);
+            for (int slot = 0; slot < PLACES; slot++) {
+                free(slot);
             }
             assertEquals(0, lending.pools());
         }
@@ -251,23 +251,23 @@
         }
     }
 
-    /** Where no floor is involved both lend the same at every step, whoever names what. */
+    /** Without floors both lend the same at every step, whichever tenants a report names. */
     @Property(tries = 300, seed = "11")
     void lendsWhatThePlainModelLends(@ForAll long seed) {
         Fleet fleet = new Fleet(seed, 0);
         fleet.begin();
         for (int step = 0; step < STEPS; step++) {
-            int place = fleet.chance.nextInt(PLACES);
+            int slot = fleet.chance.nextInt(PLACES);
             switch (fleet.chance.nextInt(12)) {
                 case 0 -> fleet.publish(fleet.anyCaps(true));
-                case 1 -> fleet.back(Math.max(1, place));
-                case 2 -> fleet.free(Math.max(1, place));
+                case 1 -> fleet.back(Math.max(1, slot));
+                case 2 -> fleet.free(Math.max(1, slot));
                 case 3 -> fleet.reload();
                 default -> {
-                    if (!fleet.here[place]) {
-                        fleet.enter(place);
+                    if (!fleet.here[slot]) {
+                        fleet.enter(slot);
                     }
-                    fleet.report(place, false);
+                    fleet.report(slot, false);
                 }
             }
             fleet.compare();
@@ -277,16 +277,16 @@
     }
 
     /**
-     * Floors that fall while places still act under earlier revisions are counted as in the plain model, and the same is
-     * lent at every step; floors rise only when all places act under the revision in force, and all do so again before
-     * the next one.
+     * Floors that fall while slots still apply earlier revisions are counted as in the plain model, and the same is lent at
+     * every step. Here floors rise only when all slots apply the revision in force, and all apply the new one before the
+     * next is published.
      */
     @Property(tries = 300, seed = "12")
     void countsFloorsThatFellAsThePlainModelDoes(@ForAll long seed, @ForAll @IntRange(min = 1, max = 4) int quarters) {
         Fleet fleet = new Fleet(seed, quarters * 0.25);
         fleet.begin();
         for (int step = 0; step < STEPS; step++) {
-            int place = fleet.chance.nextInt(PLACES);
+            int slot = fleet.chance.nextInt(PLACES);
             switch (fleet.chance.nextInt(14)) {
                 case 0 -> fleet.publish(fleet.lowerCaps());
                 case 1 -> {
@@ -294,58 +294,59 @@
                     fleet.publish(fleet.anyCaps(true));
                     allAct(fleet);
                 }
-                case 2 -> fleet.back(Math.max(1, place));
-                case 3 -> fleet.free(Math.max(1, place));
+                case 2 -> fleet.back(Math.max(1, slot));
+                case 3 -> fleet.free(Math.max(1, slot));
                 case 4 -> fleet.reload();
-                case 5, 6, 7 -> actLater(fleet, place);
-                default -> reportIfHere(fleet, place);
+                case 5, 6, 7 -> actLater(fleet, slot);
+                default -> reportIfHere(fleet, slot);
             }
             fleet.compare();
-            assertTrue(!fleet.hasParted(), "floors over differ");
+            assertTrue(!fleet.hasParted(), "excess floors differ");
             assertEquals(fleet.plain.floorsFree(), fleet.lending.floorsFree());
         }
         fleet.end();
     }
 
     /**
-     * Whatever caps do, more is counted for earlier floors than in the plain model or the same, and as long as it is the
-     * same, the same is lent. It is more where a floor rose and fell again while a place still reported an earlier
-     * revision: that place may be ahead of its report and have heard that the higher floor was free, which the plain
-     * model overlooks. What servers rely on grows beyond no cap, and floors that are free stay so.
+     * However caps change, lending counts at least as much for earlier floors as the plain model, and while both count the
+     * same they lend the same. Lending counts more where a floor rose and fell again while a slot still reported an earlier
+     * revision: that slot may be ahead of its report and may have heard that the higher floor was free, which the plain
+     * model overlooks. What servers rely on never grows beyond the cap, and floors that are free stay free.
      */
     @Property(tries = 500, seed = "13")
     void neverCountsFewerFloorsThanPlacesMayUse(@ForAll long seed, @ForAll @IntRange(min = 1, max = 4) int quarters) {
         Fleet fleet = new Fleet(seed, quarters * 0.25);
         fleet.begin();
         for (int step = 0; step < STEPS; step++) {
-            int place = fleet.chance.nextInt(PLACES);
+            int slot = fleet.chance.nextInt(PLACES);
             long[] reliedBefore = new long[TENANTS];
-            long[] spokenBefore = new long[TENANTS];
+            long[] committedBefore = new long[TENANTS];
             for (int t = 0; t < TENANTS; t++) {
                 reliedBefore[t] = fleet.relied(t);
-                spokenBefore[t] = fleet.lending.spoken(tenant(t));
+                committedBefore[t] = fleet.lending.spoken(tenant(t));
             }
             boolean freeBefore = fleet.lending.floorsFree();
             int choice = fleet.chance.nextInt(16);
             switch (choice) {
                 case 0, 1 -> fleet.publish(fleet.anyCaps(true));
-                case 2 -> fleet.back(Math.max(1, place));
-                case 3 -> fleet.free(Math.max(1, place));
+                case 2 -> fleet.back(Math.max(1, slot));
+                case 3 -> fleet.free(Math.max(1, slot));
                 case 4 -> fleet.reload();
-                case 5, 6 -> actLater(fleet, place);
-                case 7, 8 -> moveLater(fleet, place);
-                case 9, 10 -> fleet.hearOfFloors(place);
-                default -> reportIfHere(fleet, place);
+                case 5, 6 -> actLater(fleet, slot);
+                case 7, 8 -> moveLater(fleet, slot);
+                case 9, 10 -> fleet.hearOfFloors(slot);
+                default -> reportIfHere(fleet, slot);
             }
             fleet.compare();
-            assertTrue(choice <= 1 || !freeBefore || fleet.lending.floorsFree(), "floors were free, and are not");
+            assertTrue(
+                    choice <= 1 || !freeBefore || fleet.lending.floorsFree(), "floors were free and are not any more");
             for (int t = 0; t < TENANTS; t++) {
                 int cap = fleet.cap(fleet.lastRevision(), t);
                 if (cap != Caps.UNCAPPED && choice > 1) {
-                    assertTrue(fleet.relied(t) <= Math.max(reliedBefore[t], cap), "more is relied on than the cap");
-                    long spoken = fleet.lending.spoken(tenant(t));
-                    assertTrue(spoken <= Math.max(spokenBefore[t], cap), "more is spoken for than the cap");
-                    assertTrue(fleet.relied(t) <= spoken, "more is relied on than is known of");
+                    assertTrue(fleet.relied(t) <= Math.max(reliedBefore[t], cap), "servers rely on more than the cap");
+                    long committed = fleet.lending.spoken(tenant(t));
+                    assertTrue(committed <= Math.max(committedBefore[t], cap), "more than the cap is committed");
+                    assertTrue(fleet.relied(t) <= committed, "servers rely on more than is committed");
                 }
             }
         }
@@ -353,8 +354,8 @@
     }
 
     /**
-     * A place has reported that it acts under revision 1, acts under 2 by now, and its report is answered with the word
-     * that floors are free: the higher floor may be in use there though nobody has heard of it.
+     * A slot has reported revision 1 and applies 2 by now, and the answer to its report says that floors are free: it may
+     * use the higher floor although it has not reported that it applies revision 2.
      */
     @Test
     void aPlaceMayBeAheadOfItsReport() {
@@ -371,30 +372,30 @@
     }
 
     private static void allAct(Fleet fleet) {
-        for (int place = 0; place < PLACES; place++) {
-            if (fleet.here[place]) {
-                fleet.enter(place);
+        for (int slot = 0; slot < PLACES; slot++) {
+            if (fleet.here[slot]) {
+                fleet.enter(slot);
             }
         }
     }
 
-    /** A place that is here acts under some later revision, and says so; one that is not comes in. */
-    private static void actLater(Fleet fleet, int place) {
-        moveLater(fleet, place);
-        fleet.say(place);
+    /** A present slot applies a later revision and reports it; an absent one enters. */
+    private static void actLater(Fleet fleet, int slot) {
+        moveLater(fleet, slot);
+        fleet.say(slot);
     }
 
-    private static void moveLater(Fleet fleet, int place) {
-        if (!fleet.here[place]) {
-            fleet.enter(place);
-        } else if (fleet.acting[place] < fleet.lastRevision()) {
-            fleet.move(place, fleet.chance.nextInt(fleet.acting[place] + 1, fleet.lastRevision() + 1));
+    private static void moveLater(Fleet fleet, int slot) {
+        if (!fleet.here[slot]) {
+            fleet.enter(slot);
+        } else if (fleet.acting[slot] < fleet.lastRevision()) {
+            fleet.move(slot, fleet.chance.nextInt(fleet.acting[slot] + 1, fleet.lastRevision() + 1));
         }
     }
 
-    private static void reportIfHere(Fleet fleet, int place) {
-        if (fleet.here[place]) {
-            fleet.report(place, true);
+    private static void reportIfHere(Fleet fleet, int slot) {
+        if (fleet.here[slot]) {
+            fleet.report(slot, true);
         }
     }
 }
--- a/fleet/src/test/java/tallyweir/fleet/PlainLending.java
+++ b/fleet/src/test/java/tallyweir/fleet/PlainLending.java
@@ -9,51 +9,51 @@
 import tallyweir.ids.TenantId;
 
 /**
- * A plain model of {@link Lending} that walks all pools for each input: the class that was used before it.
+ * A plain model of {@link Lending} that walks all pools for each input; {@link Lending} replaced it.
  *
- * <p>The caps on tenants' connections: a floor for each place of the fleet, never lent, and the rest lent in shares. At any
- * moment the floors that any server may rely on and all that is lent make up no more than the cap, but while a cap that
- * was lowered comes into force: then nothing more is lent until they do.
+ * <p>Divides the caps on tenants' connections: each slot of the fleet has a floor that is never lent, and the rest of the
+ * cap is lent in shares. The floors that servers may rely on plus all that is lent never exceed the cap, except while a
+ * lowered cap comes into force: then nothing more is lent until the sum fits again.
  */
 final class PlainLending {
     static final int UNCAPPED = -1;
 
-    /** What one place holds of one tenant, beyond its floor. */
+    /** What one slot holds of one tenant's cap beyond its floor. */
     static final class Share {
         int granted;
         int want;
         boolean extra; // gets one more than the level where the cap does not divide
-        int floorOver; // by so much its floor may still be above that of the revision in force
+        int floorOver; // by how much its floor may still exceed that of the revision in force
     }
 
     private static final class Pool {
         int cap = UNCAPPED;
         int floor;
-        long granted; // of all places
+        long granted; // of all slots
         long wanted;
         long floorsOver;
         int level = Integer.MAX_VALUE;
         long levelAt = Long.MIN_VALUE;
         int turn;
-        final TreeMap<Integer, Share> shares = new TreeMap<>(); // by place
+        final TreeMap<Integer, Share> shares = new TreeMap<>(); // by slot
     }
 
-    private final boolean floorsLent; // only where a check has switched the guard off
+    private final boolean floorsLent; // floors are lent too: only where a check has switched the guard off
     private int places;
     private double floorShare;
-    private boolean floorsFree; // under the caps in force; once they are, they stay so
+    private boolean floorsFree; // under the caps in force; once true, stays true until the next revision
     private long levelEvery;
     private final Map<TenantId, Pool> pools = new HashMap<>();
     private final Map<Integer, Map<TenantId, Integer>> actingUnder =
-            new HashMap<>(); // the caps that a place may be under
+            new HashMap<>(); // the caps that a slot may still apply
 
     PlainLending(boolean floorsLent) {
         this.floorsLent = floorsLent;
     }
 
     /**
-     * @param floorShare the part of each cap that is spread over all places as floors
-     * @param levelEvery how often what each may have is worked out anew while there is too little
+     * @param floorShare the fraction of each cap that is spread over all slots as floors
+     * @param levelEvery minimum interval between computations of the max-min level while demand exceeds the cap
      */
     void settings(int places, double floorShare, long levelEvery) {
         this.places = places;
@@ -61,254 +61,262 @@
         this.levelEvery = levelEvery;
     }
 
-    /** A place acts under the same caps as before, after the rest was loaded. */
-    void restored(int place, Map<TenantId, Integer> caps) {
-        actingUnder.put(place, caps);
+    /** Restores the caps that a slot applies, after the rest was loaded. */
+    void restored(int slot, Map<TenantId, Integer> caps) {
+        actingUnder.put(slot, caps);
     }
 
-    /** The floor of each place under a cap. */
+    /** The floor of each slot under a cap. */
     int floor(int cap) {
         return cap == UNCAPPED ? 0 : Gate.floor(cap, floorShare, places);
     }
 
-    /** Other caps are in force; what is lent beyond them comes back as it is given back. */
+    /** Applies other caps. Grants beyond a lowered cap are returned as servers report. */
     void caps(Map<TenantId, Integer> caps) {
         floorsFree = false;
         restored(caps);
-        pools.values().forEach(p -> p.levelAt = Long.MIN_VALUE);
+        pools.values().forEach(pool -> pool.levelAt = Long.MIN_VALUE);
         actingUnder.keySet().forEach(this::floorsOver);
     }
 
-    /** The same caps as before, after the rest was loaded. */
+    /** Restores the caps in force, after the rest was loaded. */
     void restored(Map<TenantId, Integer> caps) {
-        caps.keySet().forEach(t -> pools.computeIfAbsent(t, x -> new Pool()));
-        pools.forEach((t, p) -> {
-            p.cap = caps.getOrDefault(t, UNCAPPED);
-            p.floor = floor(p.cap);
+        caps.keySet().forEach(tenant -> pools.computeIfAbsent(tenant, absent -> new Pool()));
+        pools.forEach((tenant, pool) -> {
+            pool.cap = caps.getOrDefault(tenant, UNCAPPED);
+            pool.floor = floor(pool.cap);
         });
     }
 
-    /** A place acts under other caps than before; floors that rose it uses only once they are free. */
-    void acting(int place, Map<TenantId, Integer> caps) {
-        actingUnder.put(place, caps);
-        pools.forEach((t, p) -> {
-            Share s = p.shares.get(place);
-            if (s != null) {
-                over(p, s, Math.min(s.floorOver, Math.max(0, floor(caps.getOrDefault(t, UNCAPPED)) - p.floor)));
+    /** A slot applies other caps than before; it uses raised floors only once they are free. */
+    void acting(int slot, Map<TenantId, Integer> caps) {
+        actingUnder.put(slot, caps);
+        pools.forEach((tenant, pool) -> {
+            Share share = pool.shares.get(slot);
+            if (share != null) {
+                over(
+                        pool,
+                        share,
+                        Math.min(
+                                share.floorOver, Math.max(0, floor(caps.getOrDefault(tenant, UNCAPPED)) - pool.floor)));
             }
         });
     }
 
-    /** Whether the floors of all places and what is lent fit into each cap, so that all floors may be used. */
+    /** Whether the floors of all slots plus what is lent fit into each cap, so that all floors may be used. */
     boolean floorsFree() {
         if (!floorsFree) {
             floorsFree = pools.values().stream()
-                    .allMatch(p -> p.cap == UNCAPPED || (long) p.floor * places + p.floorsOver + p.granted <= p.cap);
+                    .allMatch(pool -> pool.cap == UNCAPPED
+                            || (long) pool.floor * places + pool.floorsOver + pool.granted <= pool.cap);
         }
         return floorsFree;
     }
 
-    private void floorsOver(int place) {
-        Map<TenantId, Integer> under = actingUnder.get(place);
-        pools.forEach((t, p) -> {
-            int over = Math.max(0, floor(under.getOrDefault(t, UNCAPPED)) - p.floor);
-            Share s = p.shares.get(place);
-            if (s == null && over > 0) {
-                s = share(p, place);
+    private void floorsOver(int slot) {
+        Map<TenantId, Integer> applied = actingUnder.get(slot);
+        pools.forEach((tenant, pool) -> {
+            int over = Math.max(0, floor(applied.getOrDefault(tenant, UNCAPPED)) - pool.floor);
+            Share share = pool.shares.get(slot);
+            if (share == null && over > 0) {
+                share = share(pool, slot);
             }
-            if (s != null) {
-                over(p, s, over);
+            if (share != null) {
+                over(pool, share, over);
             }
         });
     }
 
-    private static void over(Pool p, Share s, int over) {
-        p.floorsOver += over - s.floorOver;
-        s.floorOver = over;
+    private static void over(Pool pool, Share share, int over) {
+        pool.floorsOver += over - share.floorOver;
+        share.floorOver = over;
     }
 
-    private static Share share(Pool p, int place) {
-        return p.shares.computeIfAbsent(place, x -> new Share());
+    private static Share share(Pool pool, int slot) {
+        return pool.shares.computeIfAbsent(slot, absent -> new Share());
     }
 
     /**
-     * A place says what it needs: what it does not name it has given back. What it may have more is lent at once where
-     * there is any.
+     * Takes a slot's report of its needs. It has returned whatever it does not name. Anything more that it may have is lent
+     * at once as far as there is any left.
      */
-    Map<TenantId, Grant> report(int place, Map<TenantId, Need> needs, long now) {
-        Map<TenantId, Grant> told = new TreeMap<>((a, b) -> a.value().compareTo(b.value()));
-        pools.forEach((t, p) -> {
-            Need n = needs.get(t);
-            Share s = p.shares.get(place);
-            if (n == null && s == null) {
+    Map<TenantId, Grant> report(int slot, Map<TenantId, Need> needs, long now) {
+        Map<TenantId, Grant> grants = new TreeMap<>((a, b) -> a.value().compareTo(b.value()));
+        pools.forEach((tenant, pool) -> {
+            Need need = needs.get(tenant);
+            Share share = pool.shares.get(slot);
+            if (need == null && share == null) {
                 return;
             }
-            if (s == null) {
-                s = share(p, place);
+            if (share == null) {
+                share = share(pool, slot);
             }
-            lend(p, s, n == null ? new Need(0, 0) : n, now);
-            if (s.granted > 0 || s.want > 0) {
-                told.put(t, new Grant(s.granted, target(p, s)));
-            } else if (s.floorOver == 0) {
-                p.shares.remove(place);
+            lend(pool, share, need == null ? new Need(0, 0) : need, now);
+            if (share.granted > 0 || share.want > 0) {
+                grants.put(tenant, new Grant(share.granted, target(pool, share)));
+            } else if (share.floorOver == 0) {
+                pool.shares.remove(slot);
             }
         });
-        return told;
+        return grants;
     }
 
-    /** What a place is lent, for an answer that changes nothing. */
-    Map<TenantId, Grant> lent(int place) {
-        Map<TenantId, Grant> told = new TreeMap<>((a, b) -> a.value().compareTo(b.value()));
-        pools.forEach((t, p) -> {
-            Share s = p.shares.get(place);
-            if (s != null && (s.granted > 0 || s.want > 0)) {
-                told.put(t, new Grant(s.granted, target(p, s)));
+    /** What a slot is lent, without changing anything. */
+    Map<TenantId, Grant> lent(int slot) {
+        Map<TenantId, Grant> grants = new TreeMap<>((a, b) -> a.value().compareTo(b.value()));
+        pools.forEach((tenant, pool) -> {
+            Share share = pool.shares.get(slot);
+            if (share != null && (share.granted > 0 || share.want > 0)) {
+                grants.put(tenant, new Grant(share.granted, target(pool, share)));
             }
         });
-        return told;
+        return grants;
     }
 
-    private void lend(Pool p, Share s, Need n, long now) {
-        int kept = Math.min(s.granted, Math.max(0, n.keep()));
-        p.granted += kept - s.granted;
-        s.granted = kept;
-        p.wanted += n.want() - s.want;
-        s.want = n.want();
-        if (p.cap == UNCAPPED) {
+    private void lend(Pool pool, Share share, Need need, long now) {
+        int kept = Math.min(share.granted, Math.max(0, need.keep()));
+        pool.granted += kept - share.granted;
+        share.granted = kept;
+        pool.wanted += need.want() - share.want;
+        share.want = need.want();
+        if (pool.cap == UNCAPPED) {
             return;
         }
-        if (p.wanted <= lendable(p)) {
-            p.level = Integer.MAX_VALUE;
-            p.levelAt = Long.MIN_VALUE;
-        } else if (p.levelAt == Long.MIN_VALUE || now - p.levelAt >= levelEvery) {
-            level(p, now);
+        if (pool.wanted <= lendable(pool)) {
+            pool.level = Integer.MAX_VALUE;
+            pool.levelAt = Long.MIN_VALUE;
+        } else if (pool.levelAt == Long.MIN_VALUE || now - pool.levelAt >= levelEvery) {
+            level(pool, now);
         }
-        long more = Math.min(target(p, s) - s.granted, lendable(p) - p.granted);
+        long more = Math.min(target(pool, share) - share.granted, lendable(pool) - pool.granted);
         if (more > 0) {
-            s.granted += (int) more;
-            p.granted += more;
+            share.granted += (int) more;
+            pool.granted += more;
         }
     }
 
-    /** All that may be lent, lent or not. */
-    private long lendable(Pool p) {
-        return floorsLent ? p.cap : p.cap - (long) p.floor * places - p.floorsOver;
+    /** The total that may be lent, including what is lent already. */
+    private long lendable(Pool pool) {
+        return floorsLent ? pool.cap : pool.cap - (long) pool.floor * places - pool.floorsOver;
     }
 
-    private static int target(Pool p, Share s) {
-        if (p.cap == UNCAPPED) {
-            return s.granted;
+    private static int target(Pool pool, Share share) {
+        if (pool.cap == UNCAPPED) {
+            return share.granted;
         }
-        return p.level == Integer.MAX_VALUE ? s.want : Math.min(s.want, p.level + (s.extra ? 1 : 0));
+        return pool.level == Integer.MAX_VALUE ? share.want : Math.min(share.want, pool.level + (share.extra ? 1 : 0));
     }
 
     /**
-     * The level up to which everybody's wish is met (max-min). What does not divide goes to some of those who want more,
-     * each time to others, so that under a cap smaller than their number each has its turn.
+     * Computes the max-min level: the share up to which every demand is met. Units that do not divide evenly go to some of
+     * the slots that want more, to others each time, so that each gets a turn even under a cap smaller than their number.
      */
-    private void level(Pool p, long now) {
+    private void level(Pool pool, long now) {
         List<Share> wanting = new ArrayList<>();
-        p.shares.values().forEach(s -> {
-            s.extra = false;
-            if (s.want > 0) {
-                wanting.add(s);
+        pool.shares.values().forEach(share -> {
+            share.extra = false;
+            if (share.want > 0) {
+                wanting.add(share);
             }
         });
-        List<Share> least = new ArrayList<>(wanting);
-        least.sort((a, b) -> Integer.compare(a.want, b.want));
-        long left = Math.max(0, lendable(p));
+        List<Share> byWant = new ArrayList<>(wanting);
+        byWant.sort((a, b) -> Integer.compare(a.want, b.want));
+        long left = Math.max(0, lendable(pool));
         int level = 0;
-        for (int i = 0; i < least.size(); i++) {
-            long each = left / (least.size() - i);
-            if (least.get(i).want > each) {
+        for (int i = 0; i < byWant.size(); i++) {
+            long each = left / (byWant.size() - i);
+            if (byWant.get(i).want > each) {
                 level = (int) each;
-                left -= each * (least.size() - i);
+                left -= each * (byWant.size() - i);
                 break;
             }
-            left -= least.get(i).want;
+            left -= byWant.get(i).want;
         }
-        p.level = level;
-        p.levelAt = now;
+        pool.level = level;
+        pool.levelAt = now;
         int of = wanting.size();
         for (int i = 0; i < of && left > 0; i++) {
-            Share s = wanting.get((p.turn + i) % of);
-            if (s.want > level) {
-                s.extra = true;
+            Share share = wanting.get((pool.turn + i) % of);
+            if (share.want > level) {
+                share.extra = true;
                 left--;
             }
         }
-        p.turn = of == 0 ? 0 : (p.turn + 1) % of;
+        pool.turn = of == 0 ? 0 : (pool.turn + 1) % of;
     }
 
-    /** Nothing that a place was lent can be in use there any more. */
-    void back(int place) {
-        pools.values().forEach(p -> {
-            Share s = p.shares.get(place);
-            if (s != null) {
-                p.granted -= s.granted;
-                p.wanted -= s.want;
-                s.granted = 0;
-                s.want = 0;
+    /** Takes back everything that a slot was lent: none of it can be in use there any more. */
+    void back(int slot) {
+        pools.values().forEach(pool -> {
+            Share share = pool.shares.get(slot);
+            if (share != null) {
+                pool.granted -= share.granted;
+                pool.wanted -= share.want;
+                share.granted = 0;
+                share.want = 0;
             }
         });
     }
 
-    /** A place is free: nobody relies on a floor there. */
-    void free(int place) {
-        back(place);
-        actingUnder.remove(place);
-        pools.values().forEach(p -> {
-            Share s = p.shares.remove(place);
-            if (s != null) {
-                p.floorsOver -= s.floorOver;
+    /** Frees a slot: no server relies on its floors or grants any more. */
+    void free(int slot) {
+        back(slot);
+        actingUnder.remove(slot);
+        pools.values().forEach(pool -> {
+            Share share = pool.shares.remove(slot);
+            if (share != null) {
+                pool.floorsOver -= share.floorOver;
             }
         });
     }
 
-    boolean holds(int place) {
-        return pools.values().stream().anyMatch(p -> p.shares.containsKey(place) && p.shares.get(place).granted > 0);
+    boolean holds(int slot) {
+        return pools.values().stream()
+                .anyMatch(pool -> pool.shares.containsKey(slot) && pool.shares.get(slot).granted > 0);
     }
 
-    /** All that may be relied on of a tenant's cap, against that cap: floors of all places, and what is lent. */
+    /** How much of a tenant's cap may be relied on: the floors of all slots plus what is lent. */
     long spoken(TenantId tenant) {
-        Pool p = pools.get(tenant);
-        return p == null ? 0 : (long) p.floor * places + p.floorsOver + p.granted;
+        Pool pool = pools.get(tenant);
+        return pool == null ? 0 : (long) pool.floor * places + pool.floorsOver + pool.granted;
     }
 
     long granted(TenantId tenant) {
-        Pool p = pools.get(tenant);
-        return p == null ? 0 : p.granted;
+        Pool pool = pools.get(tenant);
+        return pool == null ? 0 : pool.granted;
     }
 
-    // ---- for snapshots: what cannot be worked out from the rest
+    // ---- for snapshots: state that cannot be derived from the caps
 
     List<Object> save() {
         List<Object> all = new ArrayList<>();
-        new TreeMap<>(pools.keySet().stream().collect(Collectors.toMap(TenantId::value, t -> t))).forEach((name, t) -> {
-            Pool p = pools.get(t);
-            List<Object> shares = new ArrayList<>();
-            p.shares.forEach((place, s) -> shares.add(List.of(place, s.granted, s.want, s.extra, s.floorOver)));
-            all.add(List.of(name, p.level, p.levelAt, p.turn, shares));
-        });
+        new TreeMap<>(pools.keySet().stream().collect(Collectors.toMap(TenantId::value, tenant -> tenant)))
+                .forEach((name, tenant) -> {
+                    Pool pool = pools.get(tenant);
+                    List<Object> shares = new ArrayList<>();
+                    pool.shares.forEach((slot, share) ->
+                            shares.add(List.of(slot, share.granted, share.want, share.extra, share.floorOver)));
+                    all.add(List.of(name, pool.level, pool.levelAt, pool.turn, shares));
+                });
         return all;
     }
 
     void load(List<?> all) {
         for (Object each : all) {
             List<?> of = (List<?>) each;
-            Pool p = pools.computeIfAbsent(new TenantId((String) of.get(0)), t -> new Pool());
-            p.level = number(of.get(1)).intValue();
-            p.levelAt = number(of.get(2)).longValue();
-            p.turn = number(of.get(3)).intValue();
-            for (Object share : (List<?>) of.get(4)) {
-                List<?> from = (List<?>) share;
-                Share s = share(p, number(from.get(0)).intValue());
-                s.granted = number(from.get(1)).intValue();
-                s.want = number(from.get(2)).intValue();
-                s.extra = (Boolean) from.get(3);
-                over(p, s, number(from.get(4)).intValue());
-                p.granted += s.granted;
-                p.wanted += s.want;
+            Pool pool = pools.computeIfAbsent(new TenantId((String) of.get(0)), tenant -> new Pool());
+            pool.level = number(of.get(1)).intValue();
+            pool.levelAt = number(of.get(2)).longValue();
+            pool.turn = number(of.get(3)).intValue();
+            for (Object eachShare : (List<?>) of.get(4)) {
+                List<?> from = (List<?>) eachShare;
+                Share share = share(pool, number(from.get(0)).intValue());
+                share.granted = number(from.get(1)).intValue();
+                share.want = number(from.get(2)).intValue();
+                share.extra = (Boolean) from.get(3);
+                over(pool, share, number(from.get(4)).intValue());
+                pool.granted += share.granted;
+                pool.wanted += share.want;
             }
         }
     }
--- a/fleet/src/test/java/tallyweir/fleet/StateTest.java
+++ b/fleet/src/test/java/tallyweir/fleet/StateTest.java
@@ -19,7 +19,7 @@
 import tallyweir.fleet.table.Value;
 import tallyweir.ids.TenantId;
 
-/** The shared state by its own word: revisions, stragglers, places, snapshots. Times are tenths of a millisecond. */
+/** The replicated state by its public answers: revisions, stragglers, slots, snapshots. Times are tenths of a millisecond. */
 class StateTest {
     private static final TenantId T = new TenantId("t");
     private static final long LEASE = 1_000;
@@ -41,7 +41,7 @@
     private final long[] ended = new long[8];
     private final long[] bad = new long[8];
 
-    /** What the state answers, taken apart. */
+    /** Applies a command and stores the parts of its answer in the fields. */
     private void apply(Command command) {
         Answer answer = state.apply(command);
         fault = null;
@@ -143,7 +143,7 @@
         for (int i = 0; i < servers; i++) {
             join(i);
             acts(i, state.inForce().value());
-            assertTrue(lease > 0, "a member");
+            assertTrue(lease > 0, "the server has a lease");
         }
     }
 
@@ -154,7 +154,7 @@
         assertEquals(1, done.value());
         acts(0, 0);
         acts(1, 0);
-        assertEquals(0, state.inForce().value(), "one has not said");
+        assertEquals(0, state.inForce().value(), "one server has not answered");
         acts(2, 0);
         assertEquals(1, state.inForce().value());
         publish("c1", 0, 5);
@@ -234,7 +234,7 @@
                 0,
                 0,
                 Map.of()));
-        assertInstanceOf(Fault.ShutOut.class, fault, "what an earlier life says");
+        assertInstanceOf(Fault.ShutOut.class, fault, "a report of an earlier incarnation");
     }
 
     @Test
@@ -271,7 +271,7 @@
         for (int i = 0; i < 4; i++) {
             if (server(i).status() == ServerRecord.Status.LIVE) {
                 acts(i, 0);
-                assertTrue(lease > 0 && !server(i).marked(), "one that was only marked goes on");
+                assertTrue(lease > 0 && !server(i).marked(), "a server that was only marked continues");
             }
         }
     }
@@ -308,20 +308,26 @@
         assertEquals(4, shares.get(T).granted());
     }
 
-    /** Queries end by chance, so many of a hundred badly; the revision in force at the end. */
+    /**
+     * Runs four servers whose queries end badly at random, with a second revision published halfway.
+     *
+     * @param before percentage of bad queries under the first revision
+     * @param after percentage under the second
+     * @return the revision in force at the end
+     */
     private long underChance(long seed, int before, int after) {
         state = new State();
         found();
-        SplittableRandom chance = new SplittableRandom(seed);
+        SplittableRandom random = new SplittableRandom(seed);
         live(4);
         publish("c1", 0, 5);
         int share = before;
         for (long t = 100; t < 4 * PROBATION; t += 100) {
             at(t);
             for (int i = 0; i < 4; i++) {
-                for (int q = chance.nextInt(8); q > 0; q--) {
+                for (int q = random.nextInt(8); q > 0; q--) {
                     ended[i]++;
-                    bad[i] += chance.nextInt(100) < share ? 1 : 0;
+                    bad[i] += random.nextInt(100) < share ? 1 : 0;
                 }
                 acts(i, state.inForce().value());
             }
@@ -336,9 +342,9 @@
     @Test
     void aRevisionUnderWhichTheFleetFaresWorseIsTakenBackOnceAndAQuietOneNever() {
         for (long seed = 0; seed < 20; seed++) {
-            assertEquals(2, underChance(seed, 2, 2), "quiet, seed " + seed);
+            assertEquals(2, underChance(seed, 2, 2), "no more bad queries, seed " + seed);
             assertEquals(2, underChance(seed, 20, 20), "as bad as before, seed " + seed);
-            assertEquals(3, underChance(seed, 2, 30), "sick, seed " + seed);
+            assertEquals(3, underChance(seed, 2, 30), "more bad queries, seed " + seed);
             Revision back = state.revision(state.inForce());
             assertEquals("probation", back.by());
             assertEquals(1, back.of().value());
@@ -357,10 +363,10 @@
         numbers[0] = 0;
         report(0, 1, root(4), 1, "", Map.of(T, new Need(0, 4)));
         assertEquals(4, shares.get(T).granted());
-        for (long late : new long[] {5, 3}) { // its own word again, and one of a process before it
+        for (long late : new long[] {5, 3}) { // its own join repeated, and one of an earlier process
             apply(new Command.Join("f", new ServerId("s0"), "at0", late));
             report(1, 1, root(4), 1, "", Map.of(T, new Need(0, 4)));
-            assertEquals(0, shares.get(T).granted(), "life " + late);
+            assertEquals(0, shares.get(T).granted(), "generation " + late);
         }
     }
 
@@ -376,7 +382,7 @@
         assertInstanceOf(Fault.NoPlace.class, fault);
         apply(new Command.Leave(new ServerId("s3"), lives[3]));
         join(6);
-        assertEquals(null, fault, "who leaves in order makes room at once");
+        assertEquals(null, fault, "a server that leaves in order frees its slot at once");
     }
 
     @Test
@@ -401,7 +407,7 @@
             act(turn);
             state = one;
         }
-        assertTrue(state.out() > 0 && state.inForce().value() == 2, "something happened");
+        assertTrue(state.out() > 0 && state.inForce().value() == 2, "the run covers shut-outs and a new revision");
     }
 
     private void act(int turn) {
--- a/fleet/src/test/java/tallyweir/fleet/TestFleet.java
+++ b/fleet/src/test/java/tallyweir/fleet/TestFleet.java
@@ -12,7 +12,7 @@
 import tallyweir.fleet.table.Table;
 import tallyweir.fleet.table.Value;
 
-/** A shared state with servers that act on what is in force and say of what is proposed whether they can take it. */
+/** A replicated state with servers that apply the revision in force and answer whether they can apply a proposed one. */
 final class TestFleet {
     static final long LEASE = 1_000;
     static final long BEHIND = 2_000;
@@ -54,7 +54,7 @@
         return new ServerId("s" + i);
     }
 
-    /** The time of the next commands, tenths of a millisecond; the wall's is the same in milliseconds. */
+    /** Sets the time of the next commands, tenths of a millisecond; the wall clock shows the same in milliseconds. */
     void at(long time) {
         now = time;
         state.clock(now, now / 10);
@@ -64,18 +64,18 @@
         return now;
     }
 
-    /** What servers are able to take. */
+    /** Sets which tables servers can apply. */
     void canTake(Predicate<Table> can) {
         canTake = can;
     }
 
-    /** Queries end at a server. */
+    /** Counts ended queries at a server, some of them bad. */
     void queries(int i, int count, int badOnes) {
         ended[i] += count;
         bad[i] += badOnes;
     }
 
-    /** A server acts on what is in force and says what it thinks of what is proposed. */
+    /** A server reports that it applies the revision in force, and whether it can apply the proposed one. */
     Answer report(int i) {
         return report(i, state.inForce());
     }
@@ -105,7 +105,7 @@
         }
     }
 
-    /** Servers report until nothing is open and nothing waits. */
+    /** Servers report until no proposal is open and no change waits. */
     void settle() {
         while (!state.proposed().equals(RevisionId.NONE)) {
             reportAll();
@@ -120,7 +120,7 @@
         return cap < 0 ? Optional.empty() : Optional.of(new Value.Cap(cap));
     }
 
-    /** A change of one cap; below 0 is none. */
+    /** A change of one cap; a value below 0 stands for no cap. */
     static Change change(String tenant, int before, int after) {
         return new Change(cap(tenant), value(before), value(after));
     }
@@ -156,7 +156,7 @@
         return parts;
     }
 
-    /** Goes on with a state that was loaded from a snapshot of this one. */
+    /** Replaces the state by one loaded from its snapshot. */
     void reload(Set<Guard> without) {
         State loaded = new State(without);
         loaded.load(parts().iterator());
