--- a/durable/src/main/java/tallyweir/durable/AdminCommands.java
+++ b/durable/src/main/java/tallyweir/durable/AdminCommands.java
@@ -12,7 +12,7 @@
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
 
-/** What a process that holds a store answers at its {@link AdminSocket}. */
+/** The commands about the store that a process which has one open answers on its {@link AdminSocket}. */
 public final class AdminCommands {
     private static final String NONE = "-";
     private static final long LOOK_MS = 20;
@@ -25,7 +25,7 @@
         this.times = times;
     }
 
-    /** The questions by their first word. */
+    /** The commands by name, which is the first word of a request. The map may be extended by the caller. */
     public static Map<String, AdminSocket.Command> of(Durable store, Times times) {
         AdminCommands v = new AdminCommands(store, times);
         Map<String, AdminSocket.Command> all = new LinkedHashMap<>();
@@ -43,7 +43,10 @@
         }
     }
 
-    /** Name and value a line, with a tab between; parts of a part with points between their names. */
+    /**
+     * {@code info}: one line for each value, its name and the value separated by a tab. Names of nested values are joined
+     * with dots.
+     */
     private void info(List<String> words, Consumer<String> line, LongConsumer progress) throws IOException {
         need(words, 0);
         flat("", store.info(), line);
@@ -63,13 +66,13 @@
         }
     }
 
-    /** A record as a line of the admin socket: key, stamp, expiry, value, bytes in hexadecimal. */
+    /** A record as a line of the admin socket: key, stamp, expiry and value separated by tabs, bytes in hexadecimal. */
     static String line(Found f) {
         HexFormat hex = HexFormat.of();
         return hex.formatHex(f.key()) + "\t" + f.stamp() + "\t" + f.expires() + "\t" + hex.formatHex(f.value());
     }
 
-    /** The record that a line of the admin socket says. */
+    /** Parses a record from a line of the admin socket; throws an unchecked exception if it is malformed. */
     public static Found record(String line) {
         String[] w = line.split("\t", -1);
         return new Found(
@@ -93,7 +96,7 @@
         }
     }
 
-    /** Namespace and key; no line where there is none. */
+    /** {@code get NAMESPACE KEY}: the record as one line, or no line if there is none. */
     private void get(List<String> words, Consumer<String> line, LongConsumer progress) throws IOException {
         need(words, 2);
         try (View view = store.view()) {
@@ -105,7 +108,11 @@
         }
     }
 
-    /** Namespace, first key, key before which to end, times from and before which written, the most to list. */
+    /**
+     * {@code list NAMESPACE FROM TO SINCE UNTIL LIMIT}: records with keys from {@code FROM} (inclusive) to {@code TO}
+     * (exclusive), or, if a time is given, those written from {@code SINCE} (inclusive) to {@code UNTIL} (exclusive), in
+     * tenths of a millisecond since 1970; at most {@code LIMIT} of them. {@code -} leaves a bound open.
+     */
     private void list(List<String> words, Consumer<String> line, LongConsumer progress) throws IOException {
         need(words, 6);
         long since = number(words.get(3), 0);
@@ -137,7 +144,7 @@
         }
     }
 
-    /** A directory to make; a line with the records copied and one with the bytes of each copy. */
+    /** {@code backup DIRECTORY}: writes a backup there; one line with the records copied, one with the bytes of each copy. */
     private void backup(List<String> words, Consumer<String> line, LongConsumer progress) throws IOException {
         need(words, 1);
         Backup.Made made = Backup.make(store, Path.of(words.get(0)), progress);
@@ -145,7 +152,10 @@
         line.accept("bytes_of_each_copy\t" + made.bytes());
     }
 
-    /** Has both copies of everything compared, at the rate of upkeep, and mended; says what was found meanwhile. */
+    /**
+     * {@code verify}: waits for one complete pass of the scrub, which compares both copies of every frame at the upkeep rate
+     * and repairs what is damaged, then reports what was found in the meantime.
+     */
     private void verify(List<String> words, Consumer<String> line, LongConsumer progress) throws IOException {
         need(words, 0);
         Figures f = store.figures();
--- a/durable/src/main/java/tallyweir/durable/AdminSocket.java
+++ b/durable/src/main/java/tallyweir/durable/AdminSocket.java
@@ -30,25 +30,26 @@
 import java.util.function.LongConsumer;
 
 /**
- * Where operators ask a process that holds a store, since its lock keeps every other process out: a socket of the file
- * system, open to the process's own user. A connection is one question, a line of words with tabs between them, and its
- * answer: lines that begin with {@code +}, how far long work has come behind {@code *}, and at last {@code .}, or
- * {@code !} and why not. No question holds up the writing of the store.
+ * A Unix domain socket on which operators send commands to the process that has a store open; the store's lock keeps every
+ * other process from opening it. Only the process's own user may connect. A connection carries one request, a line of words
+ * separated by tabs, and its response: result lines that begin with {@code +}, progress of long work in lines that begin
+ * with {@code *}, and finally a line {@code .}, or {@code !} and the reason for the failure. Requests run on threads of
+ * their own and do not block writes to the store.
  */
 public final class AdminSocket implements AutoCloseable {
-    /** What answers one kind of question. */
+    /** The implementation of one command. Runs on a thread of the socket's pool. */
     public interface Command {
         /**
-         * @param words behind the first one
-         * @param line takes a line of the answer, without an end of line in it
-         * @param progress takes how far long work has come, in whatever it counts
+         * @param words the arguments, without the command's name
+         * @param line receives each line of the response, which must not contain a line break
+         * @param progress receives the progress of long work, in a unit that the command chooses
          */
         void answer(List<String> words, Consumer<String> line, LongConsumer progress) throws IOException;
     }
 
-    private static final int AT_ONCE = 4; // questions that are answered; one more is told to come again
-    private static final int LONGEST = 16 << 10; // characters of a question
-    private static final int QUESTION_SECONDS = 5; // until it has been asked
+    private static final int AT_ONCE = 4; // requests served at the same time; further ones are refused
+    private static final int LONGEST = 16 << 10;
+    private static final int QUESTION_SECONDS = 5; // for the request line to arrive
 
     private final Path socket;
     private final Map<String, Command> commands;
@@ -60,9 +61,10 @@
             Executors.newSingleThreadScheduledExecutor(r -> daemon(r, "durable admin time-outs"));
 
     /**
-     * Opens it. What lies at the place is taken away, so it has to be one that only the holder of the store's lock uses.
+     * Binds the socket and starts to accept connections. An existing file at the path is deleted, so the path must be one
+     * that only the holder of the store's lock uses.
      *
-     * @throws IOException where there can be no socket: the path is too long for one (about 100 bytes), or not writable
+     * @throws IOException if the socket cannot be bound: the path is too long (about 100 bytes), or not writable
      */
     public AdminSocket(Path socket, Map<String, Command> commands) throws IOException {
         this.socket = socket;
@@ -80,7 +82,7 @@
         daemon(this::accept, "durable admin socket").start();
     }
 
-    /** What tells one file from a later one of the same name. */
+    /** Identifies the file itself, as opposed to a later file of the same name. */
     private static Object key(Path of) throws IOException {
         return Files.readAttributes(of, BasicFileAttributes.class).fileKey();
     }
@@ -99,7 +101,7 @@
             } catch (ClosedChannelException | RejectedExecutionException e) {
                 return;
             } catch (IOException e) {
-                rest(); // no descriptor is left, say
+                rest(); // for example, the process has run out of file descriptors
             }
         }
     }
@@ -124,8 +126,8 @@
             String question = question(in);
             late.cancel(false);
             answer(question, mine, out);
-        } catch (IOException | UncheckedIOException gone) {
-            return; // whoever asked has left, or never asked
+        } catch (IOException | UncheckedIOException disconnected) {
+            return; // the client disconnected, or sent no complete request in time
         } finally {
             if (late != null) {
                 late.cancel(false);
@@ -140,7 +142,7 @@
         try {
             c.close();
         } catch (IOException e) {
-            return; // the end of the process closes it
+            return; // the descriptor is closed when the process ends
         }
     }
 
@@ -148,7 +150,7 @@
         StringBuilder text = new StringBuilder();
         for (int c = in.read(); c != '\n'; c = in.read()) {
             if (c < 0 || text.length() >= LONGEST) {
-                throw new IOException("no question");
+                throw new IOException("no complete request line");
             }
             text.append((char) c);
         }
@@ -160,7 +162,7 @@
         Command command = commands.get(words.get(0));
         try {
             if (!mine) {
-                throw new IOException("too many ask at once: come again");
+                throw new IOException("too many requests at once: try again later");
             }
             if (command == null) {
                 throw new IOException("not known here: " + words.get(0));
@@ -179,7 +181,7 @@
         }
     }
 
-    private static final String GONE = "whoever asked has gone";
+    private static final String GONE = "the client disconnected";
 
     private static void say(BufferedWriter out, String line, boolean now) {
         try {
@@ -194,15 +196,19 @@
     }
 
     /**
-     * Asks the process that has an admin socket at a place.
+     * Sends a request to the process that listens on an admin socket and passes on its response. Blocks until the response
+     * is complete.
      *
-     * @throws IOException where nobody answers there, or with what it says why not
+     * @param words the command and its arguments, without tabs or line breaks
+     * @param line receives each line of the response
+     * @param progress receives the progress that the process reports
+     * @throws IOException if no process listens there, or with the reason that it gave for refusing
      */
     public static void ask(Path socket, List<String> words, Consumer<String> line, LongConsumer progress)
             throws IOException {
         for (String w : words) {
             if (w.indexOf('\t') >= 0 || w.indexOf('\n') >= 0) {
-                throw new IOException("'" + w + "' cannot be asked about: it has a tab or an end of line in it");
+                throw new IOException("'" + w + "' contains a tab or a line break and cannot be sent");
             }
         }
         try (SocketChannel c = SocketChannel.open(UnixDomainSocketAddress.of(socket));
@@ -222,13 +228,14 @@
                     default -> throw new IOException("an answer that cannot be read: " + l);
                 }
             }
-            throw new IOException("the process at " + socket + " ended before it had answered");
+            throw new IOException(
+                    "the process at " + socket + " closed the connection before the response was complete");
         } catch (UncheckedIOException e) {
             throw e.getCause();
         }
     }
 
-    /** Whether somebody answers there. */
+    /** Whether a process accepts connections on the socket. */
     public static boolean answers(Path socket) {
         try (SocketChannel c = SocketChannel.open(UnixDomainSocketAddress.of(socket))) {
             return c.isConnected();
@@ -242,10 +249,10 @@
         try {
             server.close();
             if (key(socket).equals(file)) {
-                Files.delete(socket); // and not that of whoever has taken the store over
+                Files.delete(socket); // but not the socket of a process that has taken the store over since
             }
         } catch (IOException e) {
-            return; // what is left is taken away by the next process that opens the store
+            return; // the next process that opens the store deletes a file left behind
         } finally {
             workers.shutdownNow();
             patience.shutdownNow();
--- a/durable/src/main/java/tallyweir/durable/Backup.java
+++ b/durable/src/main/java/tallyweir/durable/Backup.java
@@ -13,9 +13,9 @@
 import java.util.stream.Stream;
 
 /**
- * Copies a store as it is at one moment to another, empty one, while writes to the first go on. Records keep their
- * stamps and the time at which they expire. The copy is a store like any other, so it can be looked at, verified and
- * opened; restoring is the same the other way.
+ * Copies a consistent snapshot of a store to an empty one while writes to the source continue. Records keep their stamps and
+ * expiry times. The copy is an ordinary store, so it can be inspected, verified and opened; restoring a backup is the same
+ * operation in the opposite direction.
  */
 public final class Backup {
     private static final int PIECE = 512 << 10;
@@ -23,14 +23,19 @@
 
     private Backup() {}
 
-    /** What a backup came to. */
+    /**
+     * The outcome of a backup.
+     *
+     * @param records how many records were copied
+     * @param bytes the size of each copy of the new store, in bytes
+     */
     public record Made(long records, long bytes) {}
 
     /**
-     * Copies a store, as it is, to a directory on files.
+     * Copies a snapshot of a store to a directory.
      *
-     * @param to made if it is not there; empty if it is
-     * @param progress told the number of records copied
+     * @param to is created if it does not exist, and must be empty if it does
+     * @param progress receives the number of records copied so far
      */
     public static Made make(Durable from, Path to, LongConsumer progress) throws IOException {
         if (Files.isDirectory(to)) {
@@ -62,9 +67,9 @@
     }
 
     /**
-     * @param progress told the number of records copied, now and then and at the end
+     * @param progress receives the number of records copied so far, after each chunk
      * @return how many records were copied
-     * @throws Refused AT_BOUND where the other is not empty, or what its disk says
+     * @throws Refused AT_BOUND if the target is not empty, or the cause of a failed write to it
      */
     public static long copy(View from, Durable to, LongConsumer progress) throws IOException {
         if (to.keys() > 0) {
--- a/durable/src/main/java/tallyweir/durable/Batch.java
+++ b/durable/src/main/java/tallyweir/durable/Batch.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Writes that become readable, and survive, together or not at all. Not for several threads. */
+/** An atomic group of writes: all become readable and durable together, or none does. Not thread-safe. */
 public final class Batch {
     record Write(String namespace, byte[] key, byte[] value, long expires) {
         boolean isDelete() {
@@ -14,12 +14,12 @@
     final List<Write> writes = new ArrayList<>();
     private long bytes;
 
-    /** A value that stays until it is replaced or deleted. The arrays are not copied. */
+    /** Adds a write of a value that does not expire. The arrays are not copied. */
     public Batch put(String namespace, byte[] key, byte[] value) {
         return put(namespace, key, value, 0);
     }
 
-    /** A value that is gone at a time, in tenths of a millisecond since 1970; 0 is never. The arrays are not copied. */
+    /** Adds a write of a value that expires at a time in tenths of a millisecond since 1970, 0 for never. The arrays are not copied. */
     public Batch put(String namespace, byte[] key, byte[] value, long expires) {
         if (value == null || expires < 0) {
             throw new IllegalArgumentException(value == null ? "no value" : "expires is " + expires);
@@ -27,7 +27,7 @@
         return add(new Write(namespace, key, value, expires));
     }
 
-    /** Deletes a key; one that is not there is no error. */
+    /** Adds the deletion of a key; deleting a key that does not exist is not an error. */
     public Batch delete(String namespace, byte[] key) {
         return add(new Write(namespace, key, null, 0));
     }
@@ -38,7 +38,7 @@
         return this;
     }
 
-    /** What it takes in the log, in bytes. */
+    /** The size of its records in the log, in bytes. */
     public long bytes() {
         return bytes;
     }
--- a/durable/src/main/java/tallyweir/durable/Both.java
+++ b/durable/src/main/java/tallyweir/durable/Both.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** How the same thing is done to the two copies: one after the other, or side by side. */
+/** Runs the same action on both copies of the store, sequentially or concurrently. */
 @FunctionalInterface
 public interface Both {
     /** An I/O action on one copy. */
@@ -10,10 +10,10 @@
         void run() throws IOException;
     }
 
-    /** Returns once both are done; fails if either failed, and then neither is to be counted on. */
+    /** Returns once both actions have completed. Throws if either failed; then the result of neither may be relied on. */
     void run(Action first, Action second) throws IOException;
 
-    /** The same, with something done meanwhile that touches neither; it is done whether they fail or not. */
+    /** The same, and runs another task that touches neither copy in the meantime, whether the actions fail or not. */
     default void run(Action first, Action second, Runnable meanwhile) throws IOException {
         try {
             run(first, second);
@@ -22,7 +22,7 @@
         }
     }
 
-    /** One after the other, always in this order. */
+    /** Runs the first action, then the second, on the calling thread. */
     Both IN_TURN = (first, second) -> {
         first.run();
         second.run();
--- a/durable/src/main/java/tallyweir/durable/Compaction.java
+++ b/durable/src/main/java/tallyweir/durable/Compaction.java
@@ -3,9 +3,9 @@
 import java.io.IOException;
 
 /**
- * Moves what is current of one segment to the newest, a frame at a time, and then takes the segment away. Stopped
- * anywhere, nothing is lost: the segment goes only once the log says on the disk that it is gone, in or behind the frame
- * with the last of what it held.
+ * Copies the live records of one segment to the newest segment, frame by frame, and then drops the segment. It may be
+ * interrupted at any point without losing data: the segment is deleted only once a record that drops it is on the disk, in
+ * or after the frame with the last record copied from it. Used by the writer's thread only.
  */
 final class Compaction {
     private final Log log;
@@ -26,8 +26,8 @@
     }
 
     /**
-     * Puts what the next frames still hold into a group, about as many bytes as given; true once all is through and
-     * the group says that the segment is gone.
+     * Adds live records of the next frames to a group until it holds about the given number of bytes. Returns true once the
+     * whole segment has been read and the group contains the record that drops it.
      */
     boolean fill(Group g, long bytes, long now) throws IOException {
         long read = 0;
@@ -75,7 +75,7 @@
             log.figures().add(Figures.Of.MOVED_BYTES, r.length());
         } else if (over && (current || e == null)) {
             expired = true;
-            // An older version that never expires must not come back when this one is no longer read.
+            // Without a tombstone, an older version that never expires would be read again once this one is dropped.
             if (log.has(Defence.EXPIRY_TOMBSTONE) && Upkeep.needed(r.stamp(), victim, log.segments())) {
                 g.tombstone(r.namespace(), r.key(), r.stamp());
             } else if (current) {
--- a/durable/src/main/java/tallyweir/durable/Disk.java
+++ b/durable/src/main/java/tallyweir/durable/Disk.java
@@ -6,48 +6,48 @@
 import java.util.List;
 
 /**
- * One directory of files, as far as the store needs one. Nothing is promised but what a force confirmed: content by
- * {@link Handle#force}, names that came or went by {@link #forceNames}. Everything may fail with an IOException.
+ * The operations on one directory of files that the store needs. Only forced changes are durable: file contents after
+ * {@link Handle#force}, creations and deletions of names after {@link #forceNames}. Every operation may throw an IOException.
  */
 public interface Disk {
-    /** The names of all files here, in any order. */
+    /** The names of all files in the directory, in any order. */
     List<String> names() throws IOException;
 
-    /** Opens a file that is there, for reading and (where the directory allows it) writing. */
+    /** Opens an existing file for reading and, where its permissions allow it, for writing. */
     Handle open(String name) throws IOException;
 
-    /** Makes an empty file; what had the name before is emptied. */
+    /** Creates an empty file; an existing file of the name is truncated. */
     Handle create(String name) throws IOException;
 
-    /** Makes an empty file of a name that must not be there. */
+    /** Creates an empty file; fails if the name exists. */
     Handle createNew(String name) throws IOException;
 
-    /** Takes a file away; open handles go on reading it. One that is not there is no error. */
+    /** Deletes a file; open handles remain readable. Deleting a file that does not exist is not an error. */
     void delete(String name) throws IOException;
 
-    /** Returns once the names that came or went are on the disk. */
+    /** Returns once all creations and deletions of names are on the disk. */
     void forceNames() throws IOException;
 
-    /** Keeps every other process out until closed; fails at once where another holds it. */
+    /** Takes an exclusive lock, held until the result is closed; fails at once if another process holds it. */
     Closeable lock() throws IOException;
 
-    /** What messages call this directory. */
+    /** The directory's path or another description of it, for messages. */
     String where();
 
-    /** One open file. Positions and sizes are bytes. Reads may go on beside one writer. */
+    /** An open file. Positions and sizes are in bytes. Reads may run concurrently with one writer. */
     interface Handle extends Closeable {
-        /** Reads at a position; fewer bytes than asked may come, -1 past the end. */
+        /** Reads at a position and returns the number of bytes, which may be fewer than requested; -1 at or past the end. */
         int read(long at, ByteBuffer into) throws IOException;
 
-        /** Writes at a position; fewer bytes than given may be taken. */
+        /** Writes at a position and returns the number of bytes written, which may be fewer than given. */
         int write(long at, ByteBuffer from) throws IOException;
 
-        /** Returns once all that was written is on the disk. After a failure nothing is known of it. */
+        /** Returns once everything written is on the disk. After a failure the state of that data is unknown. */
         void force() throws IOException;
 
         long size() throws IOException;
 
-        /** Reads until the buffer is full or the file ends; how many bytes came. */
+        /** Reads until the buffer is full or the file ends; returns the number of bytes read. */
         default int readFully(long at, ByteBuffer into) throws IOException {
             int before = into.position();
             while (into.hasRemaining()) {
@@ -59,7 +59,7 @@
             return into.position() - before;
         }
 
-        /** Writes all of the buffer. */
+        /** Writes the whole buffer; fails after more than 8 consecutive writes that accept no byte. */
         default void writeFully(long at, ByteBuffer from) throws IOException {
             int before = from.position();
             int idle = 0;
@@ -67,7 +67,7 @@
                 int put = write(at + from.position() - before, from);
                 idle = put > 0 ? 0 : idle + 1;
                 if (idle > 8) {
-                    throw new IOException("the disk takes no bytes");
+                    throw new IOException("the disk accepts no bytes");
                 }
             }
         }
--- a/durable/src/main/java/tallyweir/durable/Fence.java
+++ b/durable/src/main/java/tallyweir/durable/Fence.java
@@ -6,12 +6,12 @@
 import java.util.zip.CRC32C;
 
 /**
- * Whose store it is. Every opening for writing raises a number in a small file of each copy before it reads the log; after
- * each group was forced its writer looks whether the number is still its own, and acknowledges nothing where it is not. So
- * what an older process acknowledged was on the disk before the newer one began to read, and is found by it; what it writes
- * later it acknowledges to nobody, whatever became of the lock (a shared file system may lose one, a paused process wakes
- * up). The idea of a number that a later holder raises is the fencing token of M. Kleppmann, "How to do distributed
- * locking" (2016); here the writer checks it, since the disk cannot.
+ * Determines which process owns the store. Every opening for writing increments a number in a small file of each copy before
+ * it reads the log. After forcing each group, the writer checks that the number is still its own and acknowledges nothing if
+ * it is not. So everything that an older process acknowledged was on the disk before the newer one began to read, and is
+ * found by it; what the older process writes later it never acknowledges, even if the lock failed (a shared file system may
+ * lose a lock, and a paused process resumes). This is the fencing token of M. Kleppmann, "How to do distributed locking"
+ * (2016), except that the writer checks it, since the disk cannot.
  */
 final class Fence {
     static final String NAME = "fence";
@@ -23,7 +23,7 @@
     private final long found;
     private long own;
 
-    /** Reads the number as it is; nothing is raised yet. */
+    /** Reads the current number without incrementing it. */
     Fence(List<Disk> disks) {
         this.disks = disks.toArray(Disk[]::new);
         for (int c = 0; c < this.disks.length; c++) {
@@ -38,11 +38,11 @@
                 files[copy] = disks[copy].open(NAME);
             }
         } catch (IOException e) {
-            files[copy] = null; // the other copy tells
+            files[copy] = null; // the number is read from the other copy
         }
     }
 
-    /** The number in a copy, -1 where it cannot be read. */
+    /** The number in a copy, or -1 if it cannot be read. */
     private long number(int copy) {
         if (files[copy] == null) {
             return -1;
@@ -72,15 +72,16 @@
         return most;
     }
 
-    /** Whether the number is this opening's. */
+    /** Whether this opening has incremented the number. */
     boolean raised() {
         return own > 0;
     }
 
     /**
-     * Makes the number this opening's own: one copy after the other, each forced, so that a cut leaves one whole.
+     * Increments the number for this opening, in one copy after the other, each forced, so that after a power failure at least
+     * one copy is intact.
      *
-     * @throws Refused FENCED where another process has raised it since this one first looked
+     * @throws Refused FENCED if another process has incremented it since this one read it
      */
     void raise() throws IOException {
         if (highest() > found) {
@@ -99,13 +100,13 @@
         own = found + 1;
     }
 
-    /** Whether another process has taken the store over, or neither copy can tell any more. */
+    /** Whether another process has taken the store over, or the number can be read in neither copy. */
     boolean passed() {
         long most = highest();
         return most > own || most < 0;
     }
 
-    /** The number, for operators; 0 where it is not raised. */
+    /** The number of this opening, for operators; 0 before it was incremented. */
     long own() {
         return own;
     }
@@ -117,7 +118,7 @@
                     f.close();
                 }
             } catch (IOException e) {
-                continue; // nothing is owed to it
+                continue; // nothing depends on a successful close: the number was forced
             }
         }
     }
--- a/durable/src/main/java/tallyweir/durable/Figures.java
+++ b/durable/src/main/java/tallyweir/durable/Figures.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 import java.util.concurrent.atomic.LongAdder;
 
-/** What the store counts since it was opened. Any thread may count and read. */
+/** Counters of the store since it was opened. Thread-safe. */
 public final class Figures {
-    /** The things counted. */
+    /** The counters. The lower-case names are the keys under which they are printed. */
     public enum Of {
         /** Batches acknowledged. */
         BATCHES,
@@ -19,43 +19,43 @@
         GROUPS,
         /** Forces of files and names, each copy counted. */
         FORCES,
-        /** Bytes written to both copies, whatever for. */
+        /** Bytes written to both copies, for any purpose. */
         BYTES_WRITTEN,
         /** Frames of the log read at opening. */
         FRAMES_READ,
-        /** Frames found damaged in one copy and written again from the other. */
+        /** Frames found damaged in one copy and rewritten from the other. */
         REPAIRED,
-        /** Frames found damaged in one copy where writing them again failed. */
+        /** Frames found damaged in one copy whose repair failed. */
         UNREPAIRED,
-        /** Files made anew from their other copy. */
+        /** Files recreated from their other copy. */
         FILES_REMADE,
-        /** Frames of which neither copy is good. */
+        /** Frames that are intact in neither copy. */
         LOST_FRAMES,
-        /** Records that were read from the second copy, the first being damaged. */
+        /** Records read from the second copy because the first was damaged. */
         SECOND_READS,
-        /** Records that were asked for and could be read in neither copy. */
+        /** Records requested that could be read from neither copy. */
         DAMAGED_READS,
         /** Segments started. */
         SEGMENTS,
-        /** Segments given up after a failed write or force. */
+        /** Segments abandoned after a failed write or force. */
         ABANDONED,
-        /** Segments compacted away. */
+        /** Segments dropped after compaction. */
         COMPACTED,
         /** Bytes of records moved by compaction. */
         MOVED_BYTES,
-        /** Records that went because their time was over. */
+        /** Records removed because they had expired. */
         EXPIRED,
-        /** Records that went because their namespace was at its bound. */
+        /** Oldest records removed because their namespace had reached its bound. */
         DROPPED_OLDEST,
-        /** Openings that could not make the store theirs at once. */
+        /** Openings that could not take ownership of the store at once. */
         TURNS_NOT_TAKEN,
         /** Index snapshots written. */
         SNAPSHOTS,
         /** Index snapshots found that could not be trusted. */
         SNAPSHOTS_DISTRUSTED,
-        /** Bytes that the scrub has compared. */
+        /** Bytes compared by the scrub. */
         SCRUBBED_BYTES,
-        /** Whole passes of the scrub. */
+        /** Complete passes of the scrub. */
         SCRUBS
     }
 
@@ -79,7 +79,7 @@
         add(of, 1);
     }
 
-    /** Counts a refusal and hands it back. */
+    /** Counts a refusal and returns it. */
     Refused count(Refused r) {
         refused.get(r.why()).increment();
         return r;
@@ -93,7 +93,7 @@
         return refused.get(cause).sum();
     }
 
-    /** All of them by name, refusals as {@code refused_CAUSE}, in a fixed order. */
+    /** All counters by lower-case name, refusals as {@code refused_CAUSE}, in a fixed order. */
     public Map<String, Long> all() {
         Map<String, Long> all = new LinkedHashMap<>();
         counts.forEach((of, n) -> all.put(of.name().toLowerCase(), n.sum()));
--- a/durable/src/main/java/tallyweir/durable/FileDisk.java
+++ b/durable/src/main/java/tallyweir/durable/FileDisk.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A directory of the file system. Forces are fsync's; the directory itself is forced where names change. */
+/** A directory of the file system. Forces use fsync; the directory itself is forced after names in it changed. */
 public final class FileDisk implements Disk {
     private static final String LOCK = "lock";
 
@@ -23,15 +23,15 @@
     private final Times times;
     private final boolean second;
 
-    /** Makes the directory if it is not there, its parents too. */
+    /** Creates the directory and its parents if they do not exist. */
     public FileDisk(Path dir) throws IOException {
         this(dir, new Times(), false);
     }
 
     /**
-     * The same, and tells how long its forces and writes take.
+     * The same, and records the durations of forces and writes.
      *
-     * @param second whether it is the one of the second copy
+     * @param second whether the directory holds the second copy
      */
     public FileDisk(Path dir, Times times, boolean second) throws IOException {
         this.dir = dir;
@@ -114,17 +114,17 @@
         times.add(second ? Times.Of.NAMES_SECOND : Times.Of.NAMES_FIRST, began, System.nanoTime());
     }
 
-    /** A lock of the operating system, which goes with the process, however it ends. */
+    /** A lock of the operating system, released when the process ends in any way. */
     @Override
     public Closeable lock() throws IOException {
         if (Boolean.getBoolean("tallyweir.drill.nolock")) {
-            return () -> {}; // a drill plays a shared directory whose locks do not hold
+            return () -> {}; // a drill simulates a shared directory whose locks are not effective
         }
         FileChannel c;
         try {
             c = FileChannel.open(dir.resolve(LOCK), StandardOpenOption.WRITE, StandardOpenOption.CREATE);
         } catch (AccessDeniedException e) {
-            return () -> {}; // a directory that cannot be written is read, and every write refused
+            return () -> {}; // a directory without write permission is opened for reading, and every write refused
         }
         try {
             FileLock lock = c.tryLock();
--- a/durable/src/main/java/tallyweir/durable/FileStore.java
+++ b/durable/src/main/java/tallyweir/durable/FileStore.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.ThreadLocalRandom;
 
-/** A store on files with all its threads, for a program that keeps one open. */
+/** A store on the file system with its threads, for a process that keeps it open. */
 public final class FileStore implements AutoCloseable {
     private final SideBySide both = new SideBySide();
     private final ExecutorService aside = Executors.newSingleThreadExecutor(r -> {
@@ -24,10 +24,10 @@
     private AdminSocket adminSocket;
 
     /**
-     * Opens or makes it. For the numbers see {@link Durable} and {@link Committer}.
+     * Opens the store, or creates it. For the numeric parameters see {@link Durable} and {@link Committer}.
      *
-     * @param first the directory of one copy
-     * @param second the directory of the other
+     * @param first the directory of the first copy
+     * @param second the directory of the second copy
      */
     public FileStore(
             Path first,
@@ -63,7 +63,7 @@
         committer = new Committer(store, pendingMost, forceEvery, upkeepRate, times);
     }
 
-    /** The time of the system's clock, tenths of a millisecond since 1970. */
+    /** The system's wall clock, in tenths of a millisecond since 1970. */
     public static long clock() {
         Instant t = Instant.now();
         return t.getEpochSecond() * 10_000 + t.getNano() / 100_000;
@@ -78,10 +78,10 @@
     }
 
     /**
-     * From now on operators can ask this process about the store.
+     * Starts to answer operators' commands about the store.
      *
-     * @param socket a place in the store's own directory
-     * @param more questions beside those about the store itself
+     * @param socket a path in the store's own directory
+     * @param more further commands by name, besides those about the store itself
      */
     public void openAdminSocket(Path socket, Map<String, AdminSocket.Command> more) throws IOException {
         Map<String, AdminSocket.Command> all = AdminCommands.of(store, times);
@@ -89,12 +89,12 @@
         adminSocket = new AdminSocket(socket, all);
     }
 
-    /** How long its steps take. */
+    /** Durations of the steps of the disk and the committer. */
     public Times times() {
         return times;
     }
 
-    /** Writes what waits, then the index, and ends. */
+    /** Writes the pending batches, then an index snapshot, and stops all threads. */
     @Override
     public void close() {
         if (adminSocket != null) {
--- a/durable/src/main/java/tallyweir/durable/Format.java
+++ b/durable/src/main/java/tallyweir/durable/Format.java
@@ -5,14 +5,14 @@
 import java.util.zip.CRC32C;
 
 /**
- * The bytes of the log. A segment file is a row of frames, each at a multiple of the sector so that no two writes
- * share one: a header of 24 bytes (magic, kind, length, checksum, number), then the content. The checksum (CRC-32C)
- * also covers the store's id, the segment and the place, so that a frame of another store, file or place is none.
- * The first frame of a file is its head; every other is one group of commits, a row of records of 29 bytes, key and
- * value, each with a checksum of its own for reading it alone. All numbers are big-endian.
+ * The byte format of the log. A segment file is a sequence of frames, each aligned to the sector so that no two writes share
+ * a sector. A frame is a header of 24 bytes (magic, kind, length, checksum, number) and its content. The checksum (CRC-32C)
+ * also covers the store's id, the segment and the offset, so that a frame of another store, file or offset is not accepted.
+ * The first frame of a file is the segment's head; every other is one group of commits: a sequence of records, each a header
+ * of 29 bytes, key and value, with a checksum of its own so that it can be read alone. All numbers are big-endian.
  */
 final class Format {
-    /** Of the files; a greater one is refused, a smaller one read. */
+    /** Version of the file format. Files of a higher version are refused, those of a lower one are read. */
     static final int VERSION = 1;
 
     static final int MAGIC = 0x54574431;
@@ -21,7 +21,7 @@
     static final int FRAME = 24;
     static final byte PUT = 1;
     static final byte DELETE = 2;
-    /** The segment whose number is the key is gone. */
+    /** Record type that drops the segment whose number is the key. */
     static final byte DROPPED = 3;
 
     static final int RECORD = 29;
@@ -38,7 +38,7 @@
         return String.format("%010d%s", segment, SUFFIX);
     }
 
-    /** The segment that a file name stands for, -1 for any other name. */
+    /** The number of the segment with a file name, or -1 if the name is not that of a segment. */
     static int segment(String name) {
         return name.matches("[0-9]{10}\\.seg")
                 ? (int) Math.min(Integer.MAX_VALUE, Long.parseLong(name.substring(0, 10)))
@@ -55,7 +55,7 @@
         return (int) crc.getValue();
     }
 
-    /** Of a frame whose bytes begin at an index; the field of the checksum itself is left out. */
+    /** The checksum of the frame that begins at an index, leaving out the checksum field itself. */
     private static int frameChecksum(long storeId, int segment, long place, byte[] b, int at, int length) {
         CRC32C crc = new CRC32C();
         crc.update(ByteBuffer.allocate(20)
@@ -68,7 +68,7 @@
         return (int) crc.getValue();
     }
 
-    /** Fills in the header before a content of so many bytes; a head's checksum knows no store id. */
+    /** Writes the header for a content of the given length. The checksum of a head does not cover the store id. */
     static void seal(byte[] b, int at, byte kind, int length, long number, long storeId, int segment, long place) {
         ByteBuffer.wrap(b, at, FRAME)
                 .putInt(MAGIC)
@@ -80,14 +80,14 @@
         ByteBuffer.wrap(b).putInt(at + 12, sum);
     }
 
-    /** The length of the content that the header at an index tells, -1 where it is no header of the kind. */
+    /** The content length in the header at an index, or -1 if there is no header of that kind. */
     static int contentLength(byte[] b, int at, byte kind) {
         ByteBuffer in = ByteBuffer.wrap(b);
         int length = in.getInt(at + 8);
         return in.getInt(at) == MAGIC && in.getInt(at + 4) == kind << 24 && length <= FRAME_MOST ? length : -1;
     }
 
-    /** Whether the checksum in the header at an index is that of this frame, written for this place. */
+    /** Whether the checksum in the header at an index matches this frame at this offset of the segment. */
     static boolean matches(byte[] b, int at, long storeId, int segment, long place) {
         ByteBuffer in = ByteBuffer.wrap(b);
         boolean head = b[at + 4] == HEAD;
@@ -98,7 +98,7 @@
         return ByteBuffer.wrap(b).getLong(at + 16);
     }
 
-    /** Writes a record and returns the index after it. */
+    /** Writes a record at an index and returns the index after it. */
     static int record(byte[] b, int at, byte type, int namespace, long stamp, long expires, byte[] key, byte[] value) {
         int length = value == null ? 0 : value.length;
         ByteBuffer out = ByteBuffer.wrap(b);
@@ -118,7 +118,7 @@
         return end;
     }
 
-    /** One record as it stands in bytes that were read; nothing is copied until asked for. */
+    /** A view of one record within a buffer; key and value are copied only when requested. */
     record Rec(byte[] in, int at) {
         byte type() {
             return in[at + 4];
@@ -157,7 +157,7 @@
             return RECORD + keyLength() + valueLength();
         }
 
-        /** Whether a whole record stands here that ends by an index, and its checksum matches. */
+        /** Whether a complete record begins here and ends at or before an index, and (if checked) its checksum matches. */
         boolean whole(int end, boolean checked) {
             return end - at >= RECORD
                     && valueLength() >= 0
--- a/durable/src/main/java/tallyweir/durable/Head.java
+++ b/durable/src/main/java/tallyweir/durable/Head.java
@@ -11,16 +11,16 @@
 import java.util.List;
 
 /**
- * The first frame of a segment: what holds for the store from there on. It lists every older segment that is still
- * part of the store, with its end, so that what stands behind an end is void and what is not listed is gone.
+ * The first frame of a segment: the state of the store from there on. It lists every older segment that is still part of the
+ * store, with its end; data after that end is void, and segments that are not listed have been dropped.
  *
- * @param storeId drawn when the store was made; part of every checksum
- * @param segment its own number
- * @param firstFrame the number of the first frame after it
- * @param lastStamp the last stamp given before it
- * @param opening how often the store had been opened for writing, this one included
- * @param names of the namespaces, each at its number
- * @param older the older segments that count
+ * @param storeId chosen at random when the store was created; part of every checksum
+ * @param segment the number of this segment
+ * @param firstFrame the number of the first frame after the head
+ * @param lastStamp the last stamp given before the head
+ * @param opening how often the store had been opened for writing, this opening included
+ * @param names the names of the namespaces, indexed by their numbers
+ * @param older the older segments that are part of the store
  */
 record Head(
         long storeId,
@@ -30,7 +30,7 @@
         long opening,
         List<String> names,
         List<Older> older) {
-    /** A segment that counts, up to and without this end. */
+    /** An older segment that is part of the store, up to an end offset (exclusive). */
     record Older(int segment, long firstFrame, long created, long endFrame, long end) {}
 
     byte[] bytes() {
@@ -63,7 +63,7 @@
         }
     }
 
-    /** Null if it is none, as may be without checksums; refused if it is of a newer format. */
+    /** Parses a head; null if the content is too short, which happens only with checksums disabled. Throws if the format is newer. */
     static Head of(byte[] content) throws Refused {
         try {
             ByteBuffer in = ByteBuffer.wrap(content);
--- a/durable/src/main/java/tallyweir/durable/Index.java
+++ b/durable/src/main/java/tallyweir/durable/Index.java
@@ -6,13 +6,13 @@
 import java.util.List;
 
 /**
- * Where the current record of each key is, in the order of keys: a B+ tree (Bayer and McCreight 1972) whose nodes are
- * never changed, so that an older root goes on showing what it showed (path copying; Driscoll and others 1989).
- * A leaf is one array of bytes of about 4 KiB at the most, an inner node an array of nodes; there is nothing else,
- * so a key costs 28 bytes beside its own. Any thread may read; each change returns a new index.
+ * The location of the current record of each key, in key order: a B+ tree (Bayer and McCreight 1972) with immutable nodes, so
+ * that an older root keeps its contents (path copying; Driscoll and others 1989). A leaf is a byte array of at most about
+ * 4 KiB, an inner node an array of its children; there are no other objects, so a key costs 28 bytes besides its own.
+ * Immutable and thread-safe; each change returns a new index.
  */
 final class Index {
-    /** Where a key's record is. {@code key} is the namespace in two bytes and the key. */
+    /** The location of a key's record. {@code key} is the namespace in two bytes followed by the key. */
     record Entry(byte[] key, long stamp, int segment, int offset, int length, long expires) {
         int namespace() {
             return (key[0] & 0xff) << 8 | key[1] & 0xff;
@@ -34,12 +34,12 @@
         this.size = size;
     }
 
-    /** How many keys. */
+    /** The number of keys. */
     long size() {
         return size;
     }
 
-    /** The key under which the index knows one of a namespace. */
+    /** The key of the index for a key of a namespace: the namespace in two bytes followed by the key. */
     static byte[] key(int namespace, byte[] key) {
         byte[] k = new byte[key.length + 2];
         k[0] = (byte) (namespace >> 8);
@@ -48,7 +48,7 @@
         return k;
     }
 
-    /** Null if there is none. */
+    /** The entry of a key, null if there is none. */
     Entry get(byte[] key) {
         Object node = root;
         while (node instanceof Object[] kids) {
@@ -58,12 +58,12 @@
         return i < 0 ? null : entry((byte[]) node, i);
     }
 
-    /** The first entry whose key is not below, null past the last. */
+    /** The first entry whose key is equal or greater, null if there is none. */
     Entry atOrAfter(byte[] key) {
         return atOrAfter(root, key);
     }
 
-    /** The entry after a key, null past the last. */
+    /** The first entry whose key is greater, null if there is none. */
     Entry after(byte[] key) {
         return atOrAfter(Arrays.copyOf(key, key.length + 1));
     }
@@ -87,7 +87,7 @@
         return null;
     }
 
-    /** Puts an entry in the place of the one with its key, if there is one. */
+    /** Adds an entry, replacing the one with the same key if there is one. */
     Index put(Entry e) {
         boolean[] replaced = new boolean[1];
         Object node = root == null ? leaf(List.of(bytes(e))) : put(root, e.key, bytes(e), replaced);
@@ -97,7 +97,7 @@
         return new Index(node, size + (replaced[0] ? 0 : 1));
     }
 
-    /** Takes a key away; the same index if there is none. */
+    /** Removes a key; returns the same index if it is not there. */
     Index remove(byte[] key) {
         Object node = root == null ? null : remove(root, key);
         if (node == root) {
@@ -109,7 +109,7 @@
         return new Index(node, size - 1);
     }
 
-    /** All leaves in order, as they are; for writing the index down. */
+    /** All leaves in key order, not copied; used to write a snapshot. */
     List<byte[]> leaves() {
         List<byte[]> all = new ArrayList<>();
         leaves(root, all);
@@ -126,7 +126,7 @@
         }
     }
 
-    /** An index of leaves that came out of {@link #leaves}, in the same order. */
+    /** Builds an index from the result of {@link #leaves}. */
     static Index of(List<byte[]> leaves) {
         long size = 0;
         List<Object> level = new ArrayList<>(leaves);
@@ -146,7 +146,7 @@
         return new Index(level.isEmpty() ? null : level.get(0), size);
     }
 
-    /** An index of entries in the order of their keys, each key once. */
+    /** Builds an index from entries in ascending key order without duplicates. */
     static Index ofSorted(List<Entry> entries) {
         List<byte[]> leaves = new ArrayList<>();
         List<byte[]> leaf = new ArrayList<>();
@@ -167,12 +167,12 @@
         return of(leaves);
     }
 
-    /** What an entry tells beside its key; see {@link #each}. */
+    /** Receives the fields of each entry other than its key and offset; see {@link #each}. */
     interface Each {
         void entry(int namespace, long stamp, int segment, int length, long expires);
     }
 
-    /** Shows every entry, in the order of keys, without copying any. */
+    /** Visits every entry in key order without copying it. */
     void each(Each to) {
         for (byte[] leaf : leaves()) {
             ByteBuffer in = ByteBuffer.wrap(leaf);
@@ -188,7 +188,7 @@
         }
     }
 
-    // ---- leaves: count, the ends of the entries (two bytes each), then the entries
+    // ---- leaves: the number of entries, the end index of each entry (all two bytes each), then the entries
 
     private static int u16(byte[] b, int at) {
         return (b[at] & 0xff) << 8 | b[at + 1] & 0xff;
@@ -241,7 +241,7 @@
         return Arrays.compareUnsigned(leaf, from(leaf, i) + META, to(leaf, i), key, 0, key.length);
     }
 
-    /** Where a key stands, or -1 less the place where it would. */
+    /** The position of a key's entry, or -1 minus the position at which it would be inserted. */
     private static int find(byte[] leaf, byte[] key) {
         int low = 0;
         int high = count(leaf) - 1;
@@ -276,7 +276,7 @@
         return leaf;
     }
 
-    /** The leaf with entries [from, to) replaced by one, or by none. */
+    /** A copy of the leaf with the entries [from, to) replaced by one entry, or removed if that is null. */
     private static byte[] spliced(byte[] leaf, int from, int to, byte[] by) {
         int n = count(leaf);
         int left = from == 0 ? from(leaf, 0) : to(leaf, from - 1);
@@ -334,7 +334,7 @@
         return (byte[]) node;
     }
 
-    /** The last child whose first key is not above, else the first. */
+    /** The index of the last child whose first key is not greater than the key; 0 if there is none. */
     private static int child(Object[] kids, byte[] key) {
         int low = 1;
         int high = kids.length - 1;
@@ -359,7 +359,7 @@
             if (fuller.length <= LEAF_MOST || n < 2) {
                 return fuller;
             }
-            int cut = 1; // keys that come in order leave full leaves behind
+            int cut = 1; // insertion in ascending order leaves full leaves: only the new last entry is split off
             if (at == n - 1) {
                 cut = n - 1;
             } else {
@@ -427,7 +427,7 @@
         return node instanceof byte[] leaf ? leaf.length < LEAF_FEW : ((Object[]) node).length < KIDS_FEW;
     }
 
-    /** Two neighbours as one node, null where that would be too full. */
+    /** Merges two adjacent nodes; null if the result would exceed 3/4 of the maximum size. */
     private static Object together(Object left, Object right) {
         if (left instanceof byte[] l && right instanceof byte[] r) {
             return l.length + r.length <= LEAF_MOST * 3 / 4 ? joined(l, r) : null;
--- a/durable/src/main/java/tallyweir/durable/IndexFile.java
+++ b/durable/src/main/java/tallyweir/durable/IndexFile.java
@@ -14,16 +14,18 @@
 import java.util.zip.CRC32C;
 
 /**
- * The index as it was before one frame, written down so that opening need not read the log before that frame. It is a
- * help and never a witness: one copy, in the first directory, used only where its checksum is right, it is of this
- * store, and the log has the last frame that it covers where it says, with the checksum it says.
+ * A snapshot of the index up to a frame, so that opening the store need not read the log before that frame. It only speeds up
+ * opening and is never relied on as data: there is one copy, in the first directory, and it is used only if its checksum
+ * matches, it belongs to this store, and the log contains the last frame that it covers at the recorded offset with the
+ * recorded checksum.
  *
- * @param nextFrame the first frame not covered
+ * @param nextFrame the number of the first frame not covered
  * @param lastStamp the last stamp covered
- * @param lastSegment where the last frame covered is, 0 if there was none
- * @param lastPlace where in it
- * @param lastSum that frame's checksum
- * @param segments what is known of each segment that counted
+ * @param lastSegment the segment of the last frame covered, 0 if there was none
+ * @param lastPlace the offset of that frame in its segment
+ * @param lastSum the checksum of that frame
+ * @param segments the state of each segment that was part of the store, by number
+ * @param leaves the leaves of the index in key order
  */
 record IndexFile(
         long nextFrame,
@@ -33,7 +35,7 @@
         int lastSum,
         Map<Integer, Of> segments,
         List<byte[]> leaves) {
-    /** One segment as far as it is covered. */
+    /** The state of one segment up to the last frame covered. */
     record Of(long endFrame, long end, long puts, long tombstones, long lastTombstone) {}
 
     private static final int MAGIC = 0x54574931;
@@ -51,7 +53,7 @@
                 .toList();
     }
 
-    /** Writes and forces it, then takes the older ones away; how many bytes. */
+    /** Writes and forces the snapshot, then deletes older ones; returns the bytes written. */
     long write(Disk disk, long storeId) throws IOException {
         String name = name(nextFrame);
         long size = 0;
@@ -106,7 +108,12 @@
         return b.length;
     }
 
-    /** The newest that can be trusted as far as it goes by itself; null if there is none. */
+    /**
+     * Reads the newest snapshot that is valid by itself, null if there is none; whether it matches the log is checked by
+     * {@link #fits}.
+     *
+     * @param distrust whether to check checksum and store id; false in drills only
+     */
     static IndexFile newest(Disk disk, long storeId, boolean distrust, Figures figures) {
         try {
             for (String name : names(disk)) {
@@ -161,7 +168,7 @@
         }
     }
 
-    /** Whether the log has the last frame covered, as it was. A segment that has gone since proves nothing. */
+    /** Whether the log contains the last frame covered, unchanged. Also true if its segment has been dropped since. */
     boolean fits(Log log) {
         Segment s = log.segment(lastSegment);
         if (s == null) {
--- a/durable/src/main/java/tallyweir/durable/Namespace.java
+++ b/durable/src/main/java/tallyweir/durable/Namespace.java
@@ -1,14 +1,14 @@
 package tallyweir.durable;
 
 /**
- * One part of the store with keys of its own.
+ * A separate key space within the store.
  *
- * @param name 1 to 64 printable letters
- * @param boundBytes the most that live records (29 bytes, key and value each) may take, 1 or more
- * @param dropOldest at the bound the oldest records go; else what would pass it is refused
+ * @param name 1 to 64 printable ASCII characters without spaces
+ * @param boundBytes the maximum size of live records (29 bytes, key and value each), at least 1
+ * @param dropOldest whether the oldest records are removed at the bound; otherwise writes beyond it are refused
  */
 public record Namespace(String name, long boundBytes, boolean dropOldest) {
-    /** The most namespaces of a store. */
+    /** The maximum number of namespaces of a store. */
     public static final int MOST = 1_000;
 
     public Namespace {
--- a/durable/src/main/java/tallyweir/durable/ReadOnly.java
+++ b/durable/src/main/java/tallyweir/durable/ReadOnly.java
@@ -5,7 +5,7 @@
 import java.nio.ByteBuffer;
 import java.util.List;
 
-/** A directory in which nothing is changed: whatever would is refused. For looking at a store as it lies there. */
+/** Wraps a directory and refuses every operation that would change it, for inspecting a store without modifying it. */
 public final class ReadOnly implements Disk {
     private final Disk disk;
 
@@ -14,7 +14,7 @@
     }
 
     private static IOException refused() {
-        return new IOException("nothing is changed here");
+        return new IOException("the directory is opened read-only");
     }
 
     @Override
--- a/durable/src/main/java/tallyweir/durable/Refused.java
+++ b/durable/src/main/java/tallyweir/durable/Refused.java
@@ -2,31 +2,31 @@
 
 import java.io.IOException;
 
-/** What the store did not do, and why. Nothing of it was acknowledged; reading goes on. */
+/** The store refused an operation, for a {@link Cause}. No part of the operation was acknowledged; reads remain possible. */
 public final class Refused extends IOException {
     private static final long serialVersionUID = 1L;
 
-    /** The causes, as counted. */
+    /** The causes. Their names are printed and counted. */
     public enum Cause {
-        /** A key, value or batch is longer than any may be, or names no namespace. Never worth trying again. */
+        /** A key, value or batch exceeds the maximum length, or its namespace does not exist. Retrying is useless. */
         TOO_LONG,
-        /** The namespace is at its bound and refuses. Worth trying again when something was deleted or has expired. */
+        /** The namespace is at its bound. A retry may succeed once records were deleted or have expired. */
         AT_BOUND,
-        /** The disk has no room, or cannot be written. Worth trying again when there is room. */
+        /** The disk is full or cannot be written. A retry may succeed once there is space. */
         NO_ROOM,
-        /** A force failed: whether the records come back after a restart is not known, here they do not. */
+        /** A force failed. The records are not readable now, but may or may not be there after a restart. */
         UNKNOWN,
         /** The store is closed. */
         CLOSED,
         /** Another process has the store open. */
         IN_USE,
-        /** Another process has taken the store over; this one writes it no more. Never worth trying again. */
+        /** Another process has taken the store over, and this one no longer writes to it. Retrying is useless. */
         FENCED,
-        /** Written by a later format than this program knows. */
+        /** The store was written in a newer format than this program supports. */
         NEWER_FORMAT,
-        /** Neither copy of a record can be read. */
+        /** A record can be read from neither copy. */
         DAMAGED,
-        /** More waits for the disk than may. Worth trying again soon. */
+        /** Too much data is waiting for the disk. A retry may succeed soon. */
         BUSY
     }
 
@@ -42,7 +42,7 @@
         this.why = why;
     }
 
-    /** Why, in one word. */
+    /** The cause of the refusal. */
     public Cause why() {
         return why;
     }
--- a/durable/src/main/java/tallyweir/durable/Scrub.java
+++ b/durable/src/main/java/tallyweir/durable/Scrub.java
@@ -2,7 +2,10 @@
 
 import java.io.IOException;
 
-/** Compares both copies of every frame with its checksum, segment after segment, and writes again what is damaged. */
+/**
+ * Verifies the checksum of every frame in both copies, segment by segment, and rewrites damaged frames from the other copy.
+ * Used by one thread only.
+ */
 final class Scrub {
     private final Log log;
     private int after;
@@ -13,7 +16,7 @@
         this.log = log;
     }
 
-    /** Goes on by about so many bytes; false once the last segment is through. */
+    /** Continues for about the given number of bytes; returns false when the pass over all segments is complete. */
     boolean step(long bytes) throws IOException {
         long read = 0;
         while (read < bytes) {
@@ -51,7 +54,7 @@
         walk = null;
     }
 
-    /** Gives up the segment in hand, as where it cannot be read at all. */
+    /** Abandons the current segment, for example because it cannot be read at all. */
     void skip() {
         if (walk != null) {
             end();
--- a/durable/src/main/java/tallyweir/durable/Segment.java
+++ b/durable/src/main/java/tallyweir/durable/Segment.java
@@ -3,8 +3,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * One segment of the log: a file in each copy, the same bytes at the same places. The writer alone changes its
- * figures; readers pin it, so that it is not deleted under them.
+ * One segment of the log: a file in each copy with the same bytes at the same offsets. Only the writer changes its statistics.
+ * Readers pin a segment so that its files are not deleted while they read it.
  */
 final class Segment {
     private static final int GONE = Integer.MIN_VALUE;
@@ -12,23 +12,23 @@
     final int number;
     /** The number of its first frame. */
     final long firstFrame;
-    /** The files, by copy; null where one could be neither opened nor made anew. */
+    /** The files, by copy; null where a file could neither be opened nor recreated. */
     final Disk.Handle[] copies;
     /** The number after its last frame. */
     long endFrame;
-    /** Where the next frame would begin; all before it counts. */
+    /** The offset at which the next frame would begin; everything before it is part of the store. */
     long end;
-    /** The last stamp given before it was started. */
+    /** The last stamp given before the segment was started. */
     final long created;
-    /** Values in it, current or not. */
+    /** The number of values in the segment, current or not. */
     long puts;
-    /** Those of them that are the current ones of their keys, */
+    /** The number of values that are the current ones of their keys. */
     long current;
-    /** and their bytes. */
+    /** The bytes of the current values. */
     long live;
-    /** Bytes of tombstones, */
+    /** The bytes of tombstones in the segment. */
     long tombstones;
-    /** and the highest stamp of one. */
+    /** The highest stamp of a tombstone in the segment. */
     long lastTombstone;
 
     private final AtomicInteger pins = new AtomicInteger();
@@ -40,7 +40,7 @@
         copies = new Disk.Handle[] {first, second};
     }
 
-    /** Keeps the files until {@link #unpin}; false if they are gone. */
+    /** Prevents deletion of the files until {@link #unpin}; false if they are being deleted already. */
     boolean pin() {
         return pins.getAndUpdate(p -> p == GONE ? GONE : p + 1) != GONE;
     }
@@ -49,7 +49,7 @@
         pins.decrementAndGet();
     }
 
-    /** Once nobody holds it nobody gets hold of it again. */
+    /** Marks the segment as deleted if it is not pinned; from then on {@link #pin} fails. Returns whether it did so. */
     boolean goneIfUnpinned() {
         return pins.compareAndSet(0, GONE);
     }
@@ -58,7 +58,7 @@
         return pins.get() > 0;
     }
 
-    /** Whether it may hold a value that is no longer current. */
+    /** Whether the segment holds a value that is no longer current. */
     boolean hasStale() {
         return puts > current;
     }
--- a/durable/src/main/java/tallyweir/durable/Times.java
+++ b/durable/src/main/java/tallyweir/durable/Times.java
@@ -5,36 +5,37 @@
 import java.util.Map;
 
 /**
- * How long the steps of the disk and of the committer take: how many, their sum, the longest since the store was opened
- * and the longest of the last minute. Where writers stall, the step that stalled them is the one whose longest is as long.
- * Any thread may count and read. Times go in as nanoseconds and come out as whole tenths of a millisecond.
+ * Duration statistics of the steps of the disk and the committer: count, sum, maximum since the store was opened and maximum
+ * of the last minute. When writers stall, the cause is the step whose maximum is as long as the stall. Thread-safe. Durations
+ * are recorded in nanoseconds and returned in whole tenths of a millisecond.
  */
 public final class Times {
-    /** The steps. */
+    /** The steps. Their lower-case names are part of the printed keys. */
     public enum Of {
-        /** A force of a file of the log in the first copy. */
+        /** A force of a log file in the first copy. */
         FORCE_FIRST,
         /** The same in the second. */
         FORCE_SECOND,
-        /** A write to a file of the log in the first copy, not counting its force. */
+        /** A write to a log file in the first copy, without its force. */
         WRITE_FIRST,
         /** The same in the second. */
         WRITE_SECOND,
-        /** A force of the names in the first copy's directory, as a new segment needs it. */
+        /** A force of the first copy's directory, needed for example by a new segment. */
         NAMES_FIRST,
         /** The same in the second. */
         NAMES_SECOND,
-        /** A force of an index snapshot, beside the writing. */
+        /** A force of an index snapshot, concurrent with writes to the log. */
         SNAPSHOT,
-        /** A group of batches, from its gathering to its answers. */
+        /** A group of batches, from collecting them until the writers are answered. */
         GROUP,
-        /** A step of upkeep, which groups wait for. */
+        /** A step of upkeep, during which groups wait. */
         UPKEEP
     }
 
     private static final int BUCKETS = 12;
-    private static final long BUCKET = 5_000_000_000L; // ns; all of them together are the last minute
-    private static final long UNIT = 100_000; // ns in a tenth of a millisecond
+    private static final long BUCKET =
+            5_000_000_000L; // the width of a bucket; together the buckets cover the last minute
+    private static final long UNIT = 100_000;
 
     private final long[] counts = new long[Of.values().length];
     private final long[] sums = new long[counts.length];
@@ -43,10 +44,10 @@
     private final long[][] bucketOf = new long[counts.length][BUCKETS];
 
     /**
-     * A step is over.
+     * Records a completed step.
      *
-     * @param began by the clock that only goes forward, nanoseconds
-     * @param now by the same
+     * @param began the start of the step, nanoseconds of {@link System#nanoTime}
+     * @param now its end, by the same clock
      */
     synchronized void add(Of what, long began, long now) {
         int i = what.ordinal();
@@ -63,17 +64,17 @@
         lately[i][b] = Math.max(lately[i][b], took);
     }
 
-    /** How often. */
+    /** How often the step was recorded. */
     public synchronized long count(Of what) {
         return counts[what.ordinal()];
     }
 
-    /** The longest since the store was opened, tenths of a millisecond, rounded up. */
+    /** The longest duration since the store was opened, in tenths of a millisecond, rounded up. */
     public synchronized long longest(Of what) {
         return up(longest[what.ordinal()]);
     }
 
-    /** The longest of about the last minute, tenths of a millisecond, rounded up. */
+    /** The longest duration of about the last minute, in tenths of a millisecond, rounded up. */
     public synchronized long lately(Of what, long now) {
         long most = 0;
         for (int b = 0; b < BUCKETS; b++) {
@@ -88,7 +89,7 @@
         return (ns + UNIT - 1) / UNIT;
     }
 
-    /** All by name, times in tenths of a millisecond, in a fixed order. */
+    /** All statistics by printed key, durations in tenths of a millisecond, in a fixed order. */
     public synchronized Map<String, Long> all(long now) {
         Map<String, Long> all = new LinkedHashMap<>();
         for (Of of : Of.values()) {
--- a/durable/src/main/java/tallyweir/durable/Walk.java
+++ b/durable/src/main/java/tallyweir/durable/Walk.java
@@ -4,8 +4,9 @@
 import java.nio.ByteBuffer;
 
 /**
- * Goes through the frames of one segment, the head first, taking each from whichever copy has it whole. What the other
- * copy lacks is written to it again. Where neither has a frame, the next sector that holds a later one is looked for.
+ * Reads the frames of one segment in order, beginning with the head, each from a copy in which it is intact, and rewrites
+ * frames that are damaged in the other copy. If a frame is intact in neither copy, it searches sector by sector for a later
+ * one. Not thread-safe.
  */
 final class Walk {
     private final Log log;
@@ -22,10 +23,10 @@
     private int at;
 
     /**
-     * @param place where a frame begins, 0 for the head
-     * @param frame the number of the frame there (of the head: of the first after it)
-     * @param limit the number of the first frame that counts no longer
-     * @param compares whether the second copy is read, too, where the first is whole
+     * @param place the offset at which a frame begins, 0 for the head
+     * @param frame the number of the frame there (for the head, the number of the first frame after it)
+     * @param limit the number of the first frame that is not read
+     * @param compares whether the second copy is read and checked even if the frame is intact in the first
      */
     Walk(Log log, Segment segment, long place, long frame, long limit, boolean compares) {
         this.compares = compares;
@@ -37,7 +38,7 @@
         windows = new Window[] {new Window(segment.copies[0]), new Window(log.copies() > 1 ? segment.copies[1] : null)};
     }
 
-    /** Moves to the next frame that counts; false at the end. Fails only where neither copy can be read at all. */
+    /** Moves to the next frame before the limit; false at the end. Throws only if neither copy can be read at all. */
     boolean next() throws IOException {
         if (next > 0 && nextFrame >= limit) {
             return false;
@@ -49,7 +50,7 @@
         return true;
     }
 
-    /** Looks for the next whole frame from a place on. */
+    /** Searches for the next intact frame at or after an offset. */
     private boolean resume(long from) throws IOException {
         long size = Math.max(size(0), size(1));
         for (long place = from; place < size; place += log.sector()) {
@@ -107,7 +108,7 @@
         System.arraycopy(windows[of].buffer(), at, whole, 0, Format.FRAME + contentLength());
         try {
             if (segment.copies[copy] == null) {
-                throw new IOException("the file could not be made anew");
+                throw new IOException("the file could not be recreated");
             }
             segment.copies[copy].writeFully(place, ByteBuffer.wrap(whole));
             rewritten[copy] = true;
@@ -120,7 +121,7 @@
         }
     }
 
-    /** Forces what was written again; to be called at the end of each walk. */
+    /** Forces the repairs; must be called at the end of each walk. */
     void finish() {
         for (int c = 0; c < 2; c++) {
             if (rewritten[c]) {
@@ -133,12 +134,12 @@
         }
     }
 
-    /** Frames passed over so far, of which neither copy is good. */
+    /** The number of frames skipped so far because they are intact in neither copy. */
     long lost() {
         return lost;
     }
 
-    /** Whether what this walk found damaged could not be written again. */
+    /** Whether damage was found that could not be repaired. */
     boolean leftDamage() {
         return beyondRepair[0] || beyondRepair[1];
     }
@@ -151,17 +152,17 @@
         return windows[of].buffer();
     }
 
-    /** Where the content begins in the buffer. */
+    /** The index in the buffer at which the content begins. */
     int content() {
         return at + Format.FRAME;
     }
 
-    /** Where the content begins in the file, once a frame was found. */
+    /** The offset in the file at which the content begins; valid only after a frame was found. */
     long contentPlace() {
         return start() + Format.FRAME;
     }
 
-    /** Where the frame begins in the file. */
+    /** The offset in the file at which the frame begins; valid only after a frame was found. */
     long start() {
         return next - Format.align(Format.FRAME + contentLength(), log.sector());
     }
@@ -171,12 +172,12 @@
         return ByteBuffer.wrap(windows[of].buffer()).getInt(at + 12);
     }
 
-    /** The number after the last frame found. */
+    /** The number of the frame after the last one found. */
     long nextFrame() {
         return nextFrame;
     }
 
-    /** Where the frame after the last one found begins. */
+    /** The offset at which the frame after the last one found begins. */
     long nextPlace() {
         return next;
     }
--- a/durable/src/main/java/tallyweir/durable/Window.java
+++ b/durable/src/main/java/tallyweir/durable/Window.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 
-/** A piece of one file in memory, for reading frames one after the other. */
+/** A read buffer over one file, for reading frames sequentially. Not thread-safe. */
 final class Window {
     private static final int LEAST = 1 << 18;
 
@@ -11,10 +11,10 @@
     private byte[] buffer = new byte[LEAST];
     private long start;
     private int have;
-    /** Why the file could not be read at the last call, null if it could. */
+    /** The failure of the last read from the file, null if it succeeded. */
     IOException failed;
 
-    /** @param file null for a copy that is not there: then there are no bytes anywhere */
+    /** @param file the file, or null for a missing copy, which is treated as an empty file */
     Window(Disk.Handle file) {
         this.file = file;
     }
@@ -23,7 +23,7 @@
         return buffer;
     }
 
-    /** The index in the buffer of the bytes at a place, -1 where the file has fewer or cannot be read. */
+    /** The index in the buffer of the bytes at an offset, or -1 if the file has fewer bytes there or cannot be read. */
     int bytes(long place, int length) {
         if (place >= start && place + length <= start + have) {
             return (int) (place - start);
@@ -46,12 +46,17 @@
         }
     }
 
-    /** What was read is no longer what the file holds. */
+    /** Discards the buffer, because the file has changed. */
     void forget() {
         have = 0;
     }
 
-    /** The index of a whole frame that was written for this place under this number, -1 if there is none. */
+    /**
+     * The index in the buffer of an intact frame that was written at this offset of the segment, or -1 if there is none.
+     *
+     * @param number the frame's number, or a negative number to accept any
+     * @param checked whether to verify the checksum; false in drills only
+     */
     int frame(long place, long number, long storeId, int segment, boolean checked) {
         byte kind = place == 0 ? Format.HEAD : Format.DATA;
         int at = bytes(place, Format.FRAME);
--- a/durable/src/test/java/tallyweir/durable/AdminSocketTest.java
+++ b/durable/src/test/java/tallyweir/durable/AdminSocketTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Asking a process that holds a store, while it writes. */
+/** Sends commands to a process that has a store open while it writes. */
 @Timeout(60)
 class AdminSocketTest {
     private static final List<Namespace> SPACES = List.of(new Namespace("a", 1L << 30, false));
@@ -123,7 +123,7 @@
         List<String> said = ask("backup", to.toString());
         int after = acknowledged.get();
         while (acknowledged.get() < after + 50) {
-            Thread.onSpinWait(); // it goes on
+            Thread.onSpinWait(); // writes continue after the backup
         }
         stop.set(true);
         writer.join();
@@ -186,11 +186,11 @@
                 last = "";
             } catch (IOException full) {
                 last = full.getMessage();
-                assertTrue(last.contains("come again"), last);
+                assertTrue(last.contains("try again later"), last);
                 Thread.sleep(50);
             }
         }
-        assertEquals("", last, "they hold it up for good");
+        assertEquals("", last, "idle connections block the socket permanently");
         for (SocketChannel c : idle) {
             c.close();
         }
@@ -210,7 +210,7 @@
         assertTrue(ask("info").contains("keys\t0"));
         try (AdminSocket later = new AdminSocket(adminSocket, Map.of())) {
             store.close();
-            assertTrue(AdminSocket.answers(adminSocket), "whoever goes takes the admin socket of a later one away");
+            assertTrue(AdminSocket.answers(adminSocket), "closing deleted the admin socket of a later process");
         }
         store = open();
         assertTrue(assertThrows(IOException.class, () -> store.openAdminSocket(dir.resolve("x".repeat(120)), Map.of()))
--- a/durable/src/test/java/tallyweir/durable/CutTest.java
+++ b/durable/src/test/java/tallyweir/durable/CutTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The faults that the store is there for, and that each defence is what answers them. */
+/** Injects the faults that the store must survive, and checks that each defence is needed to survive them. */
 class CutTest {
     private static final int SEEDS = 6;
 
@@ -35,7 +35,8 @@
         for (int seed = 0; seed < SEEDS; seed++) {
             all.add(Drill.faults(seed, 80, Set.of()));
         }
-        all.add(Drill.faults(7, 400, Set.of())); // the clock steps back behind an expiry that compaction went by
+        all.add(Drill.faults(
+                7, 400, Set.of())); // the clock steps back before an expiry time that compaction has acted on
         assertEquals(List.of(), all.wrong());
     }
 
@@ -65,7 +66,7 @@
         assertTrue(t.openings() > 200, "only " + t.openings() + " openings");
     }
 
-    /** What no test can break is not known to be needed. */
+    /** A defence is shown to be needed only if a fault without it breaks the store. */
     @ParameterizedTest
     @EnumSource(Defence.class)
     void withoutOneOfItsDefencesTheStoreFails(Defence defence) throws IOException {
--- a/durable/src/test/java/tallyweir/durable/IndexTest.java
+++ b/durable/src/test/java/tallyweir/durable/IndexTest.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** The index beside a sorted map. */
+/** Compares the index with a sorted map under random changes. */
 class IndexTest {
     private static byte[] key(SplittableRandom chance, int alphabet) {
         int length = chance.nextInt(20) == 0 ? chance.nextInt(Format.KEY_MOST + 1) : chance.nextInt(6);
@@ -84,7 +84,7 @@
         List<String> wanted = plain.values().stream().map(IndexTest::text).toList();
         assertEquals(wanted, all(index));
         assertEquals(plain.size(), index.size());
-        assertEquals(keptShows, all(kept), "an older index shows something else");
+        assertEquals(keptShows, all(kept), "an older index has changed");
         assertEquals(wanted, all(Index.of(index.leaves())));
         assertEquals(wanted, all(Index.ofSorted(new ArrayList<>(plain.values()))));
         long[] seen = new long[1];
