--- a/durable/src/main/java/tallyweir/durable/AdminCommands.java
+++ b/durable/src/main/java/tallyweir/durable/AdminCommands.java
@@ -140,7 +140,7 @@
         try {
             return text.equals(NONE) ? absent : Long.parseLong(text);
         } catch (NumberFormatException e) {
-            throw new IOException("'" + text + "' is no number");
+            throw new IOException("'" + text + "' is not a number");
         }
     }
 
--- a/durable/src/main/java/tallyweir/durable/Batch.java
+++ b/durable/src/main/java/tallyweir/durable/Batch.java
@@ -19,7 +19,10 @@
         return put(namespace, key, value, 0);
     }
 
-    /** Adds a write of a value that expires at a time in tenths of a millisecond since 1970, 0 for never. The arrays are not copied. */
+    /**
+     * Adds a write of a value that expires at a time in tenths of a millisecond since 1970, 0 for never. The arrays are not
+     * copied.
+     */
     public Batch put(String namespace, byte[] key, byte[] value, long expires) {
         if (value == null || expires < 0) {
             throw new IllegalArgumentException(value == null ? "no value" : "expires is " + expires);
--- a/durable/src/main/java/tallyweir/durable/Head.java
+++ b/durable/src/main/java/tallyweir/durable/Head.java
@@ -63,7 +63,11 @@
         }
     }
 
-    /** Parses a head; null if the content is too short, which happens only with checksums disabled. Throws if the format is newer. */
+    /**
+     * Parses a head; null if the content is too short, which happens only with checksums disabled.
+     *
+     * @throws Refused NEWER_FORMAT if the version is higher than this program supports
+     */
     static Head of(byte[] content) throws Refused {
         try {
             ByteBuffer in = ByteBuffer.wrap(content);
