--- a/durable/src/main/java/tallyweir/durable/Committer.java
+++ b/durable/src/main/java/tallyweir/durable/Committer.java
@@ -12,13 +12,15 @@
 import tallyweir.durable.Refused.Cause;
 
 /**
- * Many writers, one force: a thread of its own takes all batches that wait, writes them as one group, forces once and
- * answers all. Between groups and while nothing waits it does the store's upkeep, at a bounded rate.
+ * Group commit: one dedicated thread takes all pending batches, writes them as one group with a single force and then
+ * completes their futures. Between groups, and while no batch is pending, it runs the store's upkeep at a bounded rate.
+ * Any thread may submit.
  */
 public final class Committer implements AutoCloseable {
     private static final int STEP = 64 << 10;
-    private static final int REST = 3; // times as long as a step took, before the next while writers wait
-    private static final long IDLE_LOOK = 20_000_000; // ns between looks for upkeep where nothing is written
+    private static final int REST =
+            3; // pause after an upkeep step while writers wait, in multiples of the step's duration
+    private static final long IDLE_LOOK = 20_000_000; // between checks for upkeep while nothing is written
 
     private record Waiting(Batch batch, CompletableFuture<Void> answer) {}
 
@@ -37,29 +39,29 @@
     private volatile Runnable onFenced;
 
     /**
-     * @param pendingMost bytes of batches that may wait, beyond which a batch is refused at once
-     * @param forceEvery the least time between two groups, nanoseconds; 0 for as fast as the disk goes
-     * @param upkeepRate bytes a second that upkeep may read and write
+     * @param pendingMost maximum bytes of pending batches; a batch beyond that is refused at once
+     * @param forceEvery minimum time between two groups in nanoseconds; 0 for no limit but the disk's speed
+     * @param upkeepBytesPerSecond maximum bytes per second that upkeep reads and writes
      */
-    public Committer(Durable store, long pendingMost, long forceEvery, long upkeepRate) {
-        this(store, pendingMost, forceEvery, upkeepRate, new Times());
+    public Committer(Durable store, long pendingMost, long forceEvery, long upkeepBytesPerSecond) {
+        this(store, pendingMost, forceEvery, upkeepBytesPerSecond, new Times());
     }
 
-    /** The same, and tells how long its steps take. */
-    Committer(Durable store, long pendingMost, long forceEvery, long upkeepRate, Times times) {
+    /** Also records how long groups and upkeep steps take. */
+    Committer(Durable store, long pendingMost, long forceEvery, long upkeepBytesPerSecond, Times times) {
         this.store = store;
         this.times = times;
         this.pendingMost = pendingMost;
         this.forceEvery = forceEvery;
-        this.upkeepRate = upkeepRate / 1e9;
+        this.upkeepRate = upkeepBytesPerSecond / 1e9;
         thread = new Thread(this::run, "durable committer");
         thread.setDaemon(true);
         thread.start();
     }
 
     /**
-     * Hands a batch over and returns at once. The future ends once the batch is on the disk, or with its
-     * {@link Refused}; what hangs on it runs on a thread of the committer and must be short.
+     * Queues a batch and returns at once. The future completes once the batch is on the disk, or exceptionally with a
+     * {@link Refused}. Its dependent actions may run on the committer's thread and must be short.
      */
     public CompletableFuture<Void> submit(Batch batch) {
         CompletableFuture<Void> answer = new CompletableFuture<>();
@@ -69,7 +71,8 @@
             if (closing) {
                 refused = new Refused(Cause.CLOSED, "the store is closed");
             } else if (pending > 0 && pending + batch.bytes() > pendingMost) {
-                refused = new Refused(Cause.BUSY, pending + " bytes wait for the disk, the most is " + pendingMost);
+                refused = new Refused(
+                        Cause.BUSY, pending + " bytes are waiting for the disk, the maximum is " + pendingMost);
             } else {
                 pending += batch.bytes();
                 waiting.add(new Waiting(batch, answer));
@@ -86,7 +89,7 @@
         return answer;
     }
 
-    /** Writes a batch and waits until it is on the disk. */
+    /** Writes a batch and blocks until it is on the disk. */
     public void write(Batch batch) throws Refused {
         try {
             submit(batch).get();
@@ -101,12 +104,12 @@
         }
     }
 
-    /** What to do, once, when another process has taken the store over; it runs on a thread of the committer. */
+    /** Sets an action to run once, on the committer's thread, when another process has taken the store over. */
     public void onFenced(Runnable then) {
         onFenced = then;
     }
 
-    /** Why upkeep failed last; null if it did not, or has worked since. */
+    /** The failure of the latest upkeep step, or null if that step succeeded. */
     public IOException upkeepFailed() {
         return upkeepFailed;
     }
@@ -154,7 +157,10 @@
         }
     }
 
-    /** All that waits, once there is something and the last group is long enough ago; null at the end. */
+    /**
+     * Takes all pending batches, not before the minimum interval since the last group. Empty if none came within
+     * {@code wait} nanoseconds; null once the committer is closed and nothing is pending.
+     */
     private ArrayDeque<Waiting> take(long lastGroup, long wait) {
         lock.lock();
         try {
@@ -173,7 +179,7 @@
             waiting = new ArrayDeque<>();
             return all;
         } catch (InterruptedException e) {
-            return new ArrayDeque<>(); // nobody has a reason to
+            return new ArrayDeque<>(); // nothing interrupts this thread
         } finally {
             lock.unlock();
         }
@@ -197,9 +203,9 @@
             pending -= bytes;
             lock.unlock();
         }
-        // Before the next group begins: whoever writes on and on is then in it. Answers given beside it were measured
-        // to
-        // halve the groups, and with them the writes a second.
+        // Futures are completed before the next group is taken, so that a caller that writes continuously is part of
+        // that group. Completing them concurrently with the next group was measured to halve the group size, and with
+        // it the writes per second.
         answer(group, refused);
     }
 
@@ -215,7 +221,7 @@
         }
     }
 
-    /** Writes what waits, then ends; the store stays open. */
+    /** Writes the pending batches and stops the thread. Does not close the store. */
     @Override
     public void close() {
         lock.lock();
--- a/durable/src/main/java/tallyweir/durable/Drill.java
+++ b/durable/src/main/java/tallyweir/durable/Drill.java
@@ -15,13 +15,13 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 
-/** Plays the faults that the store is there for and counts what went wrong. */
+/** Fault-injection tests of the store: power cuts, failing disks, damaged files, lost locks. Counts the violations. */
 public final class Drill {
     static final int SECTOR = 512;
     static final int SEGMENT = 4_096;
     private static final double DEAD = 0.4;
 
-    /** What a part of the drill saw. */
+    /** Results of a part of the drill. Thread-safe, except the argument of {@link #add}, which must not change meanwhile. */
     public static final class Tally {
         private long openings;
         private long lost;
@@ -30,27 +30,27 @@
         private long cutInOpening;
         private final List<String> wrong = new ArrayList<>();
 
-        /** How often the store was opened. */
+        /** Number of openings of the store. */
         public synchronized long openings() {
             return openings;
         }
 
-        /** Acknowledged records that were not found as written. */
+        /** Number of acknowledged records not found as written. */
         public synchronized long lost() {
             return lost;
         }
 
-        /** Records that were returned and should not have been. */
+        /** Number of records returned that should not have been. */
         public synchronized long torn() {
             return torn;
         }
 
-        /** Openings that failed. */
+        /** Number of failed openings. */
         public synchronized long failed() {
             return failed;
         }
 
-        /** The first things that went wrong, in words. */
+        /** Descriptions of the first 20 violations. */
         public synchronized List<String> wrong() {
             return List.copyOf(wrong);
         }
@@ -74,7 +74,7 @@
             }
         }
 
-        /** How many of the openings were themselves cut. */
+        /** Number of openings during which the power was cut. */
         public synchronized long cutInOpening() {
             return cutInOpening;
         }
@@ -112,7 +112,7 @@
 
     private Drill() {}
 
-    /** The two directories of one simulated machine. */
+    /** The two simulated disks of one machine and their power supply. */
     private static final class Machine {
         private SimDisk first;
         private SimDisk second;
@@ -158,12 +158,12 @@
     }
 
     /**
-     * Plays a history until the power is cut within an operation, for every one in turn; then opens what is left, with
-     * a further cut within the opening every other time, and compares.
+     * Plays a history until the power is cut during an operation, for each operation in turn; then opens the store and
+     * compares it with the model. Except for the first fate, the power is cut again during the opening.
      *
-     * @param steps of the history
-     * @param every which operations: 1 for all, 2 for every other
-     * @param fates how often each cut is played, the disks keeping other things each time
+     * @param steps length of the history
+     * @param every step between the operations tried: 1 for all, 2 for every second one
+     * @param fates number of times each cut is played, with different surviving sectors and names
      */
     public static Tally cuts(long seed, int steps, int every, int fates, Set<Defence> without) {
         Tally t = new Tally();
@@ -178,7 +178,7 @@
         }
     }
 
-    /** True if the history was over before the cut. */
+    /** Returns true if the history ended before the cut. */
     private static boolean cut(long seed, int steps, long at, int fate, Tally t, Set<Defence> without) {
         String when = "seed " + seed + ", cut " + at + ", fate " + fate;
         SplittableRandom chance = new SplittableRandom(seed * 1_000_003 + at * 31 + fate);
@@ -221,8 +221,8 @@
     }
 
     /**
-     * Plays histories on disks that fail otherwise than by a cut: forces fail, the room ends, nothing can be written for
-     * a while; a cut follows each.
+     * Plays histories on disks with temporary faults: failing forces, a full disk, a read-only disk. Each history ends
+     * with a power cut.
      */
     public static Tally faults(long seed, int rounds, Set<Defence> without) {
         Tally t = new Tally();
@@ -269,8 +269,8 @@
     }
 
     /**
-     * The lock is lost and a second process opens a store that a first one still has: whatever either acknowledged, in
-     * whatever order they go on, is found after a cut, the later over the earlier.
+     * Opens a store a second time while the first holder still runs, as after a lost lock. Everything that any holder
+     * acknowledged must be found after a power cut, the later write over the earlier, in whatever order they wrote.
      */
     public static Tally turns(long seed, int rounds, Set<Defence> without) {
         Tally t = new Tally();
@@ -347,13 +347,14 @@
                 d.upkeep(SEGMENT);
             }
         } catch (IOException hindered) {
-            return; // whoever has been taken over from
+            return; // a holder that has been fenced off
         }
     }
 
     /**
-     * A key is written for good, then again for a while or deleted, in another segment, which is compacted while the
-     * segment of the first version stays: however the store is opened then, the first version must not come back.
+     * Writes a key without expiry, then deletes it or overwrites it with an expiring value in another segment, and
+     * compacts that segment while the one with the first version stays. The first version must not reappear at any
+     * later opening, with or without an index snapshot.
      */
     public static Tally oldVersions(long seed, int rounds, Set<Defence> without) {
         Tally t = new Tally();
@@ -426,12 +427,12 @@
     }
 
     /**
-     * Writes a history, ends it, and then for each file of the store: cuts it off at every offset, and changes the byte
-     * at every offset; each time the store is opened and compared with the history.
+     * Plays a history and closes the store, then damages one file at a time: removes it, truncates it at each offset or
+     * changes the byte at each offset. Each time the store is opened and compared with the history.
      *
-     * @param dir where copies of the store are laid, one for each thread; null for disks in memory
-     * @param steps of the history
-     * @param every which offsets: 1 for all
+     * @param dir directory for copies of the store, one per thread; null for disks in memory
+     * @param steps length of the history
+     * @param every step between the offsets tried: 1 for all
      */
     public static Tally damage(Path dir, long seed, int steps, int every, int threads, Set<Defence> without)
             throws IOException {
@@ -484,7 +485,7 @@
         return t;
     }
 
-    /** One damage: a file gone (at is -1), cut off at an offset (flip is 0), or a byte changed there. */
+    /** One damage: a file removed (at is -1), truncated at an offset (flip is 0), or a byte changed there. */
     private record Case(int copy, String name, int at, int flip) {
         byte[] of(byte[] whole) {
             if (flip == 0) {
@@ -518,7 +519,7 @@
         }
     }
 
-    /** A copy of a store's files in which one at a time is damaged. */
+    /** A copy of a store's files, of which one at a time is damaged. */
     private static final class Rig {
         private final List<Map<String, byte[]>> files = new ArrayList<>();
         private final Path dir;
@@ -552,7 +553,7 @@
             return disk;
         }
 
-        /** Files are written only where they are not as they should be. */
+        /** Writes only files whose content differs from the wanted one. */
         private Disk directory(int copy, Case c) throws IOException {
             Path to = dir.resolve(copy == 0 ? "first" : "second");
             FileDisk disk = new FileDisk(to);
--- a/durable/src/main/java/tallyweir/durable/Durable.java
+++ b/durable/src/main/java/tallyweir/durable/Durable.java
@@ -17,13 +17,13 @@
 import tallyweir.durable.Refused.Cause;
 
 /**
- * The embedded store. What {@link #commit} has returned without a refusal is on the disk in two copies and is found by
- * every later opening, whichever one file is damaged in between; what was not is found whole, by batches, or not at
- * all. One thread at a time writes or keeps up ({@link Committer} is such a thread); any number read meanwhile and
- * never wait for it.
+ * Embedded log-structured key-value store. A batch that {@link #commit} returned without a refusal is on the disk in two
+ * copies and is found by every later opening, even if any one file is damaged in between. A batch without
+ * acknowledgement is found as a whole or not at all. One thread at a time writes or does upkeep ({@link Committer} is
+ * such a thread); any number of threads read concurrently without blocking.
  */
 public final class Durable implements AutoCloseable {
-    private static final long SWEEP_AT_BOUND = 10_000; // not more often than once a second
+    private static final long SWEEP_AT_BOUND = 10_000; // at most once a second
 
     private final Log log;
     private final Both both;
@@ -47,22 +47,22 @@
     private volatile boolean closed;
 
     /**
-     * Opens a store, or makes one where there is none. Opening is recovery.
+     * Opens a store, creating it if there is none. Opening always runs recovery.
      *
-     * @param first one copy of the log, and the index snapshots
-     * @param second the other copy; best on another disk
-     * @param both how the two are written
-     * @param segmentBytes where a segment ends and the next begins, 4,096 to 1 GiB
-     * @param sector bytes that the disk writes as one, 512 to 65,536; not to change once there is a store
-     * @param deadShare the share of all bytes that may be dead before segments are compacted, above 0 and under 1
-     * @param scrubEvery the time between scrubs, tenths of a millisecond, 0 for none
-     * @param opened the namespaces that may be written; others that are there can be read
-     * @param seed of the chance by which a new store is named
-     * @param clock the time, tenths of a millisecond since 1970; it may step
-     * @param aside runs what takes long beside the writing, as writing an index snapshot
-     * @param without defences that are off, for drills only
-     * @throws Refused IN_USE, NEWER_FORMAT
-     * @throws IOException where neither copy of something can be read
+     * @param first directory of one copy of the log and of the index snapshots
+     * @param second directory of the other copy, preferably on another disk
+     * @param both how the two copies are written: in turn or concurrently
+     * @param segmentBytes maximum segment size, 4,096 to 1 GiB
+     * @param sector bytes that the disk writes atomically, 512 to 65,536; must not change once the store exists
+     * @param deadShare share of all bytes that may be dead before segments are compacted, 0 to 1 exclusive
+     * @param scrubEvery interval between scrubs in tenths of a millisecond, 0 for none
+     * @param opened namespaces that may be written; other existing ones can only be read
+     * @param seed for the random id of a new store
+     * @param clock tenths of a millisecond since 1970; may step back
+     * @param aside runs long tasks outside the writing thread, such as writing an index snapshot
+     * @param without disabled defences, for drills only
+     * @throws Refused with cause IN_USE or NEWER_FORMAT
+     * @throws IOException if something needed can be read in neither copy
      */
     public Durable(
             Disk first,
@@ -100,7 +100,7 @@
         }
     }
 
-    /** Before the log is read, so that nothing is acknowledged by an older holder after it was. */
+    /** Raises the fence before the log is read, so that an older holder acknowledges nothing after that. */
     private void takeTurn(Disk first, Disk second) throws IOException {
         if (!log.has(Defence.FENCE)) {
             return;
@@ -112,11 +112,11 @@
         } catch (Refused r) {
             throw r;
         } catch (IOException e) {
-            figures.add(Figures.Of.TURNS_NOT_TAKEN); // reading goes on; the first write tries again
+            figures.add(Figures.Of.TURNS_NOT_TAKEN); // the store can still be read; the first write retries
         }
     }
 
-    /** Whether another process has taken the store over; everything written since is refused. */
+    /** Whether another process has taken the store over; from then on all writes here are refused. */
     public boolean fenced() {
         return log.fenced();
     }
@@ -157,7 +157,7 @@
         return new State(index, Index.ofSorted(ages), used, keys, log.lastStamp());
     }
 
-    /** The time that expiry goes by: it never goes back behind the last write. */
+    /** The time used for expiry, in tenths of a millisecond since 1970; never behind the last write. */
     public long now() {
         return Math.max(clock.getAsLong(), Stamp.time(state.lastStamp()));
     }
@@ -166,12 +166,12 @@
         return figures;
     }
 
-    /** Whether this opening went by an index snapshot. */
+    /** Whether this opening used an index snapshot. */
     public boolean openedFromSnapshot() {
         return openedFromSnapshot;
     }
 
-    /** How often the store has been opened for writing, this time included. */
+    /** Number of openings of the store for writing, including this one. */
     public long opening() {
         return log.opening();
     }
@@ -179,8 +179,8 @@
     // ---- writing
 
     /**
-     * Writes batches, as many of them at once as fit one frame. When it returns, each is on the disk, or has its
-     * refusal at its place in what is returned; null there is an acknowledgement.
+     * Writes batches, as many per frame as fit. On return each batch is on the disk or has been refused: the result holds
+     * at the batch's position its refusal, or null if it is acknowledged.
      */
     public synchronized List<Refused> commit(List<Batch> batches) {
         Refused[] answers = new Refused[batches.size()];
@@ -197,7 +197,7 @@
         return Arrays.asList(answers);
     }
 
-    /** Writes one batch; returns once it is on the disk. */
+    /** Writes one batch and returns once it is on the disk. */
     public void commit(Batch batch) throws Refused {
         Refused answer = commit(List.of(batch)).get(0);
         if (answer != null) {
@@ -224,7 +224,7 @@
                         g = new Group(state, log.room(bytes), namespaces, bytes + 2 * Format.FRAME);
                         answers[i] = add(g, batches.get(i), now);
                     } else {
-                        sweptAtBound = Long.MIN_VALUE / 2; // its turn is the next group's
+                        sweptAtBound = Long.MIN_VALUE / 2; // lets the next group sweep
                     }
                 }
             }
@@ -245,7 +245,7 @@
         }
     }
 
-    /** Puts a frame on the disk and shows what it changes; the index is brought up to it while the disk works. */
+    /** Writes a frame to the disk and publishes its state. Deferred index changes are applied while the disk writes. */
     private void write(Group g) throws Refused {
         if (g.records() > 0) {
             log.append(g.bytes(log.sector()), g.contentLength(), g::apply);
@@ -256,7 +256,7 @@
         state = g.state();
     }
 
-    /** Whether no bound can be passed, even if every record were a new one. */
+    /** Whether no namespace can exceed its bound even if every record is under a new key. */
     private boolean fits(List<Batch> batches, int from, int to) {
         long[] more = new long[namespaces.length];
         for (int i = from; i < to; i++) {
@@ -316,7 +316,7 @@
                     return new Refused(
                             Cause.AT_BOUND,
                             "namespace " + namespaces[n].name() + " holds " + before[n] + " of "
-                                    + namespaces[n].boundBytes() + " bytes and would pass them");
+                                    + namespaces[n].boundBytes() + " bytes and would exceed them");
                 }
                 g.delete(n, oldest, now);
                 figures.add(Figures.Of.DROPPED_OLDEST);
@@ -327,21 +327,21 @@
 
     private Refused wrong(Batch b) {
         String what = b.bytes() > Format.BATCH_MOST
-                ? "a batch of " + b.bytes() + " bytes, the most is " + Format.BATCH_MOST
+                ? "a batch of " + b.bytes() + " bytes, the maximum is " + Format.BATCH_MOST
                 : null;
         for (Batch.Write w : b.writes) {
             if (!numbers.containsKey(w.namespace())) {
                 what = "namespace " + w.namespace() + " was not opened";
             } else if (w.key().length > Format.KEY_MOST) {
-                what = "a key of " + w.key().length + " bytes, the most is " + Format.KEY_MOST;
+                what = "a key of " + w.key().length + " bytes, the maximum is " + Format.KEY_MOST;
             } else if (!w.isDelete() && w.value().length > Format.VALUE_MOST) {
-                what = "a value of " + w.value().length + " bytes, the most is " + Format.VALUE_MOST;
+                what = "a value of " + w.value().length + " bytes, the maximum is " + Format.VALUE_MOST;
             }
         }
         return what == null ? null : new Refused(Cause.TOO_LONG, what);
     }
 
-    /** Writes records of another store as they were there, stamps and all. */
+    /** Writes records of another store unchanged, including their stamps. */
     synchronized void take(String namespace, List<Found> records, long bytes) throws Refused {
         Group g = new Group(state, log.room(bytes), namespaces, bytes + 2 * Format.FRAME);
         int n = numbers.get(namespace);
@@ -353,12 +353,12 @@
 
     // ---- reading
 
-    /** How many keys there are in all, those counted that have expired and were not yet swept away. */
+    /** Number of keys in all namespaces, including expired ones not swept yet. */
     public long keys() {
         return state.index().size();
     }
 
-    /** Null if there is no such key, or its time is over. Never waits for a write. */
+    /** Returns the record of a key, or null if there is none or it has expired. Never blocks on a write. */
     public Found get(String namespace, byte[] key) throws Refused {
         while (true) {
             Integer n = numbers.get(namespace);
@@ -372,7 +372,7 @@
                 if (closed) {
                     throw figures.count(new Refused(Cause.CLOSED, "the store is closed"));
                 }
-                continue; // compacted away just now: the next look finds it where it was moved to
+                continue; // compacted concurrently: the next attempt finds the record at its new place
             }
             try {
                 long second = figures.get(Figures.Of.SECOND_READS);
@@ -390,20 +390,20 @@
         }
     }
 
-    /** Whether there is such a key, by the index alone: no disk is read. */
+    /** Whether a key exists and has not expired. Looks only at the index, without reading the disk. */
     public boolean contains(String namespace, byte[] key) {
         Integer n = numbers.get(namespace);
         Index.Entry e = n == null ? null : state.index().get(Index.key(n, key));
         return e != null && (e.expires() == 0 || e.expires() > now());
     }
 
-    /** Bytes that a namespace which was opened may still take; what has expired and was not yet swept away counts. */
+    /** Bytes that an opened namespace may still take; expired records not swept yet count as used. */
     public long room(String namespace) {
         int n = numbers.get(namespace);
         return namespaces[n].boundBytes() - state.used()[n];
     }
 
-    /** The store as it is now, to be read while writes go on; to be closed. */
+    /** Returns a view of the store as it is now, readable while writes continue. The caller must close it. */
     public View view() {
         while (true) {
             long before = retirements;
@@ -421,7 +421,7 @@
         }
     }
 
-    /** How many namespaces hold how much, and the state of the log, for operators; in a fixed order. */
+    /** State of the log and sizes of the namespaces, for operators, in a fixed order. */
     public synchronized Map<String, Object> info() {
         Map<String, Object> info = new java.util.LinkedHashMap<>();
         info.put("store", String.format("%016x", log.storeId()));
@@ -463,9 +463,9 @@
     // ---- upkeep
 
     /**
-     * Does one step of what is due: deleting, mending, compacting, sweeping, snapshots, scrubbing.
+     * Does one step of the next job: deletion, repair, compaction, sweep, snapshot or scrub.
      *
-     * @param bytes about how many to read and write in the step
+     * @param bytes approximate number of bytes to read and write in the step
      * @return whether there was anything to do
      */
     public synchronized boolean upkeep(long bytes) throws IOException {
@@ -530,7 +530,7 @@
             }
         } catch (IOException e) {
             compactionWrote = 0;
-            compaction = null; // begins anew when there is room; what was moved stays moved
+            compaction = null; // restarts once there is space; records already moved stay moved
             throw e;
         }
     }
@@ -555,7 +555,7 @@
         }
     }
 
-    /** Forgets what has expired among the next keys; false after the last. */
+    /** Removes expired records among the next keys from the index; returns false after the last key. */
     private boolean sweep(int keys, long now) {
         Group g = new Group(state, null, namespaces, 0);
         Index.Entry e = state.index().atOrAfter(sweptTo == null ? new byte[0] : sweptTo);
@@ -577,15 +577,15 @@
         return e != null;
     }
 
-    /** Writes all that is current anew. */
+    /** Compacts all segments. */
     public void compactAll() throws IOException {
         compactAll(done -> {});
     }
 
     /**
-     * Writes all that is current anew and gives back the rest; for operators.
+     * Rewrites all current records and frees the remaining space; for operators.
      *
-     * @param progress told the bytes of each copy that are done, after each segment
+     * @param progress called after each segment with the bytes of each copy done so far
      */
     public synchronized void compactAll(LongConsumer progress) throws IOException {
         long done = 0;
@@ -605,9 +605,9 @@
     }
 
     /**
-     * Compares the copies of everything and mends what is damaged in one; for operators.
+     * Compares the two copies of all segments and repairs what is damaged in one of them; for operators.
      *
-     * @param progress told the bytes of each copy that are done, after each segment
+     * @param progress called after each segment with the bytes of each copy done so far
      */
     public synchronized void scrubAll(LongConsumer progress) throws IOException {
         long done = 0;
@@ -620,25 +620,25 @@
     }
 
     /**
-     * Has the scrub begin as soon as nothing more urgent is due, whatever its period.
+     * Requests a scrub to start as soon as no more urgent job is due, regardless of its interval.
      *
-     * @return what {@link Figures.Of#SCRUBS} will be once a whole pass that began after this call is through
+     * @return the value of {@link Figures.Of#SCRUBS} once a complete pass started after this call has finished
      */
     public synchronized long scrubSoon() {
         return figures.get(Figures.Of.SCRUBS) + (upkeep.scrubSoon() ? 2 : 1);
     }
 
-    /** Whether it has ended. */
+    /** Whether the store is closed. */
     public boolean isClosed() {
         return closed;
     }
 
-    /** Bytes that the disk writes as one. */
+    /** Bytes that the disk writes atomically. */
     public int sector() {
         return log.sector();
     }
 
-    /** Writes down the index as it is now, beside the writing; nothing if the last is still being written. */
+    /** Starts writing a snapshot of the current index in the background, unless one is being written already. */
     public synchronized void snapshot() {
         if (snapshotInHand || log.fenced()) {
             return;
@@ -663,7 +663,7 @@
                 f.write(log.disk(0), log.storeId());
                 figures.add(Figures.Of.SNAPSHOTS);
             } catch (IOException e) {
-                // It only helps; the next opening reads the log.
+                // A snapshot is optional: without it the next opening reads the log.
                 figures.add(Figures.Of.SNAPSHOTS_DISTRUSTED);
             } finally {
                 snapshotInHand = false;
@@ -671,7 +671,7 @@
         });
     }
 
-    /** Writes down the index and ends. Views that are open end with it. */
+    /** Writes an index snapshot and closes the store. Open views become unusable. */
     @Override
     public synchronized void close() {
         if (closed) {
@@ -684,7 +684,7 @@
         abandon();
     }
 
-    /** Ends without another word to the disk, as a cut of the power would. */
+    /** Closes the store without writing anything more, as a power cut would. Waits for a snapshot being written. */
     public synchronized void abandon() {
         closed = true;
         while (snapshotInHand) {
@@ -699,7 +699,7 @@
             try {
                 lock.close();
             } catch (IOException e) {
-                continue; // the process's end gives it back
+                continue; // released when the process ends
             }
         }
         locks.clear();
--- a/durable/src/main/java/tallyweir/durable/Group.java
+++ b/durable/src/main/java/tallyweir/durable/Group.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * One frame being put together, and the state as it will be once the frame is on the disk. What a batch added can be
- * taken back as long as nothing came after it.
+ * Builds one frame and the state that takes effect once the frame is on the disk. The latest batch can be rolled back
+ * until another one is added. Used by the writing thread only.
  */
 final class Group {
     private final Segment to;
@@ -21,14 +21,14 @@
     private long lastStamp;
     private int records;
     private int changes;
-    // What changes in segments: its number, values, current ones, their bytes, tombstone bytes, a tombstone's stamp.
+    // Fields per segment change: number, values, current values, their bytes, tombstone bytes, latest tombstone stamp.
     private static final int WIDE = 6;
     private long[] segments = new long[WIDE * 16];
     private Group before;
-    // Changes of the index that wait until the disk is at work; null where each is made at once.
+    // State changes deferred until the disk is writing; null if each change is applied at once.
     private List<Runnable> later;
 
-    /** @param to null where nothing is to be written */
+    /** @param to segment for the frame, null if nothing will be written */
     Group(State from, Segment to, Namespace[] namespaces, long room) {
         this.to = to;
         this.namespaces = namespaces;
@@ -53,12 +53,12 @@
         changes = g.changes;
     }
 
-    /** From here on the state changes only with {@link #apply}: bounds need not be looked at, nothing is taken back. */
+    /** Defers state changes until {@link #apply}. Only valid if no bound has to be checked and nothing is rolled back. */
     void applyLater() {
         later = new ArrayList<>();
     }
 
-    /** Makes the changes of the state that wait. */
+    /** Applies the deferred state changes. */
     void apply() {
         List<Runnable> now = later == null ? List.of() : later;
         later = null;
@@ -73,12 +73,12 @@
         }
     }
 
-    /** Remembers this point. */
+    /** Sets the savepoint for {@link #back}. */
     void mark() {
         before = new Group(this);
     }
 
-    /** Goes back to the point remembered last. */
+    /** Rolls back to the last savepoint. */
     void back() {
         index = before.index;
         ages = before.ages;
@@ -114,7 +114,7 @@
         return new State(index, ages, used, keys, lastStamp);
     }
 
-    /** The buffer, as long as the sectors that the frame takes at the least. */
+    /** The frame's buffer, at least as long as the frame rounded up to complete sectors. */
     byte[] bytes(int sector) {
         int length = (int) Format.align(at, sector);
         if (bytes.length < length) {
@@ -134,18 +134,18 @@
         return from;
     }
 
-    /** A new value. */
+    /** Writes a new value under the next stamp. */
     void put(int namespace, byte[] key, byte[] value, long expires, long now) {
         lastStamp = Stamp.next(lastStamp, now);
         place(namespace, key, value, lastStamp, expires);
     }
 
-    /** The current value of a key again, at a new place. */
+    /** Rewrites the current value of a key at a new place, with its old stamp. */
     void move(Format.Rec r) {
         place(r.namespace(), r.key(), r.value(), r.stamp(), r.expires());
     }
 
-    /** A record of another store. */
+    /** Writes a record of another store, with its stamp. */
     void take(int namespace, Found f) {
         lastStamp = Math.max(lastStamp, f.stamp());
         place(namespace, f.key(), f.value(), f.stamp(), f.expires());
@@ -169,13 +169,13 @@
         change(to.number, 1, 1, length, 0, 0);
     }
 
-    /** Deletes a key; a tombstone is written whether it is there or not. */
+    /** Deletes a key; writes a tombstone even if the key does not exist. */
     void delete(int namespace, byte[] key, long now) {
         lastStamp = Stamp.next(lastStamp, now);
         tombstone(namespace, key, lastStamp);
     }
 
-    /** The tombstone of a stamp; what has a higher one stays. */
+    /** Writes a tombstone with the given stamp; a value with a higher stamp is kept. */
     void tombstone(int namespace, byte[] key, long stamp) {
         int from = write(Format.DELETE, namespace, stamp, 0, key, null);
         int length = at - from;
@@ -191,7 +191,7 @@
         change(to.number, 0, 0, 0, length, stamp);
     }
 
-    /** Takes a key out of the state, without a word in the log. */
+    /** Removes a key from the state without writing to the log. */
     void forget(byte[] key) {
         Index.Entry old = index.get(key);
         if (old == null) {
@@ -208,20 +208,20 @@
     }
 
     /**
-     * Something went because its time was over: the store's time does not go back behind that, or the same record would be
-     * missed by a later reader whose clock has stepped back.
+     * Advances the store's time to the time at which a record was removed as expired. The time must not go back behind
+     * it, or a later reader whose clock has stepped back would expect the record and not find it.
      */
     void reached(long now) {
         lastStamp = Stamp.next(lastStamp, now);
     }
 
-    /** The same on the disk, too: a record of no segment that carries the time. */
+    /** Does the same on the disk, too: writes a record that drops no segment (number 0) but carries the time. */
     void tellsTime(long now) {
         reached(now);
         dropped(0);
     }
 
-    /** Says that a segment is gone. */
+    /** Writes a record that a segment was dropped. */
     void dropped(int segment) {
         write(
                 Format.DROPPED,
@@ -232,7 +232,7 @@
                 null);
     }
 
-    /** The key of the oldest record of a namespace, if it is older than a stamp; else null. */
+    /** Returns the key of a namespace's oldest record if it is older than a stamp, else null. */
     byte[] oldest(int namespace, long than) {
         Index.Entry e = ages.atOrAfter(Index.key(namespace, new byte[0]));
         if (e == null || e.namespace() != namespace || e.stamp() >= than) {
@@ -250,7 +250,7 @@
         changes++;
     }
 
-    /** Carries what has changed over to the segments; to be called once the frame is on the disk. */
+    /** Applies the changes to the segments' counts; to be called once the frame is on the disk. */
     void settle(Log log) {
         for (int i = 0; i < changes * WIDE; i += WIDE) {
             Segment s = log.segment((int) segments[i]);
--- a/durable/src/main/java/tallyweir/durable/History.java
+++ b/durable/src/main/java/tallyweir/durable/History.java
@@ -15,11 +15,11 @@
 import tallyweir.durable.Refused.Cause;
 
 /**
- * A history of writes drawn from a seed, and beside it a plain model: a map for each namespace, and what may have become
- * of writes that were not acknowledged. Knows the store only from outside.
+ * A pseudo-random history of writes generated from a seed, checked against a simple model: one map per namespace, plus
+ * the possible outcomes of writes that were not acknowledged. Does not depend on the store's internals.
  */
 final class History {
-    /** Opens the store that the history is about. */
+    /** Opens the store under test. */
     interface Opener {
         Durable open() throws IOException;
     }
@@ -35,7 +35,7 @@
         }
     }
 
-    /** All that is there: keys in the order of their last writing. */
+    /** Expected content: keys in the order of their last write. */
     private static final class Model {
         private final Map<String, LinkedHashMap<String, Value>> spaces = new HashMap<>();
 
@@ -53,7 +53,7 @@
                     .sum();
         }
 
-        /** The model with a batch in it, null where it must be refused. */
+        /** Returns the model after a batch, or null if the batch must be refused. */
         Model with(Batch b) {
             Model m = new Model(this);
             Map<String, Set<String>> own = new HashMap<>();
@@ -95,7 +95,7 @@
         this.opener = opener;
     }
 
-    /** The time as the history has it, tenths of a millisecond since 1970. */
+    /** The simulated time in tenths of a millisecond since 1970. */
     long clock() {
         return clock;
     }
@@ -104,17 +104,17 @@
         return store;
     }
 
-    /** Acknowledged records that were not found, or not as last written. */
+    /** Number of acknowledged records not found, or found with an older content. */
     long lost() {
         return lost;
     }
 
-    /** Records that were found though never written so, or not to be there. */
+    /** Number of records found that were never written like that or should not exist. */
     long torn() {
         return torn;
     }
 
-    /** What was wrong, in words. */
+    /** Descriptions of the deviations. */
     List<String> wrong() {
         return wrong;
     }
@@ -127,7 +127,7 @@
         store = opener.open();
     }
 
-    /** Plays so many steps of the history; whatever the disk does comes out as an exception. */
+    /** Plays the given number of steps. Throws if the power is cut or an opening fails. */
     void play(int steps) throws IOException {
         for (int i = 0; i < steps; i++) {
             int kind = chance.nextInt(20);
@@ -159,7 +159,7 @@
         void run() throws IOException;
     }
 
-    /** Upkeep that a fault hinders is no harm to anything that was written. */
+    /** Runs upkeep, ignoring faults of the disk: they must not harm written records. */
     private static void quietly(Work work) {
         try {
             work.run();
@@ -168,7 +168,7 @@
         }
     }
 
-    /** One group of batches. */
+    /** Writes one group of batches. */
     void write() {
         List<Batch> group = new ArrayList<>();
         for (int n = chance.nextInt(1, 4); n > 0; n--) {
@@ -181,7 +181,7 @@
             expected.add(next != null);
             maybe = next == null ? maybe : next;
         }
-        possible.add(maybe); // from here on it may be on the disk
+        possible.add(maybe); // from here on the group may be on the disk
         List<Refused> answers = store.commit(group);
         for (int i = 0; i < answers.size(); i++) {
             Refused r = answers.get(i);
@@ -192,7 +192,7 @@
                 return;
             }
             if ((r == null) != expected.get(i)) {
-                wrong.add("batch " + i + " was " + (r == null ? "taken" : "refused") + " at the bound");
+                wrong.add("batch " + i + " was " + (r == null ? "accepted" : "refused") + " at the bound");
                 torn++;
             }
         }
@@ -233,7 +233,10 @@
         return v;
     }
 
-    /** Compares all that the store has with what must, and what may, be there; settles which it was. */
+    /**
+     * Compares the store with the acknowledged model and the models of unacknowledged outcomes, and adopts the best match.
+     * Returns true if it is exact.
+     */
     boolean check() {
         long before = wrong.size();
         List<String> best = null;
@@ -260,7 +263,7 @@
         return wrong.size() == before;
     }
 
-    /** What a store has otherwise than was acknowledged, in words; changes nothing here. */
+    /** Describes how a store deviates from the acknowledged model, without changing this history. */
     List<String> compare(Durable with) {
         return compare(acknowledged, with);
     }
@@ -284,7 +287,7 @@
                     String key = text(f.key());
                     Value v = left.remove(key);
                     if (v == null) {
-                        off.add("returned: " + n.name() + "/" + key + " is not to be there");
+                        off.add("returned: " + n.name() + "/" + key + " must not exist");
                     } else if (!v.is(f)) {
                         off.add((written.contains(Arrays.hashCode(f.value())) ? "lost: " : "returned: ") + n.name()
                                 + "/" + key + " is not as last written");
--- a/durable/src/main/java/tallyweir/durable/Kills.java
+++ b/durable/src/main/java/tallyweir/durable/Kills.java
@@ -19,8 +19,8 @@
 import java.util.stream.Stream;
 
 /**
- * A writing process is killed outright at random moments. It says each acknowledgement on its output once it has it;
- * what it said must be there afterwards, or something later under the same key.
+ * Drill that kills a writing process at random moments. The process prints each acknowledged write; after the kill the
+ * store must hold that version, or a later one, for every key printed.
  */
 public final class Kills {
     private static final int WRITERS = 8;
@@ -30,7 +30,7 @@
 
     private Kills() {}
 
-    /** Kills a writer so many times over one store, and looks each time at what is left. */
+    /** Kills a writer {@code kills} times over the same store and checks the store after each kill. */
     public static Drill.Tally play(Path dir, long seed, int kills, Set<Defence> without)
             throws IOException, InterruptedException {
         clear(dir);
@@ -81,7 +81,7 @@
                 tell(line, told);
             }
             TimeUnit.MILLISECONDS.sleep(pause);
-            writer.toHandle().destroyForcibly(); // unlike the process's own method it leaves what was said to be read
+            writer.toHandle().destroyForcibly(); // unlike Process.destroyForcibly, keeps the output readable
             for (line = in.readLine(); line != null; line = in.readLine()) {
                 tell(line, told);
             }
@@ -92,7 +92,7 @@
 
     private static void tell(String line, Map<Integer, Long> told) {
         String[] parts = line == null ? new String[0] : line.split(" ");
-        if (parts.length == 3 && parts[2].equals(".")) { // whole lines only
+        if (parts.length == 3 && parts[2].equals(".")) { // complete lines only
             told.merge(Integer.parseInt(parts[0]), Long.parseLong(parts[1]), Math::max);
         }
     }
@@ -105,10 +105,12 @@
                 Found f = d.get(SPACE.name(), key(key));
                 long version = f == null ? 0 : ByteBuffer.wrap(f.value()).getLong();
                 if (version < told.getOrDefault(key, 0L)) {
-                    t.take(List.of("lost: key " + key + " is at " + version + ", told was " + told.get(key)), when);
+                    t.take(
+                            List.of("lost: key " + key + " is at " + version + ", acknowledged was " + told.get(key)),
+                            when);
                 }
                 if (f != null && !Arrays.equals(f.value(), value(key, version))) {
-                    t.take(List.of("returned: key " + key + " is not what was written as " + version), when);
+                    t.take(List.of("returned: key " + key + " is not what was written as version " + version), when);
                 }
             }
         } catch (IOException | RuntimeException e) {
@@ -146,7 +148,7 @@
                 without);
     }
 
-    /** The writing process: a directory, a seed and the names of defences that are off. Writes until it is killed. */
+    /** The writing process. Arguments: directory, seed, names of disabled defences. Writes until it is killed. */
     public static void main(String[] args) throws IOException, InterruptedException {
         Set<Defence> without = EnumSet.noneOf(Defence.class);
         for (int i = 2; i < args.length; i++) {
--- a/durable/src/main/java/tallyweir/durable/Log.java
+++ b/durable/src/main/java/tallyweir/durable/Log.java
@@ -10,9 +10,9 @@
 import tallyweir.durable.Refused.Cause;
 
 /**
- * The segments: frames are appended to both copies of the newest one, and read from either. A file in which a write or
- * a force failed is never written again: the next frame goes to a new segment, whose head says where the old one ends.
- * One thread writes; any thread reads records.
+ * The log's segments. Frames are appended to both copies of the newest segment and read from either. A file in which a
+ * write or a force failed is never written again: the next frame goes to a new segment, whose head records where the old
+ * one ends. One thread writes; any thread may read records.
  */
 final class Log {
     private final Disk[] disks;
@@ -43,7 +43,7 @@
         this.figures = figures;
     }
 
-    /** Where the last frame is and its checksum; segment 0 for none. */
+    /** Location and checksum of the last frame; segment 0 if there is none. */
     record Last(int segment, long place, int sum) {}
 
     boolean has(Defence d) {
@@ -82,7 +82,7 @@
         return disks[copy];
     }
 
-    /** What opening found; from here on frames are appended behind it, in a new segment. */
+    /** Sets what recovery found; later frames go to a new segment. */
     void resume(
             long storeId,
             long opening,
@@ -113,20 +113,23 @@
         return has(Defence.FENCE) && fence != null && (othersWrote || fence.raised() && fence.passed());
     }
 
-    /** The number of this opening's turn, 0 where nothing can be written. */
+    /** The fencing number of this opening (its turn), 0 if nothing can be written. */
     long turn() {
         return fence == null ? 0 : fence.own();
     }
 
-    /** Before the first write, where it could not be done at opening: only if nobody has written since the log was read. */
+    /**
+     * Raises the fence before the first write if that failed at opening. Succeeds only if no other process has written
+     * since the log was read.
+     */
     private void raiseLate() throws Refused {
         if (!has(Defence.FENCE) || fence == null || fence.raised()) {
             return;
         }
         try {
-            noteOthers(); // whoever writes goes on
+            noteOthers(); // if another process writes, leave the fence to it
             fence.raise();
-            noteOthers(); // and did not just now
+            noteOthers(); // nor did another process write while the fence was raised
         } catch (Refused r) {
             othersWrote = true;
             throw figures.count(r);
@@ -159,12 +162,12 @@
         segments.put(s.number, s);
     }
 
-    /** Null if it is gone. */
+    /** Returns a segment, or null if it was retired. */
     Segment segment(int number) {
         return segments.get(number);
     }
 
-    /** All that count, oldest first; shows changes as they come. */
+    /** A live view of the segments in use, oldest first. */
     Iterable<Segment> segments() {
         return segments.values();
     }
@@ -185,7 +188,7 @@
         return active;
     }
 
-    /** The segment in which a frame of so many bytes goes, the newest or a new one. */
+    /** Returns the segment for a frame of the given length: the active one, or a new one if it is full. */
     Segment room(long bytes) throws Refused {
         if (active != null && active.endFrame > active.firstFrame && active.end + bytes > segmentBytes) {
             active = null;
@@ -236,7 +239,7 @@
         }
     }
 
-    /** A force that failed, unlike a write that did. */
+    /** A failed force, as distinct from a failed write. */
     private static final class ForceFailed extends IOException {
         private static final long serialVersionUID = 1L;
 
@@ -276,10 +279,10 @@
     }
 
     /**
-     * Appends the frame that a buffer holds behind room for its header; the buffer reaches to the next sector. Once it
-     * returns, the frame is on the disk in both copies. Where it fails, the segment has ended before the frame.
+     * Appends a frame and returns once it is on the disk in both copies. On failure the segment ends before the frame.
      *
-     * @param meanwhile done while the disk works
+     * @param b space for the frame's header, then the content; reaches to the end of the frame's last sector
+     * @param meanwhile run while the disk is writing
      */
     void append(byte[] b, int contentLength, Runnable meanwhile) throws Refused {
         Segment s = active;
@@ -312,7 +315,7 @@
         s.endFrame = nextFrame;
     }
 
-    /** Sees to it that what was written of a frame is none, also after a restart; false where that is not sure. */
+    /** Overwrites a partially written frame so that recovery cannot find it. Returns false if that is not certain. */
     private boolean wiped(Segment s) {
         try {
             for (int c = 0; c < copies(); c++) {
@@ -329,8 +332,8 @@
     }
 
     /**
-     * The record at a place, from whichever copy has it whole as it is known: null if neither has. The segment is
-     * pinned.
+     * Reads a record from whichever copy holds it intact and matching its index entry; null if neither does. The caller
+     * has pinned the segment.
      */
     Format.Rec read(Segment s, Index.Entry e) {
         for (int c = 0; c < copies(); c++) {
@@ -361,7 +364,7 @@
                 && Arrays.equals(b, Format.RECORD, Format.RECORD + r.keyLength(), e.key(), 2, e.key().length);
     }
 
-    /** Takes a segment out of the store; its files go once nobody reads them. */
+    /** Removes a segment from the log; its files are deleted once no reader has it pinned. */
     void retire(Segment s) {
         segments.remove(s.number);
         retired.add(s);
@@ -374,7 +377,7 @@
         return retired.stream().anyMatch(s -> !s.isPinned());
     }
 
-    /** Deletes the files of retired segments that nobody reads. */
+    /** Deletes the files of retired segments that are not pinned. */
     void deleteRetired() {
         boolean any = false;
         for (Segment s : List.copyOf(retired)) {
@@ -391,7 +394,7 @@
             try {
                 forceNames(c);
             } catch (IOException e) {
-                continue; // a file that comes back is known as gone by the next head
+                continue; // a file that reappears is not listed by the next head
             }
         }
     }
@@ -402,7 +405,7 @@
                 disks[copy].delete(Format.name(number));
             }
         } catch (IOException e) {
-            return; // what is left is in no head and goes at the next opening
+            return; // a file left over is in no head and is deleted at the next opening
         }
     }
 
@@ -412,7 +415,7 @@
                 file.close();
             }
         } catch (IOException e) {
-            return; // nothing was owed to it
+            return; // all data that was acknowledged has been forced
         }
     }
 
--- a/durable/src/main/java/tallyweir/durable/Opening.java
+++ b/durable/src/main/java/tallyweir/durable/Opening.java
@@ -11,9 +11,10 @@
 import java.util.TreeMap;
 
 /**
- * Opening is recovery. The newest segment with a good head says which older ones count and where each ends; all others
- * are taken away. Every frame that counts is read from whichever copy has it, written again where the other lacks it,
- * and its records replayed; what a trusted index snapshot covers need not be read.
+ * Recovery when the store is opened. The head of the newest segment with a valid head lists the older segments in use
+ * and where each ends; all other segment files are deleted. Every valid frame is read from whichever copy has it,
+ * rewritten to the other copy if missing there, and its records are replayed. Frames covered by a trusted index snapshot
+ * need not be read.
  */
 final class Opening {
     private final Log log;
@@ -32,12 +33,12 @@
         return index;
     }
 
-    /** Whether an index snapshot was used. */
+    /** Whether recovery started from an index snapshot. */
     boolean fromSnapshot() {
         return fromSnapshot;
     }
 
-    /** @param newId of the store where there is none yet */
+    /** @param newId id for the store if it is new */
     void run(long newId) throws IOException {
         TreeMap<Integer, Disk.Handle[]> files = files();
         TreeMap<Integer, Head> heads = new TreeMap<>();
@@ -100,7 +101,7 @@
                 last);
     }
 
-    /** All segment files that are there, opened; null for a copy that is not. */
+    /** Opens all existing segment files; the handle of a missing copy is null. */
     private TreeMap<Integer, Disk.Handle[]> files() throws IOException {
         TreeMap<Integer, Disk.Handle[]> files = new TreeMap<>();
         for (int c = 0; c < log.copies(); c++) {
@@ -136,7 +137,7 @@
         return head;
     }
 
-    /** A segment that counts; a copy that is not there is made anew, empty as yet. */
+    /** Adds a segment that is in use; a missing copy is created empty, to be filled by the repair. */
     private void add(
             int segment, long firstFrame, long created, Map<Integer, Disk.Handle[]> files, Set<Integer> suspect) {
         if (log.segment(segment) != null) {
@@ -158,7 +159,7 @@
         log.add(new Segment(segment, firstFrame, created, of[0], of[1]));
     }
 
-    /** Files that no head counts: never begun in full, or compacted away. */
+    /** Deletes files that the newest head does not list: incompletely created or compacted away. */
     private void takeAway(Map<Integer, Disk.Handle[]> files, Set<Integer> counting) {
         files.forEach((segment, of) -> {
             if (!counting.contains(segment)) {
@@ -198,7 +199,10 @@
         return f;
     }
 
-    /** The segments that were compacted away since the newest was begun: it says so, or the snapshot knows no more of them. */
+    /**
+     * Finds the segments compacted away since the newest one was created: those the newest has a record of, and those
+     * older than the snapshot but missing in it.
+     */
     private void findDropped(Segment newest, Iterable<Head.Older> older, IndexFile snapshot) throws IOException {
         IndexFile.Of covered = snapshot == null ? null : snapshot.segments().get(newest.number);
         Walk walk = covered == null
@@ -306,12 +310,12 @@
                     index = index.remove(key);
                 }
             }
-            default -> {} // that a segment was dropped is known by now; the time that it carries counts
+            default -> {} // dropped segments are known already; only the record's stamp is used
         }
         lastStamp = Math.max(lastStamp, r.stamp());
     }
 
-    /** What a segment held that has gone was moved, and replayed at its new place, or has expired. */
+    /** Removes entries that refer to a dropped segment: a record moved elsewhere has been replayed there, others have expired. */
     private void forgetGone() {
         boolean[] any = new boolean[1];
         index.each((namespace, stamp, segment, length, expires) -> any[0] |= log.segment(segment) == null);
--- a/durable/src/main/java/tallyweir/durable/SideBySide.java
+++ b/durable/src/main/java/tallyweir/durable/SideBySide.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 
-/** Does the copies' parts side by side on threads of their own, so that two forces take the time of the longer one. */
+/** Runs the work on the two copies concurrently, so that two forces take only as long as the slower one. */
 public final class SideBySide implements Both, AutoCloseable {
     private final ExecutorService threads = Executors.newFixedThreadPool(2, r -> {
         Thread t = new Thread(r, "durable copy");
@@ -53,7 +53,7 @@
         });
     }
 
-    /** Waits for the end; null if it was good. */
+    /** Waits for completion and returns the failure, or null on success. */
     private static IOException failureOf(Future<?> done) {
         boolean interrupted = false;
         try {
@@ -62,7 +62,7 @@
                     done.get();
                     return null;
                 } catch (InterruptedException e) {
-                    interrupted = true; // what was begun on a file is waited for all the same
+                    interrupted = true; // still wait: an operation on a file is under way
                 } catch (ExecutionException e) {
                     return e.getCause() instanceof IOException io ? io : new IOException(e.getCause());
                 }
--- a/durable/src/main/java/tallyweir/durable/SimDisk.java
+++ b/durable/src/main/java/tallyweir/durable/SimDisk.java
@@ -14,13 +14,14 @@
 import java.util.TreeMap;
 
 /**
- * A directory in memory that keeps only what it must. When the power is cut, each sector that was not forced is the old
- * one, the new one or half of each, each name that was not forced has come, gone or not, and files are as long as they
- * were or became. Faults can be ordered: a force that fails and drops what it covered, no room, short reads and writes,
- * a directory that cannot be written. Not for several threads, but for those that {@link Both} starts.
+ * An in-memory directory with the weakest guarantees a disk may give. After a power cut each sector that was not forced
+ * has its old content, its new content or a mix of both; each creation or deletion of a name that was not forced may or
+ * may not have happened; and files have their old or their new length. Faults can be injected: a failing force that
+ * drops the data it covered, a full disk, short reads and writes, a read-only directory. Not for use by several threads
+ * except those that {@link Both} starts.
  */
 public final class SimDisk implements Disk {
-    /** What the disks of one machine share: the count of I/O operations, the moment of the cut, the faults. */
+    /** State shared by the disks of one machine: the count of I/O operations, the time of the power cut, the faults. */
     public static final class Power {
         private final SplittableRandom chance;
         private long operations;
@@ -36,38 +37,38 @@
             chance = new SplittableRandom(seed);
         }
 
-        /** I/O operations that change something, so far. */
+        /** Number of modifying I/O operations so far. */
         public synchronized long operations() {
             return operations;
         }
 
-        /** Cuts the power within the nth operation from the start, counted from 1. */
+        /** Cuts the power during the nth operation from the start, counted from 1. */
         public synchronized void cutAt(long operation) {
             cutAt = operation;
         }
 
-        /** The nth force from now fails, counted from 1, and its file's changes never reach the disk. */
+        /** Makes the nth force from now fail, counted from 1; the changes it covered never reach the disk. */
         public synchronized void failForce(long n) {
             failForce = forces + n;
         }
 
-        /** The nth force from now fails and so does the next but one: both copies, where a force is tried again. */
+        /** Makes the nth force from now and the second after it fail: one in each copy if a failed force is retried. */
         public synchronized void failForceOfBoth(long n) {
             failForce(n);
             failAlso = failForce + 2;
         }
 
-        /** Bytes that may still be written before the disks are full. */
+        /** Sets the bytes that may still be written before the disks are full. */
         public synchronized void room(long bytes) {
             room = bytes;
         }
 
-        /** Whether reads and writes may do less than asked. */
+        /** Sets whether reads and writes may transfer fewer bytes than requested. */
         public synchronized void shortIo(boolean may) {
             shortIo = may;
         }
 
-        /** Whether nothing can be written. */
+        /** Sets whether the disks are read-only. */
         public synchronized void readOnly(boolean is) {
             readOnly = is;
         }
@@ -102,7 +103,7 @@
         }
     }
 
-    /** The power is gone: nothing that was running goes on. */
+    /** Thrown when the power is cut. An Error, so that handlers of IOException do not catch it. */
     public static final class PowerCut extends Error {
         private static final long serialVersionUID = 1L;
 
@@ -142,7 +143,7 @@
         this.where = where;
     }
 
-    /** What is there once the power is back. */
+    /** Returns the directory as it might be found once the power is back. */
     public synchronized SimDisk afterCut(Power next, SplittableRandom chance) {
         SimDisk left = new SimDisk(next, sector, where);
         Map<String, Content> names = new TreeMap<>(safe);
@@ -174,7 +175,7 @@
         return Arrays.copyOf(b, size);
     }
 
-    /** Puts a file there as if it had long been. */
+    /** Adds a file whose name and content are already durable. */
     public synchronized void load(String name, byte[] bytes) {
         Content c = new Content();
         c.seen = bytes.clone();
@@ -185,13 +186,13 @@
         safe.put(name, c);
     }
 
-    /** What a file holds now; null if there is none. */
+    /** Returns a file's current content, or null if there is no such file. */
     public synchronized byte[] content(String name) {
         Content c = files.get(name);
         return c == null ? null : Arrays.copyOf(c.seen, c.size);
     }
 
-    /** Takes a file away as if it had never been. */
+    /** Removes a file durably, as if it had never existed. */
     public synchronized void lose(String name) {
         files.remove(name);
         safe.remove(name);
@@ -231,7 +232,7 @@
         return create(name);
     }
 
-    /** The lock is lost, as a shared file system may lose one: another process gets it while the first goes on. */
+    /** Loses the lock, as a shared file system may: another process can take it while the first one continues. */
     public synchronized void breakLock() {
         locked = false;
     }
@@ -298,7 +299,7 @@
             synchronized (SimDisk.this) {
                 boolean cut = power.step();
                 int length = power.part(from.remaining());
-                int more = (int) Math.max(0, at + length - c.size); // what is there already needs no room
+                int more = (int) Math.max(0, at + length - c.size); // overwriting needs no space
                 length -= more - power.taken(more);
                 c.grow((int) at + length);
                 from.get(c.seen, (int) at, length);
@@ -329,7 +330,7 @@
                     }
                     c.safeSize = c.size;
                 }
-                c.dirty.clear(); // where it fails, the system takes the pages for clean all the same
+                c.dirty.clear(); // also on failure, as kernels mark the pages clean then
                 if (fails) {
                     throw new IOException("Input/output error");
                 }
@@ -345,7 +346,7 @@
 
         @Override
         public void close() {
-            // nothing is held
+            // no resources to release
         }
     }
 }
--- a/durable/src/main/java/tallyweir/durable/State.java
+++ b/durable/src/main/java/tallyweir/durable/State.java
@@ -1,16 +1,16 @@
 package tallyweir.durable;
 
 /**
- * What can be read at one moment. Never changed; the writer publishes the next one.
+ * Immutable snapshot of what can be read at one instant. The writer replaces it by a new one.
  *
- * @param index where each key's record is
- * @param ages of namespaces that drop the oldest: namespace, stamp and key, in this order
- * @param used bytes of current records by namespace
- * @param keys current records by namespace
- * @param lastStamp the highest given
+ * @param index location of each key's record
+ * @param ages entries keyed by namespace, stamp and key, for namespaces that drop their oldest records
+ * @param used bytes of current records per namespace
+ * @param keys number of current records per namespace
+ * @param lastStamp highest stamp assigned
  */
 record State(Index index, Index ages, long[] used, long[] keys, long lastStamp) {
-    /** The key under which {@code ages} knows a record, from the key in the index. */
+    /** Builds a record's key in {@code byAge} from its key in the index. */
     static byte[] age(byte[] key, long stamp) {
         byte[] k = new byte[key.length + 8];
         java.nio.ByteBuffer.wrap(k).put(key, 0, 2).putLong(stamp).put(key, 2, key.length - 2);
--- a/durable/src/main/java/tallyweir/durable/Upkeep.java
+++ b/durable/src/main/java/tallyweir/durable/Upkeep.java
@@ -5,11 +5,15 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * What the store does for itself between writes: an ordered list of rules, gone through until one fires. Knows no files;
- * the figures come in as arguments.
+ * Selects the store's next maintenance job: an ordered list of rules, of which the first that applies wins. Does no
+ * input or output; its inputs are passed as arguments. Times are in tenths of a millisecond.
  */
 final class Upkeep {
-    /** The jobs, each done in small steps. */
+    /**
+     * The jobs, each done in small steps. Names are written out by {@code name()}: DELETE removes files of retired
+     * segments, MEND repairs damage found by reads, COMPACT continues a compaction and CHOOSE starts one, SWEEP removes
+     * expired records, SNAPSHOT writes the index, SCRUB verifies both copies.
+     */
     enum Job {
         DELETE,
         MEND,
@@ -23,7 +27,7 @@
 
     private record Rule(BooleanSupplier when, Job then) {}
 
-    /** Of the bytes a store takes, the share that may be dead before segments are compacted. */
+    /** Share of the store's bytes that may be dead before segments are compacted. */
     private final double deadShare;
 
     private final int segmentBytes;
@@ -44,13 +48,13 @@
     private long snapshotSize;
     private long noGain;
 
-    /** Of a segment, the part that its compaction must give back for the next to be worth beginning at once. */
+    /** Share of a segment that its compaction must free for the next compaction to start at once. */
     private static final double GAIN = 0.125;
 
     /**
-     * @param deadShare above 0 and under 1
-     * @param scrubEvery the time between passes, tenths of a millisecond, 0 for none
-     * @param sweepEvery the time between looks for what has expired, tenths of a millisecond
+     * @param deadShare between 0 and 1, both exclusive
+     * @param scrubEvery interval between scrub passes, 0 for none
+     * @param sweepEvery interval between sweeps for expired records
      */
     Upkeep(double deadShare, int segmentBytes, long scrubEvery, long sweepEvery, long now) {
         this.deadShare = deadShare;
@@ -59,7 +63,7 @@
         this.sweepEvery = sweepEvery;
         lastSweep = now;
         lastScrub = now;
-        // What gives back room comes first, then what mends, then what makes room, then what only helps.
+        // Order: jobs that free space at once, repair, jobs that make space, then jobs that are only useful.
         rule(() -> retired, Job.DELETE);
         rule(() -> damage, Job.MEND);
         rule(() -> compacting, Job.COMPACT);
@@ -76,10 +80,10 @@
     }
 
     /**
-     * What to do next.
+     * Returns the next job.
      *
-     * @param retired whether files wait to be deleted
-     * @param damage whether reads came upon damage
+     * @param retired whether files of retired segments can be deleted
+     * @param damage whether reads have found damage
      * @param compacting whether a segment is being compacted
      */
     Job next(
@@ -98,10 +102,10 @@
     }
 
     /**
-     * The segment whose compaction gives back most for what it moves, null while too little is dead to bother. The
-     * newest is never chosen.
+     * Returns the segment with the smallest share of bytes to move, or null while too few bytes are dead. A segment with
+     * nothing left to keep is returned at once; the active segment never is.
      *
-     * @param anyway whether to choose one as soon as anything in it is dead
+     * @param anyway whether to return a segment however little is dead
      */
     Segment worst(Iterable<Segment> segments, Segment active, boolean anyway) {
         long size = 0;
@@ -131,19 +135,19 @@
         }
         long dead = size - kept;
         if (tombstones > deadShare * kept && tombstones > segmentBytes && oldestStale != null) {
-            return oldestStale; // until it goes, no tombstone may
+            return oldestStale; // its stale values keep the tombstones needed
         }
         return anyway ? worst : dead >= Math.max(segmentBytes, deadShare * size) ? worst : null;
     }
 
-    /** Whether a tombstone of a segment may still have to hide an older value elsewhere. */
+    /** Whether a tombstone of a segment may still hide an older value in another segment. */
     static boolean needed(Segment s, Iterable<Segment> segments) {
         return s.tombstones > 0 && needed(s.lastTombstone, s, segments);
     }
 
     /**
-     * Whether a tombstone with a stamp, in a segment, may still have to hide an older value elsewhere: only a segment
-     * that was there before it and holds values that are not current can have one, for a dead value is never moved.
+     * Whether a tombstone in a segment may still hide an older value in another one. Only a segment created before the
+     * tombstone that holds stale values can contain such a value, because dead values are never moved.
      */
     static boolean needed(long stamp, Segment in, Iterable<Segment> segments) {
         for (Segment o : segments) {
@@ -160,11 +164,11 @@
     }
 
     /**
-     * A compaction is through. Where what it wrote is about what it gave back, heads and unfilled sectors are all that
-     * is dead, and the next waits until a segment's worth was written.
+     * Records a finished compaction. If it wrote about as many bytes as it freed, only heads and unfilled sectors are
+     * dead, and the next compaction waits until one segment's worth of bytes has been written.
      *
-     * @param segment bytes of the segment that went
-     * @param wrote bytes that took its place
+     * @param segment bytes of the compacted segment
+     * @param wrote bytes written to replace it
      */
     void compacted(long segment, long wrote) {
         noGain = segment - wrote < GAIN * segment ? segmentBytes : 0;
@@ -180,14 +184,14 @@
         lastSweep = now;
     }
 
-    /** A pass is wanted whatever the period; true if one is under way, behind which it comes. */
+    /** Requests a scrub pass regardless of the interval. Returns true if a pass is under way, after which it starts. */
     boolean scrubSoon() {
         scrubWanted = true;
         return scrubbing;
     }
 
     void scrub(boolean goesOn) {
-        scrubWanted &= scrubbing; // a pass under way is not the one that was asked for, one that begins is
+        scrubWanted &= scrubbing; // a pass already under way does not satisfy the request; one that starts now does
         scrubbing = goesOn;
         lastScrub = now;
     }
--- a/durable/src/main/java/tallyweir/durable/View.java
+++ b/durable/src/main/java/tallyweir/durable/View.java
@@ -9,8 +9,8 @@
 import java.util.NoSuchElementException;
 
 /**
- * The store as it was at one moment, while writes go on. Segments that were compacted away meanwhile keep their files
- * until it is closed. Any thread may use it.
+ * A consistent read view of the store at one instant; writes continue meanwhile. Segments compacted away after that keep
+ * their files until the view is closed. Thread-safe.
  */
 public final class View implements AutoCloseable {
     private final Log log;
@@ -30,24 +30,24 @@
         this.figures = figures;
     }
 
-    /** The names of all namespaces that were ever written. */
+    /** The names of all namespaces that have ever been written. */
     public List<String> namespaces() {
         return names;
     }
 
-    /** How many records a namespace has, those counted that have expired and were not yet swept away. */
+    /** Number of records of a namespace, including expired ones not swept yet. */
     public long keys(String namespace) {
         int n = names.indexOf(namespace);
         return n < 0 || n >= state.keys().length ? 0 : state.keys()[n];
     }
 
-    /** Bytes of these records. */
+    /** Bytes of the records of a namespace, including expired ones not swept yet. */
     public long bytes(String namespace) {
         int n = names.indexOf(namespace);
         return n < 0 || n >= state.used().length ? 0 : state.used()[n];
     }
 
-    /** Null if there is none, or its time is over. */
+    /** Returns the record of a key, or null if there is none or it has expired. */
     public Found get(String namespace, byte[] key) throws Refused {
         int n = names.indexOf(namespace);
         Index.Entry e = n < 0 ? null : state.index().get(Index.key(n, key));
@@ -77,9 +77,9 @@
     }
 
     /**
-     * The records of a namespace in the order of their keys (compared byte by byte, unsigned), from a key on and up to
-     * and without another, or to the end where that is null. A record that can be read in neither copy makes
-     * {@code next} throw; it may be called again for the one after it.
+     * Iterates over the records of a namespace in key order (unsigned bytes), from {@code from} inclusive to {@code to}
+     * exclusive, or to the end if {@code to} is null. {@code next} throws for a record that can be read in neither
+     * copy; calling it again returns the following record.
      */
     public Iterator<Found> range(String namespace, byte[] from, byte[] to) {
         int n = names.indexOf(namespace);
@@ -117,8 +117,9 @@
     }
 
     /**
-     * The records of a namespace written from a time on and before another (tenths of a millisecond since 1970), in
-     * the order of writing. Takes memory for the places of those that match.
+     * Iterates, in the order of writing, over the records of a namespace written from {@code from} inclusive to
+     * {@code to} exclusive, both in tenths of a millisecond since 1970. Holds the index entries of all matches in
+     * memory.
      */
     public Iterator<Found> between(String namespace, long from, long to) {
         int n = names.indexOf(namespace);
--- a/durable/src/test/java/tallyweir/durable/CommitterTest.java
+++ b/durable/src/test/java/tallyweir/durable/CommitterTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Timeout;
 import tallyweir.durable.Refused.Cause;
 
-/** Many writers, one force. */
+/** Concurrent writers share one force. */
 @Timeout(60)
 class CommitterTest {
     private static final int WRITERS = 16;
@@ -63,13 +63,13 @@
                         for (long n = 1; n <= EACH; n++) {
                             c.write(new Batch().put("a", key, bytes(n)));
                             if (ByteBuffer.wrap(d.get("a", key).value()).getLong() != n) {
-                                wrong.set("a writer does not find what was acknowledged");
+                                wrong.set("a writer did not read its acknowledged value");
                             }
                             Found f = d.get("a", other);
                             long now =
                                     f == null ? 0 : ByteBuffer.wrap(f.value()).getLong();
                             if (now < seen) {
-                                wrong.set("a reader went back from " + seen + " to " + now);
+                                wrong.set("a reader saw an older value: from " + seen + " to " + now);
                             }
                             seen = now;
                         }
@@ -84,8 +84,8 @@
             }
             assertEquals(null, wrong.get());
             assertEquals(WRITERS * EACH, d.figures().get(Figures.Of.BATCHES));
-            assertTrue(d.figures().get(Figures.Of.GROUPS) < WRITERS * EACH, "no two batches shared a force");
-            assertTrue(d.figures().get(Figures.Of.COMPACTED) > 0, "nothing was compacted meanwhile");
+            assertTrue(d.figures().get(Figures.Of.GROUPS) < WRITERS * EACH, "no two batches shared a group");
+            assertTrue(d.figures().get(Figures.Of.COMPACTED) > 0, "nothing was compacted during the writes");
         }
     }
 
@@ -119,7 +119,7 @@
         List<CompletableFuture<Void>> all = new ArrayList<>();
         int busy = 0;
         Committer c = new Committer(d, 2_000, 200_000_000, 1 << 20);
-        c.write(new Batch().put("a", bytes(0), bytes(0))); // the next group is a while off
+        c.write(new Batch().put("a", bytes(0), bytes(0))); // the next group starts only after the minimum interval
         for (int i = 0; i < 50; i++) {
             CompletableFuture<Void> f = c.submit(new Batch().put("a", bytes(i), new byte[100]));
             if (f.isCompletedExceptionally()) {
--- a/durable/src/test/java/tallyweir/durable/DurableTest.java
+++ b/durable/src/test/java/tallyweir/durable/DurableTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import tallyweir.durable.Refused.Cause;
 
-/** The store as its users see it. */
+/** Tests of the store through its public interface. */
 class DurableTest {
     private static final List<Namespace> SPACES = List.of(
             new Namespace("a", 1L << 30, false), new Namespace("few", 400, false), new Namespace("ring", 400, true));
@@ -68,10 +68,10 @@
         return keys;
     }
 
-    /** All that is due; it must come to an end. */
+    /** Runs all due upkeep, which must come to an end. */
     private static void keepUp(Durable d) throws IOException {
         for (int steps = 0; d.upkeep(1 << 16); steps++) {
-            assertTrue(steps < 2_000, "the upkeep does not end");
+            assertTrue(steps < 2_000, "upkeep does not terminate");
         }
     }
 
@@ -107,14 +107,14 @@
             assertEquals(
                     Cause.AT_BOUND,
                     refusal(d, new Batch().put("a", b("x"), b("y")).put("few", b("k4"), new byte[60])));
-            assertNull(d.get("a", b("x")), "a refused batch left something");
+            assertNull(d.get("a", b("x")), "a refused batch was partly written");
             d.commit(new Batch().put("few", b("k0"), new byte[50]));
             d.commit(new Batch().put("ring", b("k0"), new byte[60]));
             d.commit(new Batch().put("ring", b("k4"), new byte[60]));
             assertEquals(
                     List.of("k0", "k2", "k3", "k4"),
                     keys(d.view().range("ring", new byte[0], null)),
-                    "k1 is the oldest, for k0 was written again");
+                    "k1 is the oldest, because k0 was rewritten");
             d.commit(new Batch().delete("few", b("k1")));
             d.commit(new Batch().put("few", b("k4"), new byte[60]));
             assertEquals(Cause.AT_BOUND, refusal(d, new Batch().put("ring", b("big"), new byte[400])));
@@ -148,18 +148,21 @@
             d.commit(new Batch().put("a", b("m"), b("v")));
             assertNull(d.get("a", b("k")));
             clock -= 50_000;
-            assertNull(d.get("a", b("k")), "what had expired is back");
+            assertNull(d.get("a", b("k")), "an expired record is found again");
             d.commit(new Batch().put("a", b("n"), b("v")));
             assertEquals(
                     List.of("l", "m", "n"), keys(d.view().between("a", 0, 1L << 45)), "not in the order of writing");
             assertEquals(List.of("m", "n"), keys(d.view().between("a", then + 1, then + 50_000)));
         }
         try (Durable d = open()) {
-            assertNull(d.get("a", b("k")), "what had expired is back after opening");
+            assertNull(d.get("a", b("k")), "an expired record is found again after opening");
         }
     }
 
-    /** Found by the long drill: one round in a thousand missed a record that a clock which had stepped back took for good. */
+    /**
+     * Guards against a removed record that counts as lost: after the clock had stepped back, a reader expected a record
+     * that had expired and been removed. The long drill found it in one round of a thousand.
+     */
     @Test
     void whatWentBecauseItsTimeWasOverStaysOverThoughTheClockStepsBack() throws IOException {
         for (boolean swept : new boolean[] {true, false}) {
@@ -177,14 +180,14 @@
             }
             clock = over - 500;
             assertNull(d.get("a", b("k")));
-            assertTrue(d.now() >= over, "the store's time went back behind what it took away");
+            assertTrue(d.now() >= over, "the store's time went back behind the expiry of a removed record");
             if (!swept) {
                 d.abandon();
                 first = first.afterCut(power, new SplittableRandom(3));
                 second = second.afterCut(power, new SplittableRandom(4));
                 try (Durable again = open(4_096)) {
                     assertNull(again.get("a", b("k")));
-                    assertTrue(again.now() >= over, "the time at which it went did not outlast a cut");
+                    assertTrue(again.now() >= over, "the time of the removal was lost in a power cut");
                 }
             }
         }
@@ -208,7 +211,7 @@
             }
             view.close();
             keepUp(d);
-            assertTrue(first.names().size() < files, "the files of old segments were not given back");
+            assertTrue(first.names().size() < files, "the files of old segments were not deleted");
         }
     }
 
@@ -227,7 +230,7 @@
         }
     }
 
-    /** Lasting keys beside many that come and go: tombstones and segments do not pile up. */
+    /** Tombstones and segments must not accumulate when short-lived keys are written next to long-lived ones. */
     @Test
     void shortLivedKeysLeaveNothingBehind() throws IOException {
         try (Durable d = open(4_096)) {
@@ -333,7 +336,7 @@
         disk.load(name, file);
     }
 
-    /** Two faults at one place are more than two copies can answer; then the rest is read, and the loss is told. */
+    /** Damage at the same place in both copies cannot be repaired: the loss is reported and the rest stays readable. */
     @Test
     void damageInBothCopiesIsToldAndTheRestIsRead() throws IOException {
         try (Durable d = open()) {
@@ -362,7 +365,7 @@
             damage(first, Format.name(1), 512 * 4 + 30, 3);
             d.abandon();
         }
-        try (Durable d = open()) { // by the snapshot: the damage is not seen yet
+        try (Durable d = open()) { // opened from the snapshot, so the damage is not noticed yet
             assertTrue(d.openedFromSnapshot());
             assertEquals(0, d.figures().get(Figures.Of.REPAIRED));
             for (int i = 0; i < 10; i++) {
@@ -388,7 +391,7 @@
                 first, second, Both.IN_TURN, 4_096, 512, 0.5, 1_000, SPACES, 1, () -> clock, Runnable::run, Set.of())) {
             clock += 2_000;
             while (d.figures().get(Figures.Of.SCRUBS) == 0) {
-                assertTrue(d.upkeep(1_024), "the scrub has ended early");
+                assertTrue(d.upkeep(1_024), "the scrub ended early");
             }
             assertEquals(2, d.figures().get(Figures.Of.REPAIRED));
             assertArrayEquals(second.content(Format.name(2)), first.content(Format.name(2)));
@@ -416,7 +419,7 @@
         }
         power.room(Long.MAX_VALUE);
         try (Durable d = open(4_096)) {
-            assertEquals("v", text(d.get("a", b("k"))), "a refused batch came with the opening");
+            assertEquals("v", text(d.get("a", b("k"))), "a refused batch was found after opening");
             d.commit(new Batch().put("a", b("k"), b("w")));
         }
         try (Durable d = open(4_096)) {
@@ -449,7 +452,7 @@
                 assertEquals("v", text(d.get("a", b("k"))));
                 assertEquals(Cause.FENCED, refusal(old, new Batch().put("a", b("k"), b("late"))));
                 assertTrue(old.fenced());
-                assertFalse(old.upkeep(1 << 16), "keeps up what is not its own");
+                assertFalse(old.upkeep(1 << 16), "upkeep runs on a store that was taken over");
                 assertEquals("v", text(old.get("a", b("k"))));
                 d.commit(new Batch().put("a", b("k"), b("w")));
                 assertFalse(d.fenced());
@@ -458,7 +461,7 @@
         }
     }
 
-    /** Opened while nothing could be written: its first write is only taken if nobody has written meanwhile. */
+    /** A store opened while the disk was read-only may write only if no other process has written since. */
     @Test
     void aTurnThatIsTakenLateIsOnlyTakenIfNobodyWroteMeanwhile() throws IOException {
         try (Durable old = open()) {
@@ -471,7 +474,10 @@
                 power.readOnly(false);
                 old.commit(new Batch().put("a", b("l"), b("x")));
                 assertEquals(Cause.FENCED, refusal(d, new Batch().put("a", b("k"), b("w"))));
-                assertEquals(Cause.FENCED, refusal(d, new Batch().put("a", b("k"), b("w"))), "taken at the second try");
+                assertEquals(
+                        Cause.FENCED,
+                        refusal(d, new Batch().put("a", b("k"), b("w"))),
+                        "accepted at the second attempt");
             }
         }
         try (Durable d = open()) {
@@ -480,7 +486,7 @@
         }
     }
 
-    /** The disk says once that it failed, and then that all is well. */
+    /** The disk reports a failed force once, and success afterwards. */
     @Test
     void aForceThatFailedIsNeverTrustedLater() throws IOException {
         try (Durable d = open()) {
@@ -493,7 +499,7 @@
             d.abandon();
         }
         try (Durable d = open()) {
-            assertEquals("v", text(d.get("a", b("k"))), "what was not confirmed is trusted after an opening");
+            assertEquals("v", text(d.get("a", b("k"))), "an unconfirmed write is found after opening");
             assertEquals("x", text(d.get("a", b("l"))));
         }
     }
@@ -575,7 +581,7 @@
                 long[] told = new long[1];
                 long copied = Backup.copy(view, copy, n -> told[0] = n);
                 assertEquals(copied, told[0]);
-                assertNull(copy.get("a", b("later")), "the backup is not of one moment");
+                assertNull(copy.get("a", b("later")), "the backup contains a later write");
                 try (View there = copy.view()) {
                     for (String space : List.of("a", "ring")) {
                         Iterator<Found> is = there.between(space, 0, 1L << 45);
--- a/durable/src/test/java/tallyweir/durable/LinearTest.java
+++ b/durable/src/test/java/tallyweir/durable/LinearTest.java
@@ -14,11 +14,11 @@
 import org.jetbrains.kotlinx.lincheck.strategy.stress.StressOptions;
 import org.junit.jupiter.api.Test;
 
-/** Writers, readers and compaction side by side: whatever is seen could have happened one after the other. */
+/** Checks that concurrent writes, reads and compaction are linearizable. */
 @Param(name = "key", gen = IntGen.class, conf = "0:2")
 @Param(name = "value", gen = IntGen.class, conf = "1:3")
 public class LinearTest {
-    /** Not fields: the checker would look into them, and it cannot look into records. */
+    /** Not instance fields, because the checker would traverse them and it cannot traverse records. */
     private static final Map<LinearTest, Durable> STORES = Collections.synchronizedMap(new WeakHashMap<>());
 
     public LinearTest() throws IOException {
@@ -53,7 +53,7 @@
         store().commit(new Batch().put("a", bytes(key), bytes(value)));
     }
 
-    /** Two keys at once. */
+    /** Writes two keys in one batch. */
     @Operation
     public void putBoth(@Param(name = "value") int value) throws IOException {
         store().commit(new Batch().put("a", bytes(0), bytes(value)).put("a", bytes(1), bytes(value)));
@@ -70,7 +70,7 @@
         return f == null ? 0 : ByteBuffer.wrap(f.value()).getInt();
     }
 
-    /** Both keys as they were at one moment. */
+    /** Reads both keys from one view. */
     @Operation
     public int getBoth() throws IOException {
         try (View view = store().view()) {
--- a/durable/src/test/java/tallyweir/durable/UpkeepTest.java
+++ b/durable/src/test/java/tallyweir/durable/UpkeepTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import tallyweir.durable.Upkeep.Job;
 
-/** What is chosen, from figures alone. */
+/** Selection of upkeep jobs and of segments to compact. */
 class UpkeepTest {
     private final Upkeep upkeep = new Upkeep(0.5, 1_000, 5_000, 600, 0);
 
@@ -48,7 +48,10 @@
         upkeep.written(1_500);
         upkeep.snapshot(2_000);
         upkeep.written(3_999);
-        assertEquals(Job.NONE, next(604, full, false, false, false), "a large index is not written again so soon");
+        assertEquals(
+                Job.NONE,
+                next(604, full, false, false, false),
+                "a large index needs more writes before its next snapshot");
         next(5_000, full, false, false, false);
         upkeep.sweep(false);
         assertEquals(Job.SCRUB, next(5_000, full, false, false, false));
@@ -61,11 +64,11 @@
         Segment a = segment(1, 1_000, 600, 10, 6);
         Segment b = segment(2, 1_000, 450, 10, 5);
         Segment c = segment(3, 1_000, 900, 10, 9);
-        assertNull(upkeep.worst(List.of(a, b, c), null, false), "1,050 of 3,000 dead is under a half");
+        assertNull(upkeep.worst(List.of(a, b, c), null, false), "1,050 of 3,000 dead bytes is below half");
         assertSame(b, upkeep.worst(List.of(a, b, c), null, true));
         a.live = 100;
         assertSame(a, upkeep.worst(List.of(a, b, c), null, false));
-        assertSame(b, upkeep.worst(List.of(a, b, c), a, false), "the newest is left alone");
+        assertSame(b, upkeep.worst(List.of(a, b, c), a, false), "the active segment is never chosen");
     }
 
     @Test
@@ -83,14 +86,14 @@
         with.lastTombstone = 250;
         assertTrue(Upkeep.needed(with, List.of(old, with)));
         old.current = 10;
-        assertFalse(Upkeep.needed(with, List.of(old, with)), "all that the older one holds is current");
+        assertFalse(Upkeep.needed(with, List.of(old, with)), "all values of the older segment are current");
         Segment later = segment(3, 1_000, 0, 10, 0);
-        assertFalse(Upkeep.needed(with, List.of(old, with, later)), "what came later hides nothing older");
+        assertFalse(Upkeep.needed(with, List.of(old, with, later)), "a later segment holds no older values");
         with.current = 0;
-        assertFalse(Upkeep.needed(with, List.of(old, with)), "its own dead values go with it");
+        assertFalse(Upkeep.needed(with, List.of(old, with)), "its own dead values are dropped together with it");
     }
 
-    /** Else a store of few lasting keys and many short ones would fill with tombstones. */
+    /** Otherwise a store with few long-lived and many short-lived keys would fill with tombstones. */
     @Test
     void manyTombstonesMakeTheOldestStaleSegmentGo() {
         Segment old = segment(1, 1_000, 990, 10, 9);
@@ -100,7 +103,7 @@
         assertSame(old, upkeep.worst(List.of(old, with), null, false));
     }
 
-    /** Heads and unfilled sectors are dead, too, and no compaction gives them back. */
+    /** Heads and unfilled sectors count as dead bytes, but compaction cannot free them. */
     @Test
     void aCompactionThatGaveNothingBackIsNotFollowedAtOnce() {
         List<Segment> half = List.of(segment(1, 1_000, 450, 5, 5), segment(2, 1_000, 450, 5, 5));
