--- a/consensus/src/main/java/tallyweir/fleet/ratis/AnswerCodec.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/AnswerCodec.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 import tallyweir.fleet.Answer;
 
-/** Encodes what the replicated state answers to commands. */
+/** CBOR codec of the replicated state's answers to commands. The names below are part of the protocol and must not change. */
 final class AnswerCodec extends MessageCodec<Answer> {
     AnswerCodec() {
         super(FleetMapper.create().addMixIn(Answer.class, Names.class), Answer.class);
--- a/consensus/src/main/java/tallyweir/fleet/ratis/AuditJson.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/AuditJson.java
@@ -13,7 +13,7 @@
 import tallyweir.fleet.ServerId;
 import tallyweir.ids.TenantId;
 
-/** Shows an audit as JSON. */
+/** Converts an audit to JSON with snake case names; ids are shown as plain text or numbers. */
 final class AuditJson {
     private static final ObjectMapper MAPPER = JsonMapper.builder()
             .propertyNamingStrategy(PropertyNamingStrategies.SNAKE_CASE)
--- a/consensus/src/main/java/tallyweir/fleet/ratis/Auditor.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/Auditor.java
@@ -24,8 +24,8 @@
 import tallyweir.ids.TenantId;
 
 /**
- * Makes audits of the state. What costs as much as a table is worked out without the lock that guards the state, from tables, which
- * do not change; how a revision differs from the one before it is worked out once.
+ * Builds audits of the state. Work proportional to the size of a table runs on the immutable tables, without the lock that guards the
+ * state; how a revision differs from the one before it is computed once and cached.
  */
 final class Auditor {
     private static final double TICKS_IN_MS = 10.0;
@@ -34,12 +34,12 @@
     private final Map<RevisionId, Difference> differences = new ConcurrentHashMap<>();
     private volatile CappedTenants capped = new CappedTenants(Digest.NONE, 0, List.of());
 
-    /** @param lock that guards the state */
+    /** @param lock the lock that guards the state */
     Auditor(Object lock) {
         this.lock = lock;
     }
 
-    /** How a revision differs from the one that it was proposed on. */
+    /** How a revision differs from the one it is based on: the number of changed entries, and the first of them. */
     private record Difference(int entries, List<FleetAudit.KeyAudit> keys) {
         private static Difference of(List<Change> changes) {
             return new Difference(
@@ -54,8 +54,9 @@
     /**
      * The tenants with a cap in one table.
      *
-     * @param root of the table
-     * @param first some of their caps, by name
+     * @param root root of the table
+     * @param count number of such tenants
+     * @param first the first of their caps, ordered by name
      */
     private record CappedTenants(Digest root, int count, List<Entry> first) {
         private static CappedTenants of(Table table) {
@@ -71,7 +72,7 @@
         }
     }
 
-    /** A revision and the tables that it changes and makes, taken under the lock. */
+    /** A revision with the table it is based on and its own table, as read under the lock; a table that is no longer stored is empty. */
     private record RevisionTables(Revision revision, Optional<Table> before, Optional<Table> after) {}
 
     FleetAudit audit(State state) {
@@ -107,14 +108,14 @@
                 tables.revision.id(), id -> Difference.of(tables.before.get().differenceTo(tables.after.get())));
     }
 
-    /** Goes through a table once, however often it is audited. */
+    /** Scans a table only once, however often it is audited. */
     private CappedTenants cappedTenants(Table table) {
-        CappedTenants known = capped;
-        if (!known.root.equals(table.root())) {
-            known = CappedTenants.of(table);
-            capped = known;
+        CappedTenants current = capped;
+        if (!current.root.equals(table.root())) {
+            current = CappedTenants.of(table);
+            capped = current;
         }
-        return known;
+        return current;
     }
 
     private FleetAudit audit(State state, List<RevisionTables> latest, CappedTenants caps) {
@@ -158,9 +159,10 @@
         return change(record, Difference.of(List.of()));
     }
 
-    /** @param whole what a record without changes of its own has changed: it is that of a whole revision */
-    private static FleetAudit.ChangeAudit change(ChangeRecord record, Difference whole) {
-        Difference difference = record.kind() == ChangeRecord.Kind.ENTRIES ? Difference.of(record.changes()) : whole;
+    /** @param ofRevision the difference of the complete revision, used for a record that lists no changes of its own */
+    private static FleetAudit.ChangeAudit change(ChangeRecord record, Difference ofRevision) {
+        Difference difference =
+                record.kind() == ChangeRecord.Kind.ENTRIES ? Difference.of(record.changes()) : ofRevision;
         return new FleetAudit.ChangeAudit(
                 record.command(),
                 record.kind(),
--- a/consensus/src/main/java/tallyweir/fleet/ratis/Backoff.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/Backoff.java
@@ -3,8 +3,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * How long to wait after failures in a row: a random part of a span that doubles with each, so that many clients that failed at
- * the same moment do not return at the same moment.
+ * Exponential backoff with jitter for consecutive failures. The base delay doubles with each failure up to a bound; the random part
+ * keeps many clients that failed at the same moment from retrying at the same moment. Not thread-safe.
  */
 final class Backoff {
     private static final int DOUBLINGS_MOST = 16;
@@ -15,8 +15,8 @@
     private int failures;
 
     /**
-     * @param leastMs the span after the first failure
-     * @param mostMs the span that it grows to
+     * @param leastMs base delay after the first failure
+     * @param mostMs upper bound of the base delay
      */
     Backoff(long leastMs, long mostMs, RandomGenerator random) {
         this.leastMs = leastMs;
@@ -24,14 +24,14 @@
         this.random = random;
     }
 
-    /** There was another failure. */
+    /** Records another failure and returns the delay before the next attempt: between half and one and a half times the base delay. */
     long afterFailureMs() {
         long span = Math.min(mostMs, leastMs << Math.min(DOUBLINGS_MOST, failures));
         failures++;
         return span / 2 + random.nextLong(span + 1);
     }
 
-    /** There was none. */
+    /** Records a success, so that the next failure starts again from the smallest base delay. */
     void succeeded() {
         failures = 0;
     }
--- a/consensus/src/main/java/tallyweir/fleet/ratis/CommandCodec.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/CommandCodec.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 import tallyweir.fleet.Command;
 
-/** Encodes commands for the replicated log. The names below stand in logs on disk and never change. */
+/** CBOR codec of commands in the replicated log. The names below are stored in logs on disk and must not change. */
 final class CommandCodec extends MessageCodec<Command> {
     CommandCodec() {
         super(FleetMapper.create().addMixIn(Command.class, Names.class), Command.class);
--- a/consensus/src/main/java/tallyweir/fleet/ratis/DigestDeserializer.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/DigestDeserializer.java
@@ -8,7 +8,7 @@
 import java.util.HexFormat;
 import tallyweir.fleet.Digest;
 
-/** Reads what {@link DigestSerializer} wrote. */
+/** Reads a digest written by {@link DigestSerializer}. */
 final class DigestDeserializer extends StdDeserializer<Digest> {
     private static final long serialVersionUID = 1;
     private static final int SHA256_BYTES = 32;
--- a/consensus/src/main/java/tallyweir/fleet/ratis/DigestSerializer.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/DigestSerializer.java
@@ -7,7 +7,7 @@
 import java.util.HexFormat;
 import tallyweir.fleet.Digest;
 
-/** Writes a digest as its bytes; {@link Digest#NONE} has none. */
+/** Writes a digest as its bytes; {@link Digest#NONE} is written as an empty byte string. */
 final class DigestSerializer extends StdSerializer<Digest> {
     private static final long serialVersionUID = 1;
 
--- a/consensus/src/main/java/tallyweir/fleet/ratis/EncodedMessages.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/EncodedMessages.java
@@ -7,7 +7,7 @@
 import tallyweir.fleet.RevisionRoot;
 import tallyweir.fleet.table.Table;
 
-/** Messages between servers and voters in their encoded form, for simulations and measurements without a connection. */
+/** Messages between servers and voters in encoded form, for simulations and measurements without a connection. */
 public final class EncodedMessages {
     private static final String SOURCE = "a simulated voter";
 
@@ -16,10 +16,10 @@
     private final QuestionCodec questions = new QuestionCodec();
     private final ReplyCodec replies = new ReplyCodec();
 
-    /** Something that replies to encoded questions. */
+    /** Answers encoded read requests. */
     public interface Source {
-        /** The encoded reply to an encoded question. */
-        byte[] ask(byte[] question) throws IOException;
+        /** Returns the encoded response to an encoded read request. */
+        byte[] ask(byte[] request) throws IOException;
     }
 
     /** Encodes a command. */
@@ -33,12 +33,12 @@
     }
 
     /**
-     * Fetches a table as a server does, by a difference or in pieces, and checks it.
+     * Fetches a table as a server does, as a difference or in chunks, and verifies it against its root.
      *
-     * @param have a table that is there, EMPTY for none
+     * @param have a table that the caller has, {@code EMPTY} for none
      */
     public Table fetch(Table have, RevisionRoot wanted, Source source) {
-        TableSource encoded = question -> replies.decode(source.ask(questions.encode(question)));
+        TableSource encoded = request -> replies.decode(source.ask(questions.encode(request)));
         return new TableFetch(List.of(encoded), SOURCE, 0).fetch(have, wanted);
     }
 }
--- a/consensus/src/main/java/tallyweir/fleet/ratis/EntryListDeserializers.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/EntryListDeserializers.java
@@ -17,7 +17,7 @@
 import tallyweir.fleet.table.Entry;
 import tallyweir.fleet.table.EntryCodec;
 
-/** Reads what {@link EntryListSerializers} wrote. */
+/** Reads lists written by {@link EntryListSerializers}. */
 final class EntryListDeserializers extends SimpleDeserializers {
     private static final long serialVersionUID = 1;
 
--- a/consensus/src/main/java/tallyweir/fleet/ratis/EntryListSerializers.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/EntryListSerializers.java
@@ -15,7 +15,7 @@
 import tallyweir.fleet.table.Entry;
 import tallyweir.fleet.table.EntryCodec;
 
-/** Writes lists of a table's entries and changes as the bytes of {@link EntryCodec}. */
+/** Writes lists of a table's entries and of changes as one byte string in the format of {@link EntryCodec}. */
 final class EntryListSerializers extends SimpleSerializers {
     private static final long serialVersionUID = 1;
 
--- a/consensus/src/main/java/tallyweir/fleet/ratis/EntryValues.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/EntryValues.java
@@ -6,9 +6,9 @@
 import tallyweir.fleet.table.Value;
 
 /**
- * What entries say.
+ * Values of entries.
  *
- * @param revision in which they say so, the one in force
- * @param values of the keys that there are
+ * @param revision the revision in force, which the values are read from
+ * @param values the values by key; keys without an entry are absent
  */
 public record EntryValues(RevisionRoot revision, Map<Key, Value> values) {}
--- a/consensus/src/main/java/tallyweir/fleet/ratis/FleetAudit.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/FleetAudit.java
@@ -14,15 +14,16 @@
 import tallyweir.ids.TenantId;
 
 /**
- * What the replicated state knows, for operators. Moments are ms since 1970 by the leader's wall clock.
+ * The contents of the replicated state, for operators. Instants are ms since 1970 by the leader's wall clock. Component names are
+ * shown as JSON in snake case.
  *
- * @param version of the settings, 0 before the fleet is founded
- * @param revisions the latest, at most {@link #REVISIONS_MOST}, in order
- * @param waiting changes that wait until the revision that is open has been decided
- * @param refused changes that were turned down after they had waited
- * @param gone servers that had a place
- * @param capped how many tenants have a cap
- * @param caps of the first of them by name, at most {@link #CAPS_MOST}
+ * @param version version of the settings, 0 before the fleet is founded
+ * @param revisions the latest revisions in order, at most {@link #REVISIONS_MOST}
+ * @param waiting changes that wait until the proposed revision has been decided
+ * @param refused changes that were refused after they had waited
+ * @param gone former servers, which no longer have a slot
+ * @param capped number of tenants with a cap
+ * @param caps the caps of the first of them by name, at most {@link #CAPS_MOST}
  */
 public record FleetAudit(
         String fleet,
@@ -38,16 +39,16 @@
         List<ServerAudit> gone,
         int capped,
         List<CapAudit> caps) {
-    /** Revisions in one audit at the most. */
+    /** Maximum number of revisions in one audit. */
     public static final int REVISIONS_MOST = 1_000;
 
-    /** Caps in one audit at the most. */
+    /** Maximum number of caps in one audit. */
     public static final int CAPS_MOST = 1_000;
 
-    /** Keys of one change in an audit at the most. */
+    /** Maximum number of keys listed for one change. */
     public static final int KEYS_MOST = 20;
 
-    /** As JSON, with names in lower case and underscores. */
+    /** Converts the audit to JSON with snake case names. */
     public JsonNode toJson() {
         return AuditJson.of(this);
     }
@@ -55,9 +56,9 @@
     /**
      * One revision.
      *
-     * @param of whose table it takes up again, 0 for one of its own
-     * @param size entries of its table
-     * @param changed entries that differ from the revision that it was proposed on
+     * @param of the revision whose table a rollback restores, 0 if the table is new
+     * @param size number of entries in its table
+     * @param changed number of entries that differ from the revision it is based on
      */
     public record RevisionAudit(
             RevisionId revision,
@@ -74,11 +75,11 @@
             List<ChangeAudit> changes) {}
 
     /**
-     * What an operator asked for once.
+     * One request of an operator.
      *
-     * @param fault why it was turned down by itself, empty if it was not
-     * @param entries how many it names
-     * @param keys the first of them
+     * @param fault why this request itself was refused, empty if it was not
+     * @param entries number of entries that it changes
+     * @param keys the first of them, at most {@link #KEYS_MOST}
      */
     public record ChangeAudit(
             OperatorCommand command,
@@ -93,10 +94,10 @@
             int entries,
             List<KeyAudit> keys) {}
 
-    /** One entry of a change as text. */
+    /** One changed entry as text: its key, and its value before and after, empty if it does not exist. */
     public record KeyAudit(String key, Optional<String> before, Optional<String> after) {}
 
-    /** A server. */
+    /** A server and its latest transitions between revisions. */
     public record ServerAudit(
             ServerId server,
             String listen,
@@ -114,16 +115,15 @@
             int folded,
             List<PassageAudit> passages) {}
 
-    /** A server's change from one revision to another. */
+    /** A server's transition from one revision to another. */
     public record PassageAudit(
             Incarnation incarnation, RevisionId from, RevisionId to, double behindMs, long outdated, long atMs) {}
 
     /**
      * A tenant's cap in the revision in force.
-     *
-     * @param floor of each place
-     * @param lent beyond the floors
-     * @param spoken all that may be relied on
+     * @param floor share of each slot
+     * @param lent sum of the loans beyond the floors
+     * @param spoken total that servers may rely on
      */
     public record CapAudit(TenantId tenant, int cap, int floor, long lent, long spoken) {}
 }
--- a/consensus/src/main/java/tallyweir/fleet/ratis/FleetMapper.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/FleetMapper.java
@@ -31,9 +31,9 @@
 import tallyweir.ids.TenantId;
 
 /**
- * Configures Jackson for the records of the fleet: records as arrays of their components, names and numbers that are wrapped in
- * a record as they are, digests as bytes, and lists of entries and changes as the bytes of the table's own codec. Anything
- * that is missing, unknown or of another type is an error.
+ * Configures Jackson's CBOR for the fleet's records: records are arrays of their components in declared order, id records are the text or
+ * number they wrap, digests are bytes, and lists of entries and changes are bytes of the table's own codec. Missing, unknown or
+ * wrongly typed components are errors.
  */
 final class FleetMapper {
     private static final Set<Class<?>> TEXTS = Set.of(ServerId.class, TenantId.class, OperatorCommand.class);
@@ -41,14 +41,14 @@
 
     private FleetMapper() {}
 
-    /** Without the table of field names: the keys of our maps are tenants, of which there are too many for it. */
+    /** Disables the table of field names: map keys are tenants, which are too many to intern. */
     private static CBORFactory factory() {
         return CBORFactory.builder()
                 .disable(JsonFactory.Feature.CANONICALIZE_FIELD_NAMES)
                 .build();
     }
 
-    /** A new mapper, to which mix-ins for sealed types may be added. */
+    /** Creates a mapper; callers may add mix-ins for their sealed types to it. */
     static ObjectMapper create() {
         MapperBuilder<?, ?> builder = CBORMapper.builder(factory())
                 .annotationIntrospector(new RecordsAsArrays())
@@ -87,7 +87,7 @@
         return module;
     }
 
-    /** Records without further annotations are arrays of their components. */
+    /** Serializes records other than ids and paths as arrays of their components. */
     private static final class RecordsAsArrays extends JacksonAnnotationIntrospector {
         private static final long serialVersionUID = 1;
 
@@ -101,7 +101,7 @@
         }
     }
 
-    /** A map's key that is a record of one text. */
+    /** Reads a map key that is a record with one text component. */
     private static final class NameDeserializer extends KeyDeserializer {
         private final Function<String, Object> name;
 
@@ -115,7 +115,7 @@
         }
     }
 
-    /** Faults are named by their class; a test holds the names. */
+    /** Faults are tagged with the simple name of their class, which is stored and must not change; a test checks the names. */
     @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, include = JsonTypeInfo.As.WRAPPER_ARRAY)
     private interface FaultNames {}
 
--- a/consensus/src/main/java/tallyweir/fleet/ratis/LocalReplica.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/LocalReplica.java
@@ -5,8 +5,8 @@
 import tallyweir.fleet.State;
 
 /**
- * One replica of the fleet's state without Ratis around it: encoded commands in, encoded answers out, at a clock that is
- * handed in. Simulations and measurements use it in place of a voter.
+ * One replica of the fleet's state without Ratis: it takes encoded commands with the time to apply them at and returns encoded
+ * answers. Simulations and measurements use it in place of a voter. Not thread-safe.
  */
 public final class LocalReplica {
     private final CommandCodec commands = new CommandCodec();
@@ -16,7 +16,7 @@
     private final State state;
     private final TableReplies tables;
 
-    /** A replica with an empty state. */
+    /** Creates a replica with an empty state. */
     public LocalReplica() {
         this(new State());
     }
@@ -26,7 +26,7 @@
         tables = new TableReplies(state::table);
     }
 
-    /** A replica with the state of a snapshot that {@link #save} wrote. */
+    /** Creates a replica from a snapshot written by {@link #save}. */
     public static LocalReplica load(Path file) throws IOException {
         State state = new State();
         try (SnapshotFileReader reader = new SnapshotFileReader(file)) {
@@ -35,7 +35,7 @@
         return new LocalReplica(state);
     }
 
-    /** Writes the whole state as a voter does. */
+    /** Writes the complete state in a voter's snapshot format. */
     public void save(Path file) throws IOException {
         try (SnapshotFileWriter writer = new SnapshotFileWriter(file)) {
             state.save(writer);
@@ -46,18 +46,18 @@
     /**
      * Applies one command of the log.
      *
-     * @param now the fleet's clock, tenths of a millisecond
-     * @param wall the wall's clock, ms since 1970
-     * @return the answer as it goes over the wire
+     * @param fleetTime the fleet's clock in tenths of a millisecond
+     * @param wallClockMs wall clock time, ms since 1970
+     * @return the encoded answer
      */
-    public byte[] apply(long now, long wall, byte[] command) throws IOException {
-        state.clock(now, wall);
+    public byte[] apply(long fleetTime, long wallClockMs, byte[] command) throws IOException {
+        state.clock(fleetTime, wallClockMs);
         return answers.encode(state.apply(commands.decode(command)));
     }
 
-    /** The encoded reply to an encoded question about a table. */
-    public byte[] reply(byte[] question) throws IOException {
-        return replies.encode(tables.reply(questions.decode(question)));
+    /** Answers an encoded read request about a table with an encoded response. */
+    public byte[] reply(byte[] request) throws IOException {
+        return replies.encode(tables.reply(questions.decode(request)));
     }
 
     /** The state that commands are applied to. */
--- a/consensus/src/main/java/tallyweir/fleet/ratis/Machine.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/Machine.java
@@ -32,11 +32,12 @@
 import tallyweir.fleet.table.Table;
 
 /**
- * The replicated state behind Ratis. A leader stamps each command with the fleet's clock: what that was when it began to lead,
- * and what has passed since by its own, which no step of a wall clock touches. An earlier leader's stamps are before it.
+ * The Ratis state machine that holds the replicated state. The leader stamps each command with the fleet's clock: its value when the
+ * leader was elected, plus the time elapsed since then on the leader's monotonic clock, so steps of a wall clock have no effect. The
+ * stamps of an earlier leader are never later than those of the present one.
  *
- * <p>Commands are applied, and snapshots taken, by one thread of Ratis; questions come on others. The lock is held for as long as
- * one command is applied, or a table is looked up; tables do not change, so differences and pieces are worked out without it.
+ * <p>One thread of Ratis applies commands and takes snapshots; read requests arrive on other threads. The lock is held while one
+ * command is applied or a table is looked up; tables are immutable, so differences and chunks are computed without it.
  */
 final class Machine extends BaseStateMachine {
     private static final Logger LOG = LoggerFactory.getLogger(Machine.class);
@@ -50,13 +51,13 @@
     private final ReplyCodec replies = new ReplyCodec();
     private final Auditor auditor = new Auditor(this);
     private final TableReplies tables = new TableReplies(this::table);
-    private final LongSupplier clock; // tenths of a millisecond; only goes forward
+    private final LongSupplier clock; // tenths of a millisecond; monotonic
     private final LongSupplier wall; // ms since 1970
     private SnapshotStore snapshots;
     private State state = new State();
     private boolean leads;
-    private long ledFrom; // by the fleet's clock,
-    private long ledSince; // and by this voter's
+    private long ledFrom; // fleet's clock at the election
+    private long ledSince; // this voter's clock at the election
     private Throwable logFailure;
 
     Machine(LongSupplier clock, LongSupplier wall) {
@@ -72,11 +73,11 @@
         snapshots = new SnapshotStore(
                 raftStorage.getStorageDir().getStateMachineDir().toPath());
         Optional<SnapshotStore.Loaded> loaded = snapshots.loadNewestUndamaged();
-        storage.init(raftStorage); // afterwards: it takes the newest file for the latest snapshot
+        storage.init(raftStorage); // after loading: it takes the newest file, damaged or not, as the latest snapshot
         loaded.ifPresent(this::use);
     }
 
-    /** Another voter's snapshot has been installed, and the log goes on after it. */
+    /** Called after another voter's snapshot was installed; the log continues after it. */
     @Override
     public void reinitialize() throws IOException {
         storage.loadLatestSnapshot();
@@ -95,10 +96,10 @@
                 .addKeyValue("index", loaded.at().getIndex())
                 .addKeyValue("revision", state.inForce().value())
                 .addKeyValue("servers", state.servers().size())
-                .log("the fleet's state comes from a snapshot");
+                .log("restored the fleet's state from a snapshot");
     }
 
-    /** Without the lock: commands are applied by the thread that calls this, so nothing changes meanwhile. */
+    /** Runs without the lock: the calling thread is the one that applies commands, so the state does not change meanwhile. */
     @Override
     public long takeSnapshot() throws IOException {
         TermIndex at = getLastAppliedTermIndex();
@@ -109,14 +110,14 @@
         return at.getIndex();
     }
 
-    // ---- who leads
+    // ---- leadership
 
     @Override
     public synchronized void notifyLeaderReady() {
         leads = true;
         ledFrom = state.now();
         ledSince = clock.getAsLong();
-        LOG.atInfo().addKeyValue("voter", getId()).log("leads the fleet");
+        LOG.atInfo().addKeyValue("voter", getId()).log("this voter leads the fleet");
     }
 
     @Override
@@ -127,10 +128,10 @@
     @Override
     public synchronized void notifyLogFailed(Throwable cause, LogEntryProto entry) {
         logFailure = cause;
-        LOG.atError().setCause(cause).log("this voter's log cannot be written");
+        LOG.atError().setCause(cause).log("failed to write this voter's log");
     }
 
-    /** Why the log took no more, if it did not. */
+    /** Returns why the log could not be written, empty while it works. */
     synchronized Optional<Throwable> logFailure() {
         return Optional.ofNullable(logFailure);
     }
@@ -139,24 +140,24 @@
         return leads;
     }
 
-    /** The fleet's clock as far as this voter may tell: it stands while it does not lead. */
+    /** Returns the fleet's clock in tenths of a millisecond if this voter leads, otherwise 0. */
     private synchronized long stamp() {
         return leads ? ledFrom + clock.getAsLong() - ledSince : 0;
     }
 
-    /** Whether the clock alone would change something by now. */
+    /** Returns whether this voter leads and the passage of time alone would change the state by now, so a tick is needed. */
     synchronized boolean due() {
         return leads && state.nextDue() <= stamp();
     }
 
-    /** The version of the settings that the fleet goes by, 0 before it is founded. */
+    /** Returns the version of the settings in effect, 0 before the fleet is founded. */
     synchronized long settingsVersion() {
         return state.version();
     }
 
     // ---- commands
 
-    /** Called by the leader alone, before the command is in the log; what cannot be decoded does not come so far. */
+    /** Called on the leader only, before the command is appended to the log; a command that cannot be decoded is refused here. */
     @Override
     public TransactionContext startTransaction(RaftClientRequest request) {
         ByteString content = request.getMessage().getContent();
@@ -186,40 +187,40 @@
             Command command = commands.decode(data.substring(STAMP_BYTES).toByteArray());
             message = message(answers.encode(apply(data.substring(0, STAMP_BYTES), command)));
         } catch (IOException | RuntimeException e) {
-            // The same on every voter, since all read the same: it must not end one of them.
-            LOG.error("a command of the log was passed over", e);
+            // Fails alike on every voter, since all read the same bytes, so it must not stop any of them.
+            LOG.error("skipped a command of the log that failed", e);
         }
         updateLastAppliedTermIndex(entry.getTerm(), entry.getIndex());
         return CompletableFuture.completedFuture(message);
     }
 
     private synchronized Answer apply(ByteString stamp, Command command) {
-        ByteBuffer moments = stamp.asReadOnlyByteBuffer();
-        long at = moments.getLong();
-        state.clock(at, moments.getLong());
+        ByteBuffer times = stamp.asReadOnlyByteBuffer();
+        long at = times.getLong();
+        state.clock(at, times.getLong());
         return state.apply(command);
     }
 
-    // ---- questions
+    // ---- read requests
 
     @Override
-    public CompletableFuture<Message> query(Message request) {
+    public CompletableFuture<Message> query(Message message) {
         try {
-            Question question = questions.decode(request.getContent().toByteArray());
-            return CompletableFuture.completedFuture(message(replies.encode(reply(question))));
+            Question request = questions.decode(message.getContent().toByteArray());
+            return CompletableFuture.completedFuture(message(replies.encode(reply(request))));
         } catch (IOException | RuntimeException e) {
             return CompletableFuture.failedFuture(e);
         }
     }
 
-    private Reply reply(Question question) {
-        if (question instanceof Question.Audit) {
+    private Reply reply(Question request) {
+        if (request instanceof Question.Audit) {
             return new Reply.Audit(auditor.audit(currentState()));
         }
-        if (question instanceof Question.Values values) {
+        if (request instanceof Question.Values values) {
             return values(values.keys());
         }
-        return tables.reply(question);
+        return tables.reply(request);
     }
 
     private synchronized State currentState() {
--- a/consensus/src/main/java/tallyweir/fleet/ratis/MalformedMessageException.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/MalformedMessageException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** Bytes that are not a whole, valid message of the expected type. Nothing of such a message is used. */
+/** Thrown for bytes that are not exactly one valid message of the expected type. No part of such a message is used. */
 final class MalformedMessageException extends IOException {
     private static final long serialVersionUID = 1;
 
--- a/consensus/src/main/java/tallyweir/fleet/ratis/MessageCodec.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/MessageCodec.java
@@ -9,7 +9,8 @@
 import java.util.Arrays;
 
 /**
- * Encodes and decodes the messages of one sealed type as CBOR: an array of the record's name and the array of its components.
+ * Encodes and decodes the messages of one sealed type as CBOR: an array that holds the record's name and an array of its components
+ * in declared order.
  *
  * @param <T> the sealed type
  */
@@ -24,29 +25,29 @@
         reader = mapper.readerFor(type);
     }
 
-    /** Encodes a message. */
+    /** Returns the single valid encoding of a message. */
     byte[] encode(T message) {
         try {
             return writer.writeValueAsBytes(message);
         } catch (JsonProcessingException e) {
-            throw new UncheckedIOException("every " + type.getSimpleName() + " can be encoded", e);
+            throw new UncheckedIOException("a message of type " + type.getSimpleName() + " cannot be encoded", e);
         }
     }
 
     /**
-     * Decodes a message. Each message has exactly one encoding.
+     * Decodes a message. Bytes other than the single valid encoding of a message are rejected.
      *
-     * @throws MalformedMessageException where the bytes are not exactly one message of the type
+     * @throws MalformedMessageException if the bytes are not exactly one message of the type
      */
     T decode(byte[] bytes) throws MalformedMessageException {
         T message;
         try {
             message = reader.readValue(bytes);
-        } catch (IOException | RuntimeException e) { // damaged bytes may fail anywhere in the decoder
+        } catch (IOException | RuntimeException e) { // damaged bytes can fail anywhere in the decoder
             throw new MalformedMessageException("not a " + type.getSimpleName() + ": " + e.getMessage(), e);
         }
-        if (message == null || !isEncoding(message, bytes)) { // Jackson passes over surplus components
-            throw new MalformedMessageException("not a " + type.getSimpleName() + " as it is encoded");
+        if (message == null || !isEncoding(message, bytes)) { // Jackson ignores surplus components
+            throw new MalformedMessageException("not a " + type.getSimpleName() + " in its valid encoding");
         }
         return message;
     }
@@ -54,7 +55,7 @@
     private boolean isEncoding(T message, byte[] bytes) {
         try {
             return Arrays.equals(writer.writeValueAsBytes(message), bytes);
-        } catch (JsonProcessingException e) { // Jackson reads half of a surrogate pair that it does not write
+        } catch (JsonProcessingException e) { // Jackson reads an unpaired surrogate but refuses to write it
             return false;
         }
     }
--- a/consensus/src/main/java/tallyweir/fleet/ratis/Question.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/Question.java
@@ -6,23 +6,23 @@
 import tallyweir.fleet.table.Key;
 import tallyweir.fleet.table.Path;
 
-/** What a voter is asked without changing anything. Each has a {@link Reply}. */
+/** A read-only request to a voter. Each kind has its {@link Reply}. */
 sealed interface Question {
-    /** All that the replicated state knows of revisions, servers and caps; asked of the leader. */
+    /** Reads all that the replicated state knows about revisions, servers and caps; sent to the leader. */
     record Audit() implements Question {}
 
-    /** What entries say in the revision in force; asked of the leader. */
+    /** Reads the values of entries in the revision in force; sent to the leader. */
     record Values(List<Key> keys) implements Question {}
 
     /**
-     * The changes from one table to another; any voter may be asked.
+     * Reads the changes from one table to another; sent to any voter.
      *
-     * @param from the root of the table that the asker has
-     * @param to the revision that it wants and the root of its table
-     * @param most changes worth having
+     * @param from root of the table that the requester has
+     * @param to the wanted revision and the root of its table
+     * @param most maximum number of changes to return
      */
     record Difference(Digest from, RevisionRoot to, int most) implements Question {}
 
-    /** A piece of the table with that root; any voter may be asked. */
+    /** Reads one chunk of the table with the given root; sent to any voter. */
     record Piece(Digest root, Path path) implements Question {}
 }
--- a/consensus/src/main/java/tallyweir/fleet/ratis/QuestionCodec.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/QuestionCodec.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.annotation.JsonSubTypes;
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 
-/** Encodes questions to voters. */
+/** CBOR codec of read requests to voters. The names below are part of the protocol and must not change. */
 final class QuestionCodec extends MessageCodec<Question> {
     QuestionCodec() {
         super(FleetMapper.create().addMixIn(Question.class, Names.class), Question.class);
--- a/consensus/src/main/java/tallyweir/fleet/ratis/RatisFleetClient.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/RatisFleetClient.java
@@ -29,8 +29,8 @@
 import tallyweir.fleet.table.Value;
 
 /**
- * A client of a fleet whose voters run Ratis. For a server, commands go out on one thread and fetches on another, so that a long
- * fetch holds up no report; the calls for operators wait on the thread of the caller.
+ * Client of a fleet whose voters run Ratis. For a server, commands are sent on one thread and tables fetched on another, so that a long
+ * fetch does not delay reports; the methods for operators block the calling thread.
  */
 public final class RatisFleetClient implements FleetClient {
     private static final Logger LOG = LoggerFactory.getLogger(RatisFleetClient.class);
@@ -43,28 +43,28 @@
     private final boolean checksRoots;
     private final VoterConnection connection;
     private final List<? extends TableSource> sources;
-    private final TableFetch fetches; // used by the fetching thread only
+    private final TableFetch fetches; // used by the fetch thread only
     private final Backoff fetchBackoff = new Backoff(BACKOFF_LEAST_MS, BACKOFF_MOST_MS, new Random());
     private final ExecutorService sending = daemonThread("fleet commands");
     private final ExecutorService fetching = daemonThread("fleet tables");
 
-    /** @param giveUpMs about how long an answer is waited for */
-    public RatisFleetClient(String fleet, Map<String, String> voters, long giveUpMs) {
-        this(fleet, voters, giveUpMs, Set.of());
+    /** @param timeoutMs about how long an answer is waited for, in ms */
+    public RatisFleetClient(String fleet, Map<String, String> voters, long timeoutMs) {
+        this(fleet, voters, timeoutMs, Set.of());
     }
 
-    RatisFleetClient(String fleet, Map<String, String> voters, long giveUpMs, Set<Guard> without) {
+    RatisFleetClient(String fleet, Map<String, String> voters, long timeoutMs, Set<Guard> without) {
         this.fleet = fleet;
         this.voters = Map.copyOf(voters);
-        this.giveUpMs = giveUpMs;
+        this.giveUpMs = timeoutMs;
         checksRoots = !without.contains(Guard.ROOT);
-        connection = new VoterConnection(fleet, voters, giveUpMs);
+        connection = new VoterConnection(fleet, voters, timeoutMs);
         sources = connection.names().stream().map(this::source).toList();
         fetches = newFetch();
     }
 
     private TableSource source(String voter) {
-        return question -> connection.askVoter(voter, question);
+        return request -> connection.askVoter(voter, request);
     }
 
     private TableFetch newFetch() {
@@ -79,70 +79,75 @@
         });
     }
 
-    /** The fleet's name. */
+    /** Returns the name of the fleet. */
     public String name() {
         return fleet;
     }
 
-    // ---- for a server
+    // ---- for servers
 
     @Override
-    public void send(Command command, Executor deciding, Consumer<Answer> to, Runnable failed) {
+    public void send(Command command, Executor callbackExecutor, Consumer<Answer> onAnswer, Runnable onFailure) {
         onThread(sending, () -> {
             Answer answer;
             try {
                 answer = connection.send(command);
             } catch (IOException | RuntimeException e) {
                 LOG.debug("no answer from the fleet", e);
-                deciding.execute(failed);
+                callbackExecutor.execute(onFailure);
                 return;
             }
-            deciding.execute(() -> to.accept(answer));
+            callbackExecutor.execute(() -> onAnswer.accept(answer));
         });
     }
 
     @Override
-    public void fetch(Table have, RevisionRoot wanted, Executor deciding, Consumer<Table> to, Consumer<Fault> failed) {
+    public void fetch(
+            Table have,
+            RevisionRoot wanted,
+            Executor callbackExecutor,
+            Consumer<Table> onTable,
+            Consumer<Fault> onFailure) {
         onThread(fetching, () -> {
             try {
-                fetchNow(have, wanted, table -> deciding.execute(() -> to.accept(table)));
+                fetchNow(have, wanted, table -> callbackExecutor.execute(() -> onTable.accept(table)));
                 fetchBackoff.succeeded();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             } catch (FleetException e) {
-                failLater(e.fault(), deciding, failed);
+                failLater(e.fault(), callbackExecutor, onFailure);
             } catch (IOException | RuntimeException e) {
-                LOG.debug("a fetch failed", e);
-                failLater(noLeader(), deciding, failed);
+                LOG.debug("fetching a table failed", e);
+                failLater(noLeader(), callbackExecutor, onFailure);
             }
         });
     }
 
-    private void fetchNow(Table have, RevisionRoot wanted, Consumer<Table> to)
+    private void fetchNow(Table have, RevisionRoot wanted, Consumer<Table> onTable)
             throws IOException, InterruptedException {
         if (checksRoots) {
-            to.accept(fetches.fetch(have, wanted));
+            onTable.accept(fetches.fetch(have, wanted));
         } else {
-            new UncheckedFetch(connection::askLeader).fetch(have, wanted, to);
+            new UncheckedFetch(connection::askLeader).fetch(have, wanted, onTable);
         }
     }
 
-    /** The caller asks again when it hears of the failure, so it hears of it after a random wait. */
-    private void failLater(Fault fault, Executor deciding, Consumer<Fault> failed) {
+    /** Reports the failure after a random backoff, since the caller retries as soon as it is notified. */
+    private void failLater(Fault fault, Executor callbackExecutor, Consumer<Fault> onFailure) {
         try {
             TimeUnit.MILLISECONDS.sleep(fetchBackoff.afterFailureMs());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return;
         }
-        deciding.execute(() -> failed.accept(fault));
+        callbackExecutor.execute(() -> onFailure.accept(fault));
     }
 
     private static void onThread(ExecutorService thread, Runnable task) {
         try {
             thread.execute(task);
         } catch (RejectedExecutionException e) {
-            LOG.debug("the client has been closed", e);
+            LOG.debug("the client is closed", e);
         }
     }
 
@@ -151,15 +156,15 @@
         try {
             connection.send(new Command.Leave(server, as));
         } catch (IOException | RuntimeException e) {
-            LOG.debug("the fleet will find out by itself that this server has left", e);
+            LOG.debug("leave command not confirmed; the fleet will detect that this server has left", e);
         }
     }
 
     // ---- for operators
 
     /**
-     * Sends a command and waits. Without an answer that is {@link Fault.OutcomeUnknown}: whoever sends the same command again
-     * finds out.
+     * Sends a command and waits for its answer. If none arrives, returns {@link Fault.OutcomeUnknown}; sending the same command again
+     * gives its outcome.
      */
     public Answer ask(Command command) {
         try {
@@ -185,33 +190,33 @@
     }
 
     /**
-     * The table of a revision.
+     * Returns the table of a revision.
      *
-     * @param have a table that is there, the nearer the better; EMPTY for none
-     * @throws FleetException where it cannot be had
+     * @param have a table that the caller has, {@code EMPTY} for none; the closer to the wanted one, the less is transferred
+     * @throws FleetException if it cannot be fetched
      */
     public Table table(Table have, RevisionRoot wanted) {
         return newFetch().fetch(have, wanted);
     }
 
-    /** What entries say in the revision in force. */
+    /** Returns the values of entries in the revision in force; a key without an entry has no value. */
     public EntryValues values(List<Key> keys) {
-        Reply.Values reply = ask(new Question.Values(new ArrayList<>(keys)), Reply.Values.class);
+        Reply.Values response = ask(new Question.Values(new ArrayList<>(keys)), Reply.Values.class);
         Map<Key, Value> values = new LinkedHashMap<>();
-        reply.entries().forEach(entry -> values.put(entry.key(), entry.value()));
-        return new EntryValues(reply.revision(), values);
+        response.entries().forEach(entry -> values.put(entry.key(), entry.value()));
+        return new EntryValues(response.revision(), values);
     }
 
-    /** All that the replicated state knows of revisions, servers and caps. */
+    /** Returns all that the replicated state knows about revisions, servers and caps. */
     public FleetAudit audit() {
         return ask(new Question.Audit(), Reply.Audit.class).audit();
     }
 
-    private <T extends Reply> T ask(Question question, Class<T> expected) {
+    private <T extends Reply> T ask(Question request, Class<T> expected) {
         try {
-            return expected.cast(connection.askLeader(question));
+            return expected.cast(connection.askLeader(request));
         } catch (IOException | RuntimeException e) {
-            LOG.debug("no reply from the fleet", e);
+            LOG.debug("no response from the fleet", e);
             throw (VoterConnection.isOtherFleet(e) ? stranger() : noLeader()).thrown();
         }
     }
@@ -235,7 +240,7 @@
         try {
             connection.close();
         } catch (IOException e) {
-            LOG.debug("a connection to the voters did not close well", e);
+            LOG.debug("failed to close a connection to the voters", e);
         }
     }
 }
--- a/consensus/src/main/java/tallyweir/fleet/ratis/RatisFleetClients.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/RatisFleetClients.java
@@ -20,7 +20,7 @@
 import tallyweir.fleet.ServerId;
 import tallyweir.fleet.table.Table;
 
-/** Opens clients of fleets whose voters run Ratis, and the voter of a server that is one. */
+/** Opens clients of fleets whose voters run Ratis, and starts the voter if this server is one. */
 public final class RatisFleetClients implements FleetClients {
     private static final int TRIES_IN_LEASE = 5;
     private static final long TICKS_IN_MS = 10;
@@ -37,8 +37,8 @@
         Optional<Voter> voter = voters.containsKey(self)
                 ? Optional.of(startVoter(fleet, voters, self, Path.of(dir), settings))
                 : Optional.empty();
-        long giveUpMs = settings.lease() / TICKS_IN_MS / TRIES_IN_LEASE;
-        return new ServerClient(new RatisFleetClient(fleet, voters, giveUpMs, without), voter);
+        long timeoutMs = settings.lease() / TICKS_IN_MS / TRIES_IN_LEASE;
+        return new ServerClient(new RatisFleetClient(fleet, voters, timeoutMs, without), voter);
     }
 
     private static Voter startVoter(
@@ -57,17 +57,21 @@
         }
     }
 
-    /** A server's client, which ends its voter too. */
+    /** A server's client, which also closes the server's voter. */
     private record ServerClient(RatisFleetClient client, Optional<Voter> voter) implements FleetClient {
         @Override
-        public void send(Command command, Executor deciding, Consumer<Answer> to, Runnable failed) {
-            client.send(command, deciding, to, failed);
+        public void send(Command command, Executor callbackExecutor, Consumer<Answer> onAnswer, Runnable onFailure) {
+            client.send(command, callbackExecutor, onAnswer, onFailure);
         }
 
         @Override
         public void fetch(
-                Table have, RevisionRoot wanted, Executor deciding, Consumer<Table> to, Consumer<Fault> failed) {
-            client.fetch(have, wanted, deciding, to, failed);
+                Table have,
+                RevisionRoot wanted,
+                Executor callbackExecutor,
+                Consumer<Table> onTable,
+                Consumer<Fault> onFailure) {
+            client.fetch(have, wanted, callbackExecutor, onTable, onFailure);
         }
 
         @Override
--- a/consensus/src/main/java/tallyweir/fleet/ratis/Reply.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/Reply.java
@@ -5,23 +5,23 @@
 import tallyweir.fleet.table.Change;
 import tallyweir.fleet.table.Entry;
 
-/** What a voter replies to a {@link Question}. */
+/** A voter's response to a {@link Question}. */
 sealed interface Reply {
-    /** To {@link Question.Audit}. */
+    /** Response to {@link Question.Audit}. */
     record Audit(FleetAudit audit) implements Reply {}
 
-    /** To {@link Question.Values}: those of the entries that there are, and the revision in force. */
+    /** Response to {@link Question.Values}: the requested entries that exist, and the revision in force that they are read from. */
     record Values(RevisionRoot revision, List<Entry> entries) implements Reply {}
 
-    /** To {@link Question.Difference}. */
+    /** Response to {@link Question.Difference}. */
     record Difference(List<Change> changes) implements Reply {}
 
-    /** To {@link Question.Difference}: there are more changes than are worth having, or the first table is not known. */
+    /** Response to {@link Question.Difference} if there are more changes than the maximum, or the table to start from is unknown. */
     record TooFar() implements Reply {}
 
-    /** To {@link Question.Piece}. */
+    /** Response to a request for a chunk. */
     record Piece(byte[] bytes) implements Reply {}
 
-    /** This voter has no table with the root that is wanted; another may have it. */
+    /** This voter has no table with the requested root, or the table has no such path; another voter may have it. */
     record UnknownRoot() implements Reply {}
 }
--- a/consensus/src/main/java/tallyweir/fleet/ratis/ReplyCodec.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/ReplyCodec.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.annotation.JsonSubTypes;
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 
-/** Encodes what voters reply to questions. */
+/** CBOR codec of voters' responses to read requests. The names below are part of the protocol and must not change. */
 final class ReplyCodec extends MessageCodec<Reply> {
     ReplyCodec() {
         super(FleetMapper.create().addMixIn(Reply.class, Names.class), Reply.class);
--- a/consensus/src/main/java/tallyweir/fleet/ratis/SnapshotDamagedException.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/SnapshotDamagedException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** A snapshot file that is torn, changed or not a snapshot. */
+/** Thrown for a snapshot file that is truncated, altered or not a snapshot. */
 final class SnapshotDamagedException extends IOException {
     private static final long serialVersionUID = 1;
 
--- a/consensus/src/main/java/tallyweir/fleet/ratis/SnapshotFileReader.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/SnapshotFileReader.java
@@ -15,8 +15,8 @@
 import tallyweir.fleet.SnapshotPart;
 
 /**
- * Reads what {@link SnapshotFileWriter} wrote, no more than one part in memory. Damage is thrown as an {@link UncheckedIOException} of a
- * {@link SnapshotDamagedException}.
+ * Reads a file written by {@link SnapshotFileWriter}, with at most one part decoded ahead. A damaged file is
+ * reported as {@link SnapshotDamagedException}, which {@link #next} wraps in an {@link UncheckedIOException}.
  */
 final class SnapshotFileReader implements Iterator<SnapshotPart>, Closeable {
     private static final int BUFFER_BYTES = 1 << 16;
@@ -31,7 +31,7 @@
         in = new DataInputStream(new BufferedInputStream(Files.newInputStream(path), BUFFER_BYTES));
         byte[] magic = SnapshotFileWriter.MAGIC.getBytes(StandardCharsets.US_ASCII);
         if (!Arrays.equals(magic, in.readNBytes(magic.length))) {
-            throw new SnapshotDamagedException("it does not begin as a snapshot");
+            throw new SnapshotDamagedException("the file does not start with the snapshot header");
         }
         next = read();
     }
@@ -69,12 +69,12 @@
 
     private SnapshotPart readPart(int length) throws IOException {
         if (length < 0 || length > PART_BYTES_MOST) {
-            throw new SnapshotDamagedException("part " + parts + " has the length " + length);
+            throw new SnapshotDamagedException("part " + parts + " has an invalid length: " + length);
         }
         int checksum = in.readInt();
         byte[] bytes = in.readNBytes(length);
         if (bytes.length < length || SnapshotFileWriter.checksum(bytes) != checksum) {
-            throw new SnapshotDamagedException("part " + parts + " has not the checksum it was written with");
+            throw new SnapshotDamagedException("part " + parts + " is truncated or does not match its checksum");
         }
         parts++;
         return codec.decode(bytes);
@@ -83,7 +83,8 @@
     private void readEnd() throws IOException {
         int written = in.readInt();
         if (written != parts || in.read() >= 0) {
-            throw new SnapshotDamagedException("it has " + parts + " parts and not " + written);
+            throw new SnapshotDamagedException(
+                    "the file has " + parts + " parts, but its trailer does not match: " + written);
         }
     }
 
--- a/consensus/src/main/java/tallyweir/fleet/ratis/SnapshotFileWriter.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/SnapshotFileWriter.java
@@ -13,8 +13,8 @@
 import tallyweir.fleet.SnapshotPart;
 
 /**
- * Writes a snapshot part by part, no more than one of them in memory. The file begins with {@link #MAGIC}; then for each part its
- * length, its checksum (CRC-32C) and its bytes; at last the length {@link #END} and the number of parts.
+ * Writes a snapshot part by part, with at most one encoded part in memory. The file starts with {@link #MAGIC}; each part follows as its
+ * length, its CRC-32C checksum and its bytes; the trailer is the length {@link #END} and the number of parts.
  */
 final class SnapshotFileWriter implements Consumer<SnapshotPart>, Closeable {
     static final String MAGIC = "tallyweir fleet snapshot 1\n";
@@ -46,7 +46,7 @@
         parts++;
     }
 
-    /** Marks the snapshot as whole and forces it to the disk. */
+    /** Writes the trailer that marks the snapshot as complete, and forces the file to the disk. */
     void finish() throws IOException {
         out.writeInt(END);
         out.writeInt(parts);
--- a/consensus/src/main/java/tallyweir/fleet/ratis/SnapshotPartCodec.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/SnapshotPartCodec.java
@@ -6,7 +6,7 @@
 import tallyweir.fleet.LendingPart;
 import tallyweir.fleet.SnapshotPart;
 
-/** Encodes the parts of a snapshot, each named by its record. */
+/** CBOR codec of the parts of a snapshot; each is tagged with the simple name of its record, which is stored and must not change. */
 final class SnapshotPartCodec extends MessageCodec<SnapshotPart> {
     SnapshotPartCodec() {
         super(mapper(), SnapshotPart.class);
--- a/consensus/src/main/java/tallyweir/fleet/ratis/SnapshotStore.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/SnapshotStore.java
@@ -18,7 +18,7 @@
 import org.slf4j.LoggerFactory;
 import tallyweir.fleet.State;
 
-/** The snapshot files of one voter, named as Ratis names them. A damaged one is put aside and the one before is used. */
+/** The snapshot files of one voter, under the names that Ratis gives them. A damaged file is renamed and the previous one is used. */
 final class SnapshotStore {
     private static final Logger LOG = LoggerFactory.getLogger(SnapshotStore.class);
     private static final String UNFINISHED = "unfinished.";
@@ -30,10 +30,10 @@
         this.dir = dir;
     }
 
-    /** A state and the entry of the log up to which it holds. */
+    /** A loaded state and the last log entry that it includes. */
     record Loaded(State state, TermIndex at) {}
 
-    /** Writes a state; a file under a snapshot's name is always whole. */
+    /** Writes a state. The file is renamed only after it has been synced, so a file under a snapshot's name is always complete. */
     SingleFileSnapshotInfo save(State state, TermIndex at) throws IOException {
         String name = SimpleStateMachineStorage.getSnapshotFileName(at.getTerm(), at.getIndex());
         Path unfinished = dir.resolve(UNFINISHED + name);
@@ -48,9 +48,10 @@
     }
 
     /**
-     * Loads the newest snapshot, or before it the newest that is not damaged.
+     * Loads the newest undamaged snapshot and renames the damaged ones that are newer.
      *
-     * @throws SnapshotDamagedException where there are snapshots and each is damaged
+     * @return empty if there is no snapshot
+     * @throws SnapshotDamagedException if there are snapshots and all of them are damaged
      */
     Optional<Loaded> loadNewestUndamaged() throws IOException {
         List<Path> newestFirst = newestFirst();
@@ -58,10 +59,7 @@
             try {
                 return Optional.of(load(file));
             } catch (SnapshotDamagedException e) {
-                LOG.atError()
-                        .setCause(e)
-                        .addKeyValue("file", file)
-                        .log("a snapshot is damaged; an earlier one is used");
+                LOG.atError().setCause(e).addKeyValue("file", file).log("snapshot is damaged; trying the previous one");
                 Files.move(
                         file, file.resolveSibling(DAMAGED + file.getFileName()), StandardCopyOption.REPLACE_EXISTING);
             }
@@ -72,7 +70,7 @@
         return Optional.empty();
     }
 
-    /** Loads the newest snapshot and no other. */
+    /** Loads the newest snapshot without falling back to an earlier one; empty if there is no snapshot. */
     Optional<Loaded> loadNewest() throws IOException {
         List<Path> newestFirst = newestFirst();
         return newestFirst.isEmpty() ? Optional.empty() : Optional.of(load(newestFirst.get(0)));
@@ -104,9 +102,9 @@
         try (SnapshotFileReader reader = new SnapshotFileReader(file)) {
             state.load(reader);
             if (reader.hasNext()) {
-                throw new SnapshotDamagedException("it goes on after its last part");
+                throw new SnapshotDamagedException("there are parts after the end of the state");
             }
-        } catch (RuntimeException e) { // the reader's own, or a state that such parts do not make
+        } catch (RuntimeException e) { // from the reader, or because the parts do not form a valid state
             throw new SnapshotDamagedException(file + " cannot be loaded", e);
         }
         return new Loaded(state, index(file));
--- a/consensus/src/main/java/tallyweir/fleet/ratis/TableFetch.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/TableFetch.java
@@ -15,12 +15,13 @@
 import tallyweir.fleet.table.TableTransfer;
 
 /**
- * Fetches tables: asks for the difference to a table that is there, and for pieces where that is too far behind. Any source will
- * do, since all that comes is held against the root that is wanted; where one fails, has not the root, or sends what does not
- * hash to it, the next is asked. Pieces that have been had are kept until a fetch succeeds. Not for several threads at once.
+ * Fetches tables: requests the difference from a table that the caller has, or chunks of the table if that one is too far behind.
+ * Any source can be used, since all data is verified against the wanted root; the next source is tried if one fails, does not have
+ * the root, or sends data that does not hash to it. Chunks already received are retained until a fetch succeeds, so that an
+ * interrupted transfer resumes. Not thread-safe.
  */
 final class TableFetch {
-    /** Changes that are worth having as a difference; more are cheaper as pieces. */
+    /** Maximum number of changes in a difference; more are cheaper to transfer as chunks. */
     static final int CHANGES_MOST = 10_000;
 
     private static final Logger LOG = LoggerFactory.getLogger(TableFetch.class);
@@ -29,25 +30,27 @@
     private final String names;
     private final long giveUpMs;
     private int next;
-    private boolean mismatchLogged; // since the last fetch that succeeded
+    private boolean mismatchLogged; // reset by a successful fetch
     private Optional<TableTransfer> transfer = Optional.empty();
 
     /**
-     * @param names of the sources, for messages
-     * @param giveUpMs how long a source is waited for, for messages
+     * @param names the sources as shown in messages
+     * @param timeoutMs how long a source is waited for, in ms; shown in messages only
      */
-    TableFetch(List<? extends TableSource> sources, String names, long giveUpMs) {
+    TableFetch(List<? extends TableSource> sources, String names, long timeoutMs) {
         this.sources = List.copyOf(sources);
         this.names = names;
-        this.giveUpMs = giveUpMs;
+        this.giveUpMs = timeoutMs;
         next = ThreadLocalRandom.current().nextInt(sources.size());
     }
 
     /**
-     * The table of a revision.
+     * Returns the table of a revision.
      *
-     * @throws FleetException {@link Fault.NoLeader} if no source replied, {@link Fault.UnknownRoot} if none of those that did has the
-     *     root, {@link Fault.DigestMismatch} if what one of them sent does not hash to it and no other had it
+     * @param have a table that the caller has, {@code EMPTY} for none; returned itself if it has the wanted root
+     * @throws FleetException {@link Fault.NoLeader} if no source gave a valid response, {@link Fault.UnknownRoot} if none of those that
+     *     responded has the root, {@link Fault.DigestMismatch} if data from one of them does not hash to the root and no other source
+     *     had it
      */
     Table fetch(Table have, RevisionRoot wanted) {
         if (have.root().equals(wanted.root())) {
@@ -60,14 +63,14 @@
         return fetched;
     }
 
-    /** Empty where the difference is too large, or the table that is there is not known. */
+    /** Empty if the difference is too large or the source does not know the caller's table. */
     private Optional<Table> byDifference(Table have, RevisionRoot wanted) {
-        Question question = new Question.Difference(have.root(), wanted, CHANGES_MOST);
-        return anySource(question, reply -> {
-            if (reply instanceof Reply.Difference difference) {
+        Question request = new Question.Difference(have.root(), wanted, CHANGES_MOST);
+        return anySource(request, response -> {
+            if (response instanceof Reply.Difference difference) {
                 return Optional.of(verified(have.apply(difference.changes()), wanted.root()));
             }
-            expect(Reply.TooFar.class, reply);
+            expect(Reply.TooFar.class, response);
             return Optional.empty();
         });
     }
@@ -92,36 +95,36 @@
     }
 
     private void take(TableTransfer pieces, Digest wanted, Path path) {
-        anySource(new Question.Piece(wanted, path), reply -> {
-            pieces.take(path, expect(Reply.Piece.class, reply).bytes());
+        anySource(new Question.Piece(wanted, path), response -> {
+            pieces.take(path, expect(Reply.Piece.class, response).bytes());
             return path;
         });
     }
 
-    /** Uses a reply, or throws why it is of no use. */
+    /** Uses a response; throws if it is unusable. */
     private interface ReplyUse<T> {
-        T use(Reply reply) throws IOException;
+        T use(Reply response) throws IOException;
     }
 
-    /** Asks one source after the other, beginning with the one that replied last, until a reply is of use. */
-    private <T> T anySource(Question question, ReplyUse<T> use) {
-        Optional<Fault> worst = Optional.empty();
+    /** Tries each source in turn, starting with the one that responded last, until one gives a usable response. */
+    private <T> T anySource(Question request, ReplyUse<T> use) {
+        Optional<Fault> worstFault = Optional.empty();
         for (int tried = 0; tried < sources.size(); tried++) {
             try {
-                Reply reply = sources.get(next).ask(question);
-                if (!(reply instanceof Reply.UnknownRoot)) {
-                    return use.use(reply);
+                Reply response = sources.get(next).ask(request);
+                if (!(response instanceof Reply.UnknownRoot)) {
+                    return use.use(response);
                 }
-                worst = worst.or(() -> Optional.of(new Fault.UnknownRoot(wantedBy(question))));
+                worstFault = worstFault.or(() -> Optional.of(new Fault.UnknownRoot(wantedBy(request))));
             } catch (FleetException e) {
                 logMismatch(e.fault());
-                worst = Optional.of(e.fault());
+                worstFault = Optional.of(e.fault());
             } catch (IOException e) {
-                LOG.debug("no reply from a voter", e);
+                LOG.debug("no response from a voter", e);
             }
             next = (next + 1) % sources.size();
         }
-        throw worst.orElse(new Fault.NoLeader(names, giveUpMs)).thrown();
+        throw worstFault.orElse(new Fault.NoLeader(names, giveUpMs)).thrown();
     }
 
     private void logMismatch(Fault fault) {
@@ -131,17 +134,18 @@
         }
     }
 
-    private static String wantedBy(Question question) {
-        if (question instanceof Question.Difference difference) {
+    private static String wantedBy(Question request) {
+        if (request instanceof Question.Difference difference) {
             return difference.to().root().value();
         }
-        return ((Question.Piece) question).root().value();
+        return ((Question.Piece) request).root().value();
     }
 
-    private static <T extends Reply> T expect(Class<T> type, Reply reply) throws MalformedMessageException {
-        if (!type.isInstance(reply)) {
-            throw new MalformedMessageException(reply.getClass().getSimpleName() + " is no reply to that question");
+    private static <T extends Reply> T expect(Class<T> type, Reply response) throws MalformedMessageException {
+        if (!type.isInstance(response)) {
+            throw new MalformedMessageException(
+                    response.getClass().getSimpleName() + " is not a response to this request");
         }
-        return type.cast(reply);
+        return type.cast(response);
     }
 }
--- a/consensus/src/main/java/tallyweir/fleet/ratis/TableReplies.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/TableReplies.java
@@ -8,43 +8,43 @@
 import tallyweir.fleet.table.Change;
 import tallyweir.fleet.table.Table;
 
-/** Replies to questions about tables, which do not change. */
+/** Answers read requests about tables. Tables are immutable, so no lock is held meanwhile. */
 final class TableReplies {
     private final Function<Digest, Optional<Table>> tables;
 
-    /** @param tables finds a table by its root */
+    /** @param tables looks up a table by its root */
     TableReplies(Function<Digest, Optional<Table>> tables) {
         this.tables = tables;
     }
 
-    /** The reply to a question about a difference or a piece. */
-    Reply reply(Question question) {
-        if (question instanceof Question.Difference difference) {
+    /** Answers a request for a difference or a chunk. */
+    Reply reply(Question request) {
+        if (request instanceof Question.Difference difference) {
             return difference(difference);
         }
-        if (question instanceof Question.Piece piece) {
-            return piece(piece);
+        if (request instanceof Question.Piece chunk) {
+            return piece(chunk);
         }
-        throw new IllegalArgumentException("no question about a table: " + question);
+        throw new IllegalArgumentException("not a request about a table: " + request);
     }
 
-    private Reply difference(Question.Difference question) {
-        Optional<Table> from = tables.apply(question.from());
-        Optional<Table> to = tables.apply(question.to().root());
+    private Reply difference(Question.Difference request) {
+        Optional<Table> from = tables.apply(request.from());
+        Optional<Table> to = tables.apply(request.to().root());
         if (to.isEmpty()) {
             return new Reply.UnknownRoot();
         }
-        Optional<List<Change>> changes = from.flatMap(table -> table.differenceTo(to.get(), question.most()));
+        Optional<List<Change>> changes = from.flatMap(table -> table.differenceTo(to.get(), request.most()));
         return changes.<Reply>map(Reply.Difference::new).orElseGet(Reply.TooFar::new);
     }
 
-    private Reply piece(Question.Piece question) {
-        Optional<Table> table = tables.apply(question.root());
+    private Reply piece(Question.Piece request) {
+        Optional<Table> table = tables.apply(request.root());
         if (table.isEmpty()) {
             return new Reply.UnknownRoot();
         }
         try {
-            return new Reply.Piece(table.get().piece(question.path()));
+            return new Reply.Piece(table.get().piece(request.path()));
         } catch (FleetException e) { // the table has no such path
             return new Reply.UnknownRoot();
         }
--- a/consensus/src/main/java/tallyweir/fleet/ratis/TableSource.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/TableSource.java
@@ -2,8 +2,8 @@
 
 import java.io.IOException;
 
-/** Something that replies to questions about tables: one voter, or whatever a test puts in its place. */
+/** Answers read requests about tables: one voter, or a substitute in tests and simulations. */
 interface TableSource {
-    /** Asks one question; fails where no reply came. */
-    Reply ask(Question question) throws IOException;
+    /** Sends one request and waits for its response; throws if none arrives. */
+    Reply ask(Question request) throws IOException;
 }
--- a/consensus/src/main/java/tallyweir/fleet/ratis/UncheckedFetch.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/UncheckedFetch.java
@@ -9,8 +9,8 @@
 import tallyweir.fleet.table.Table;
 
 /**
- * What a fetch is without {@link tallyweir.fleet.Guard#ROOT}: the first half of a difference is used while the second is on its
- * way, and nothing is held against the root. Only for checks that show what the guard is for.
+ * A fetch without {@link tallyweir.fleet.Guard#ROOT}: the first half of a difference is used before the second half has arrived, and
+ * the result is not verified against the root. Used only by tests and drills that show which failure the guard prevents.
  */
 final class UncheckedFetch {
     private static final long HALF_MS = 500;
@@ -21,15 +21,16 @@
         this.source = source;
     }
 
-    /** Hands over a table that is a mix of two revisions, and after a while the whole one. */
-    void fetch(Table have, RevisionRoot wanted, Consumer<Table> to) throws IOException, InterruptedException {
-        Reply reply = source.ask(new Question.Difference(have.root(), wanted, Integer.MAX_VALUE));
-        if (!(reply instanceof Reply.Difference difference)) {
-            throw new IOException("no difference but " + reply.getClass().getSimpleName());
+    /** Passes on a table that mixes two revisions, and after a delay the complete one. */
+    void fetch(Table have, RevisionRoot wanted, Consumer<Table> onTable) throws IOException, InterruptedException {
+        Reply response = source.ask(new Question.Difference(have.root(), wanted, Integer.MAX_VALUE));
+        if (!(response instanceof Reply.Difference difference)) {
+            throw new IOException(
+                    "expected a difference, but got " + response.getClass().getSimpleName());
         }
         List<Change> changes = difference.changes();
-        to.accept(have.apply(changes.subList(0, changes.size() / 2)));
+        onTable.accept(have.apply(changes.subList(0, changes.size() / 2)));
         TimeUnit.MILLISECONDS.sleep(HALF_MS);
-        to.accept(have.apply(changes));
+        onTable.accept(have.apply(changes));
     }
 }
--- a/consensus/src/main/java/tallyweir/fleet/ratis/Voter.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/Voter.java
@@ -29,15 +29,15 @@
 import tallyweir.fleet.Fault;
 import tallyweir.fleet.FleetSettings;
 
-/** One of the servers that keep the log: Ratis's server round the shared state, and what its leader does by the clock. */
+/** One of the servers that replicate the log: a Ratis server with the replicated state, and the thread with the leader's periodic work. */
 public final class Voter implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Voter.class);
-    private static final long ELECTION_MS = 300; // a leader not heard for so long to twice as long is replaced
+    private static final long ELECTION_MS = 300; // an election starts after one to two times this without a heartbeat
     private static final long SNAPSHOT_EVERY = 20_000; // entries
     private static final int SNAPSHOTS_KEPT = 2;
     private static final int LOOK_MS = 10;
     private static final int SEGMENT_MB = 8;
-    private static final int ENTRY_MB = 16; // of the log: a revision that changes half a million entries
+    private static final int ENTRY_MB = 16; // one log entry: a revision that changes half a million entries
 
     private final CommandCodec commands = new CommandCodec();
     private final String fleet;
@@ -49,8 +49,8 @@
     private volatile boolean closed;
 
     /**
-     * @param dir where the log is kept
-     * @param settings by which its leader founds the fleet, or which it gives it where they are newer
+     * @param dir directory of the log and the snapshots
+     * @param settings the leader founds the fleet with them, or applies them if they are newer than those in effect
      */
     private Voter(
             String fleet,
@@ -64,47 +64,51 @@
         this.fleet = fleet;
         this.settings = settings;
         machine = new Machine(clock, wall);
-        RaftProperties p = new RaftProperties();
-        RaftServerConfigKeys.setStorageDir(p, List.of(dir.toFile()));
-        RaftServerConfigKeys.Rpc.setTimeoutMin(p, TimeDuration.valueOf(ELECTION_MS, TimeUnit.MILLISECONDS));
-        RaftServerConfigKeys.Rpc.setTimeoutMax(p, TimeDuration.valueOf(2 * ELECTION_MS, TimeUnit.MILLISECONDS));
+        RaftProperties properties = new RaftProperties();
+        RaftServerConfigKeys.setStorageDir(properties, List.of(dir.toFile()));
+        RaftServerConfigKeys.Rpc.setTimeoutMin(properties, TimeDuration.valueOf(ELECTION_MS, TimeUnit.MILLISECONDS));
+        RaftServerConfigKeys.Rpc.setTimeoutMax(
+                properties, TimeDuration.valueOf(2 * ELECTION_MS, TimeUnit.MILLISECONDS));
         RaftServerConfigKeys.Rpc.setFirstElectionTimeoutMin(
-                p, TimeDuration.valueOf(ELECTION_MS, TimeUnit.MILLISECONDS));
+                properties, TimeDuration.valueOf(ELECTION_MS, TimeUnit.MILLISECONDS));
         RaftServerConfigKeys.Rpc.setFirstElectionTimeoutMax(
-                p, TimeDuration.valueOf(2 * ELECTION_MS, TimeUnit.MILLISECONDS));
-        RaftServerConfigKeys.Snapshot.setAutoTriggerEnabled(p, true);
-        RaftServerConfigKeys.Snapshot.setAutoTriggerThreshold(p, SNAPSHOT_EVERY);
-        RaftServerConfigKeys.Snapshot.setRetentionFileNum(p, SNAPSHOTS_KEPT);
-        // So that the log goes on from the earlier of two snapshots if the later one is damaged.
-        RaftServerConfigKeys.Log.setPurgePreservationLogNum(p, 2 * SNAPSHOT_EVERY);
-        RaftServerConfigKeys.Log.setSegmentSizeMax(p, SizeInBytes.valueOf(SEGMENT_MB + "MB"));
-        RaftServerConfigKeys.Log.setPreallocatedSize(p, SizeInBytes.valueOf("256KB"));
-        RaftServerConfigKeys.Log.setWriteBufferSize(p, SizeInBytes.valueOf(ENTRY_MB + 1 + "MB"));
-        RaftServerConfigKeys.Log.Appender.setBufferByteLimit(p, SizeInBytes.valueOf(ENTRY_MB + "MB"));
-        RaftServerConfigKeys.Read.setOption(p, RaftServerConfigKeys.Read.Option.LINEARIZABLE);
-        String at = voters.get(self);
-        int colon = at.lastIndexOf(':');
-        GrpcConfigKeys.Server.setHost(p, at.substring(0, colon));
-        GrpcConfigKeys.Server.setPort(p, Integer.parseInt(at.substring(colon + 1)));
-        boolean there = Files.isDirectory(
+                properties, TimeDuration.valueOf(2 * ELECTION_MS, TimeUnit.MILLISECONDS));
+        RaftServerConfigKeys.Snapshot.setAutoTriggerEnabled(properties, true);
+        RaftServerConfigKeys.Snapshot.setAutoTriggerThreshold(properties, SNAPSHOT_EVERY);
+        RaftServerConfigKeys.Snapshot.setRetentionFileNum(properties, SNAPSHOTS_KEPT);
+        // Keeps enough of the log to continue from the earlier of two snapshots if the later one is damaged.
+        RaftServerConfigKeys.Log.setPurgePreservationLogNum(properties, 2 * SNAPSHOT_EVERY);
+        RaftServerConfigKeys.Log.setSegmentSizeMax(properties, SizeInBytes.valueOf(SEGMENT_MB + "MB"));
+        RaftServerConfigKeys.Log.setPreallocatedSize(properties, SizeInBytes.valueOf("256KB"));
+        RaftServerConfigKeys.Log.setWriteBufferSize(properties, SizeInBytes.valueOf(ENTRY_MB + 1 + "MB"));
+        RaftServerConfigKeys.Log.Appender.setBufferByteLimit(properties, SizeInBytes.valueOf(ENTRY_MB + "MB"));
+        RaftServerConfigKeys.Read.setOption(properties, RaftServerConfigKeys.Read.Option.LINEARIZABLE);
+        String address = voters.get(self);
+        int colon = address.lastIndexOf(':');
+        GrpcConfigKeys.Server.setHost(properties, address.substring(0, colon));
+        GrpcConfigKeys.Server.setPort(properties, Integer.parseInt(address.substring(colon + 1)));
+        boolean existing = Files.isDirectory(
                 dir.resolve(Voters.id(fleet).getUuid().toString()).resolve("current"));
         server = RaftServer.newBuilder()
                 .setServerId(RaftPeerId.valueOf(self))
                 .setGroup(Voters.group(fleet, voters))
-                .setProperties(p)
+                .setProperties(properties)
                 .setStateMachine(machine)
-                .setOption(there ? RaftStorage.StartupOption.RECOVER : RaftStorage.StartupOption.FORMAT)
+                .setOption(existing ? RaftStorage.StartupOption.RECOVER : RaftStorage.StartupOption.FORMAT)
                 .build();
-        client = Voters.client(fleet, Map.of(self, at), 1_000);
+        client = Voters.client(fleet, Map.of(self, address), 1_000);
         clockwork = new Thread(this::lead, "fleet clock");
         clockwork.setDaemon(true);
     }
 
     /**
-     * Starts one.
+     * Starts a voter.
      *
-     * @param clock tenths of a millisecond, only going forward
-     * @param wall ms since 1970
+     * @param dir directory of the log and the snapshots, created if missing
+     * @param clock monotonic clock in tenths of a millisecond
+     * @param wall wall clock in ms since 1970
+     * @throws tallyweir.fleet.FleetException {@link Fault.NameTaken} if the voter's address is in use, {@link Fault.LogDamaged} if it
+     *     cannot start for another reason
      */
     public static Voter start(
             String fleet,
@@ -115,36 +119,37 @@
             LongSupplier clock,
             LongSupplier wall)
             throws IOException {
-        ExitUtils.disableSystemExit(); // whatever becomes of this part, the server goes on
+        ExitUtils.disableSystemExit(); // a failure of the voter must not end the server's process
         Files.createDirectories(dir);
-        // Looked at first: Ratis does not tell a taken address from a log that it cannot read.
-        String at = voters.get(self);
+        // Checked first, since Ratis does not distinguish an address in use from an unreadable log.
+        String address = voters.get(self);
         try (ServerSocket free = new ServerSocket()) {
             free.setReuseAddress(true);
             free.bind(new InetSocketAddress(
-                    at.substring(0, at.lastIndexOf(':')), Integer.parseInt(at.substring(at.lastIndexOf(':') + 1))));
+                    address.substring(0, address.lastIndexOf(':')),
+                    Integer.parseInt(address.substring(address.lastIndexOf(':') + 1))));
         } catch (BindException e) {
-            throw new Fault.NameTaken(self, at).thrown();
+            throw new Fault.NameTaken(self, address).thrown();
         }
-        Voter v;
+        Voter voter;
         try {
-            v = new Voter(fleet, voters, self, dir, settings, clock, wall);
-            v.server.start();
+            voter = new Voter(fleet, voters, self, dir, settings, clock, wall);
+            voter.server.start();
         } catch (IOException | RuntimeException e) {
             throw new Fault.LogDamaged(self, e.toString()).thrown();
         }
-        v.clockwork.start();
-        return v;
+        voter.clockwork.start();
+        return voter;
     }
 
-    /** What a leader does by itself: it founds the fleet, and tells the state the time where something is due by it. */
+    /** Periodic work of the leader: founds the fleet or updates its settings, and sends a tick when a deadline of the state has passed. */
     private void lead() {
-        boolean told = false;
+        boolean faultLogged = false;
         while (!closed) {
             try {
                 TimeUnit.MILLISECONDS.sleep(LOOK_MS);
-                if (!told && fault() != null) {
-                    told = true;
+                if (!faultLogged && fault() != null) {
+                    faultLogged = true;
                     LOG.error(fault().what() + "; " + fault().advice());
                 }
                 if (machine.leads() && machine.settingsVersion() < settings.version()) {
@@ -155,7 +160,7 @@
             } catch (InterruptedException e) {
                 return;
             } catch (IOException | RuntimeException e) {
-                LOG.debug("this voter leads no longer, or not yet", e);
+                LOG.debug("this voter does not lead, or no longer", e);
             }
         }
     }
@@ -164,15 +169,15 @@
         client.io().send(Message.valueOf(ByteString.copyFrom(commands.encode(command))));
     }
 
-    /** Whether this voter leads, as far as it knows. */
+    /** Returns whether this voter believes that it is the leader; may be out of date. */
     public boolean leads() {
         return machine.leads();
     }
 
-    /** What the log's disk did, null while it works. */
+    /** Returns the fault of the log's disk, null while it works. */
     public Fault fault() {
         return machine.logFailure()
-                .map(why -> new Fault.LogFull(server.getId().toString(), why.toString()))
+                .map(cause -> new Fault.LogFull(server.getId().toString(), cause.toString()))
                 .orElse(null);
     }
 
@@ -186,6 +191,6 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        LOG.atInfo().addKeyValue("fleet", fleet).log("this voter has ended");
+        LOG.atInfo().addKeyValue("fleet", fleet).log("this voter is closed");
     }
 }
--- a/consensus/src/main/java/tallyweir/fleet/ratis/VoterConnection.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/VoterConnection.java
@@ -12,7 +12,7 @@
 import tallyweir.fleet.Answer;
 import tallyweir.fleet.Command;
 
-/** Sends commands and questions to the voters of a fleet and waits for what comes back. For several threads at once. */
+/** Sends commands and read requests to the voters of a fleet and waits for the response. Thread-safe. */
 final class VoterConnection implements AutoCloseable {
     private final CommandCodec commands = new CommandCodec();
     private final AnswerCodec answers = new AnswerCodec();
@@ -22,38 +22,38 @@
     private final RaftClient leader;
     private final RaftClient single;
 
-    /** @param giveUpMs about how long an answer is waited for */
-    VoterConnection(String fleet, Map<String, String> voters, long giveUpMs) {
+    /** @param timeoutMs about how long an answer is waited for, in ms */
+    VoterConnection(String fleet, Map<String, String> voters, long timeoutMs) {
         names = List.copyOf(voters.keySet());
-        leader = Voters.client(fleet, voters, giveUpMs);
-        single = Voters.clientWithoutRetry(fleet, voters, giveUpMs);
+        leader = Voters.client(fleet, voters, timeoutMs);
+        single = Voters.clientWithoutRetry(fleet, voters, timeoutMs);
     }
 
-    /** The names of all voters. */
+    /** Returns the names of all voters. */
     List<String> names() {
         return names;
     }
 
-    /** Has a command applied; without an answer it may have been applied or not. */
+    /** Sends a command to be applied; if this throws, the command may have been applied or not. */
     Answer send(Command command) throws IOException {
-        RaftClientReply reply = leader.io().send(message(commands.encode(command)));
-        return answers.decode(content(reply));
+        RaftClientReply response = leader.io().send(message(commands.encode(command)));
+        return answers.decode(content(response));
     }
 
-    /** Asks the leader; the reply tells of all that was acknowledged before. */
-    Reply askLeader(Question question) throws IOException {
-        RaftClientReply reply = leader.io().sendReadOnly(message(questions.encode(question)));
-        return replies.decode(content(reply));
+    /** Linearizable read from the leader: the response includes everything acknowledged before. */
+    Reply askLeader(Question request) throws IOException {
+        RaftClientReply response = leader.io().sendReadOnly(message(questions.encode(request)));
+        return replies.decode(content(response));
     }
 
-    /** Asks one voter, whether it leads or not, once; the reply may be behind. */
-    Reply askVoter(String voter, Question question) throws IOException {
-        RaftClientReply reply =
-                single.io().sendStaleRead(message(questions.encode(question)), 0, RaftPeerId.valueOf(voter));
-        return replies.decode(content(reply));
+    /** Stale read from one voter, leader or follower, without retries; the response may lag behind the leader. */
+    Reply askVoter(String voter, Question request) throws IOException {
+        RaftClientReply response =
+                single.io().sendStaleRead(message(questions.encode(request)), 0, RaftPeerId.valueOf(voter));
+        return replies.decode(content(response));
     }
 
-    /** Whether a failure says that the voters belong to another fleet. */
+    /** Returns whether a failure means that the voters belong to another fleet. */
     static boolean isOtherFleet(Throwable failure) {
         for (Throwable cause = failure; cause != null; cause = cause.getCause()) {
             if (cause instanceof GroupMismatchException) {
@@ -67,11 +67,11 @@
         return Message.valueOf(ByteString.copyFrom(bytes));
     }
 
-    private static byte[] content(RaftClientReply reply) throws IOException {
-        if (!reply.isSuccess()) {
-            throw new IOException("the voters turned the request down", reply.getException());
+    private static byte[] content(RaftClientReply response) throws IOException {
+        if (!response.isSuccess()) {
+            throw new IOException("the voters refused the request", response.getException());
         }
-        return reply.getMessage().getContent().toByteArray();
+        return response.getMessage().getContent().toByteArray();
     }
 
     @Override
--- a/consensus/src/main/java/tallyweir/fleet/ratis/Voters.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/Voters.java
@@ -15,7 +15,10 @@
 import org.apache.ratis.retry.RetryPolicy;
 import org.apache.ratis.util.TimeDuration;
 
-/** The Raft group of a fleet: its members by name and address, and its id, which is made of the fleet's name. */
+/**
+ * The Raft group of a fleet, and clients of that group. The group has the voters by name and address; its id is derived from the
+ * fleet's name.
+ */
 final class Voters {
     private static final long RETRY_LEAST_MS = 50;
     private static final long RETRY_MOST_MS = 400;
@@ -40,25 +43,25 @@
                         .toList());
     }
 
-    /** A client that finds the leader, and tries again at random growing intervals for about so many milliseconds. */
-    static RaftClient client(String fleet, Map<String, String> voters, long giveUpMs) {
+    /** A client that finds the leader and retries with exponential backoff, for about {@code timeoutMs} milliseconds in all. */
+    static RaftClient client(String fleet, Map<String, String> voters, long timeoutMs) {
         RetryPolicy retries = ExponentialBackoffRetry.newBuilder()
                 .setBaseSleepTime(milliseconds(RETRY_LEAST_MS))
                 .setMaxSleepTime(milliseconds(RETRY_MOST_MS))
-                .setMaxAttempts((int) Math.max(REQUESTS_IN_GIVE_UP, giveUpMs / RETRY_MOST_MS + REQUESTS_IN_GIVE_UP))
+                .setMaxAttempts((int) Math.max(REQUESTS_IN_GIVE_UP, timeoutMs / RETRY_MOST_MS + REQUESTS_IN_GIVE_UP))
                 .build();
-        return client(fleet, voters, giveUpMs, retries);
+        return client(fleet, voters, timeoutMs, retries);
     }
 
-    /** A client that tries a voter once. */
-    static RaftClient clientWithoutRetry(String fleet, Map<String, String> voters, long giveUpMs) {
-        return client(fleet, voters, giveUpMs, RetryPolicies.noRetry());
+    /** A client that sends each request once. */
+    static RaftClient clientWithoutRetry(String fleet, Map<String, String> voters, long timeoutMs) {
+        return client(fleet, voters, timeoutMs, RetryPolicies.noRetry());
     }
 
-    private static RaftClient client(String fleet, Map<String, String> voters, long giveUpMs, RetryPolicy retries) {
+    private static RaftClient client(String fleet, Map<String, String> voters, long timeoutMs, RetryPolicy retries) {
         RaftProperties properties = new RaftProperties();
         RaftClientConfigKeys.Rpc.setRequestTimeout(
-                properties, milliseconds(Math.max(REQUEST_LEAST_MS, giveUpMs / REQUESTS_IN_GIVE_UP)));
+                properties, milliseconds(Math.max(REQUEST_LEAST_MS, timeoutMs / REQUESTS_IN_GIVE_UP)));
         return RaftClient.newBuilder()
                 .setProperties(properties)
                 .setRaftGroup(group(fleet, voters))
--- a/consensus/src/test/java/tallyweir/fleet/ratis/BackoffTest.java
+++ b/consensus/src/test/java/tallyweir/fleet/ratis/BackoffTest.java
@@ -10,7 +10,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Waits after failures grow, have a bound, and spread many clients that failed at the same moment. */
+/** Backoff delays grow up to a bound, and spread clients that failed at the same moment. */
 class BackoffTest {
     private static final long LEAST_MS = 100;
     private static final long MOST_MS = 5_000;
@@ -28,27 +28,27 @@
         long first = backoff.afterFailureMs();
         assertTrue(first >= LEAST_MS / 2 && first <= 2 * LEAST_MS, () -> first + " ms");
         for (int failure = 0; failure < 100; failure++) {
-            long wait = backoff.afterFailureMs();
-            assertTrue(wait >= LEAST_MS / 2 && wait <= 2 * MOST_MS, () -> wait + " ms");
+            long delayMs = backoff.afterFailureMs();
+            assertTrue(delayMs >= LEAST_MS / 2 && delayMs <= 2 * MOST_MS, () -> delayMs + " ms");
         }
         assertTrue(backoff.afterFailureMs() >= MOST_MS / 2);
         backoff.succeeded();
         assertTrue(backoff.afterFailureMs() <= 2 * LEAST_MS);
     }
 
-    /** After the same number of failures, no twentieth of the span has more than twice its share of the clients. */
+    /** After the same number of failures, no twentieth of the delay range holds more than twice its share of the clients. */
     @Test
     void manyThatFailTogetherDoNotReturnTogether() {
         List<Backoff> clients = clients();
         for (int failure = 0; failure < 8; failure++) {
-            List<Long> waits = clients.stream().map(Backoff::afterFailureMs).toList();
-            long span = Math.min(MOST_MS, LEAST_MS << failure);
+            List<Long> delays = clients.stream().map(Backoff::afterFailureMs).toList();
+            long baseMs = Math.min(MOST_MS, LEAST_MS << failure);
             int[] twentieths = new int[20];
-            waits.forEach(wait -> twentieths[(int) Math.min(19, (wait - span / 2) * 20 / (span + 1))]++);
+            delays.forEach(delayMs -> twentieths[(int) Math.min(19, (delayMs - baseMs / 2) * 20 / (baseMs + 1))]++);
             IntSummaryStatistics counts = IntStream.of(twentieths).summaryStatistics();
             assertEquals(CLIENTS, counts.getSum());
             assertTrue(
-                    counts.getMax() < 2 * CLIENTS / 20, () -> Stream.of(waits).toString());
+                    counts.getMax() < 2 * CLIENTS / 20, () -> Stream.of(delays).toString());
         }
     }
 }
--- a/consensus/src/test/java/tallyweir/fleet/ratis/CodecTest.java
+++ b/consensus/src/test/java/tallyweir/fleet/ratis/CodecTest.java
@@ -32,7 +32,7 @@
 import tallyweir.fleet.table.Kind;
 import tallyweir.fleet.table.Value;
 
-/** Messages are the same after they have been encoded and decoded, and damaged ones are turned down. */
+/** Messages survive an encode/decode round trip unchanged, and malformed ones are rejected. */
 class CodecTest {
     private static final int QUIET_REPORT_BYTES = 200;
 
@@ -82,13 +82,13 @@
         assertEquals(answer, answers.decode(answers.encode(answer)));
     }
 
-    /** By their bytes, since two pieces are only equal if they are the same array. */
+    /** Compares responses by their encoding, since records with a byte array are equal only if the array is the same object. */
     @Property(tries = 300, seed = "23")
     void everyQuestionAndReplyIsTheSameOnceDecoded(
-            @ForAll("anyQuestion") Question question, @ForAll("anyReply") Reply reply)
+            @ForAll("anyQuestion") Question request, @ForAll("anyReply") Reply response)
             throws MalformedMessageException {
-        assertEquals(question, questions.decode(questions.encode(question)));
-        byte[] bytes = replies.encode(reply);
+        assertEquals(request, questions.decode(questions.encode(request)));
+        byte[] bytes = replies.encode(response);
         assertArrayEquals(bytes, replies.encode(replies.decode(bytes)));
     }
 
@@ -103,7 +103,7 @@
         assertEquals(refused, answers.decode(answers.encode(refused)));
     }
 
-    /** Arbitrary values might by chance leave a record out. */
+    /** Covers each record explicitly, since random generation may miss one. */
     @Example
     void everyRecordOfEachTypeIsTheSameOnceDecoded() throws MalformedMessageException {
         for (Class<?> type : RecordArbitraries.records(Command.class)) {
@@ -134,22 +134,22 @@
                         + "UnknownRoot",
                 Fault.kinds().stream().map(Class::getSimpleName).collect(Collectors.toCollection(TreeSet::new)).stream()
                         .collect(Collectors.joining(" ")),
-                "the names stand in logs and snapshots on disk");
+                "the names are stored in logs and snapshots on disk");
     }
 
-    /** Each prefix of a message, a message followed by anything, and no message at all. */
+    /** Rejects each proper prefix of a message, the empty one included, and a message followed by another byte. */
     @Property(tries = 50, seed = "26")
     void whatIsCutOrContinuedIsTurnedDown(@ForAll("anyCommand") Command command) {
-        byte[] whole = commands.encode(command);
-        for (int length = 0; length < whole.length; length++) {
-            byte[] cut = Arrays.copyOf(whole, length);
-            assertThrows(MalformedMessageException.class, () -> commands.decode(cut));
+        byte[] complete = commands.encode(command);
+        for (int length = 0; length < complete.length; length++) {
+            byte[] truncated = Arrays.copyOf(complete, length);
+            assertThrows(MalformedMessageException.class, () -> commands.decode(truncated));
         }
-        byte[] continued = Arrays.copyOf(whole, whole.length + 1);
-        assertThrows(MalformedMessageException.class, () -> commands.decode(continued));
+        byte[] extended = Arrays.copyOf(complete, complete.length + 1);
+        assertThrows(MalformedMessageException.class, () -> commands.decode(extended));
     }
 
-    /** Jackson reads half of a surrogate pair, but does not write it. */
+    /** Jackson reads an unpaired surrogate but does not write it, so the message would have no valid encoding. */
     @Example
     void halfOfASurrogatePairIsTurnedDown() {
         byte[] bytes = commands.encode(new Command.Leave(new ServerId("\u0800"), new Incarnation(1)));
@@ -162,7 +162,7 @@
         assertThrows(MalformedMessageException.class, () -> commands.decode(bytes));
     }
 
-    /** Damage is either turned down or makes another valid message; nothing else is thrown. */
+    /** A damaged message is either rejected or decodes to another valid message; no other exception is thrown. */
     @Property(seed = "27")
     void damageHasNoOtherOutcome(@ForAll("anyCommand") Command command, @ForAll int place, @ForAll byte damage) {
         byte[] bytes = commands.encode(command);
@@ -188,10 +188,10 @@
     /** An array of one component, encoded as a record is. */
     record One(Object first) {}
 
-    /** An array of two. */
+    /** An array of two components. */
     record Two(Object first, Object second) {}
 
-    /** An array of three. */
+    /** An array of three components. */
     record Three(Object first, Object second, Object third) {}
 
     @Example
--- a/consensus/src/test/java/tallyweir/fleet/ratis/FleetClientsTest.java
+++ b/consensus/src/test/java/tallyweir/fleet/ratis/FleetClientsTest.java
@@ -26,7 +26,7 @@
 import tallyweir.fleet.table.Change;
 import tallyweir.fleet.table.Table;
 
-/** The service as a server finds and uses it. */
+/** The {@link FleetClients} service as a server finds it with {@link ServiceLoader} and uses it. */
 class FleetClientsTest {
     private static final FleetSettings SETTINGS =
             new FleetSettings(1, 100_000, 5_000, 1_000_000, 500_000, 0.01, 0.5, 0.25, 8, 0.5, 0, 2, 0.5);
@@ -36,13 +36,13 @@
     private Path dir;
 
     private static Optional<Answer> send(FleetClient client, Command command) throws Exception {
-        CompletableFuture<Optional<Answer>> heard = new CompletableFuture<>();
+        CompletableFuture<Optional<Answer>> received = new CompletableFuture<>();
         client.send(
                 command,
                 Runnable::run,
-                answer -> heard.complete(Optional.of(answer)),
-                () -> heard.complete(Optional.empty()));
-        return heard.get(VoterCluster.PATIENCE.toSeconds(), TimeUnit.SECONDS);
+                answer -> received.complete(Optional.of(answer)),
+                () -> received.complete(Optional.empty()));
+        return received.get(VoterCluster.PATIENCE.toSeconds(), TimeUnit.SECONDS);
     }
 
     @Test
--- a/consensus/src/test/java/tallyweir/fleet/ratis/RecordArbitraries.java
+++ b/consensus/src/test/java/tallyweir/fleet/ratis/RecordArbitraries.java
@@ -20,7 +20,7 @@
 import tallyweir.fleet.table.Path;
 import tallyweir.fleet.table.Value;
 
-/** Arbitrary records of any type: a sealed type stands for all its records, a record for all values of its components. */
+/** Random records of any type: for a sealed type any of its records, for a record random values of its components. */
 final class RecordArbitraries {
     private static final int ELEMENTS_MOST = 5;
     private static final int DIGEST_BYTES = 32;
@@ -28,12 +28,12 @@
 
     private RecordArbitraries() {}
 
-    /** Values of a type. */
+    /** Random values of a type. */
     static <T> Arbitrary<T> of(Class<T> type) {
         return arbitrary(type).map(type::cast);
     }
 
-    /** The records that a sealed type, or one of them itself, stands for. */
+    /** Returns all records of a sealed type, nested ones included; for any other type the type itself. */
     static List<Class<?>> records(Class<?> type) {
         if (!type.isSealed()) {
             return List.of(type);
--- a/consensus/src/test/java/tallyweir/fleet/ratis/SnapshotStoreTest.java
+++ b/consensus/src/test/java/tallyweir/fleet/ratis/SnapshotStoreTest.java
@@ -26,14 +26,14 @@
 import tallyweir.fleet.State;
 import tallyweir.fleet.table.Change;
 
-/** Snapshots on disk: the same state again, and damaged files. */
+/** Snapshots on disk: saving and loading a state, and fallback from damaged files. */
 class SnapshotStoreTest {
     private static final FleetSettings SETTINGS =
             new FleetSettings(1, 20_000, 5_000, 100_000, 50_000, 0.01, 0.5, 0.25, 8, 0.5, 0, 2, 0.5);
     private static final TermIndex EARLIER = TermIndex.valueOf(1, 9);
     private static final TermIndex LATER = TermIndex.valueOf(2, 10);
     private static final int CAPS_IN_COMMAND = 50_000;
-    private static final int STEP = 17; // from one changed tenant to the next
+    private static final int STEP = 17; // between two changed tenants
 
     // Larger ones are measured with -Dsnapshot.caps=400000 -Dsnapshot.changes=25000.
     private static final int CAPS = Integer.getInteger("snapshot.caps", 20_000);
@@ -97,7 +97,7 @@
         assertEquals(parts(state), parts(store.loadNewest().orElseThrow().state()));
     }
 
-    /** Cut at many lengths, and one byte changed at many places: always found, and the one before is used. */
+    /** Truncates a snapshot to many lengths and flips a bit at many positions: always detected, and the previous snapshot is used. */
     @Test
     void whatIsTornOrChangedIsFoundAndTheOneBeforeIsUsed() throws IOException {
         SnapshotStore store = new SnapshotStore(dir);
@@ -105,19 +105,19 @@
         store.save(before, EARLIER);
         store.save(state(30, 3), LATER);
         Path newest = dir.resolve("snapshot.2_10");
-        byte[] whole = Files.readAllBytes(newest);
-        for (int at = 0; at < whole.length; at += 1 + at / 50) {
-            Files.write(newest, Arrays.copyOf(whole, at));
+        byte[] complete = Files.readAllBytes(newest);
+        for (int at = 0; at < complete.length; at += 1 + at / 50) {
+            Files.write(newest, Arrays.copyOf(complete, at));
             assertEarlier(store, before);
-            byte[] changed = whole.clone();
+            byte[] changed = complete.clone();
             changed[at] ^= 4;
             Files.write(newest, changed);
             assertThrows(SnapshotDamagedException.class, store::loadNewest);
             assertEarlier(store, before);
         }
-        Files.write(newest, Arrays.copyOf(whole, whole.length + 1));
+        Files.write(newest, Arrays.copyOf(complete, complete.length + 1));
         assertEarlier(store, before);
-        Files.write(newest, whole);
+        Files.write(newest, complete);
         assertEquals(LATER, store.loadNewestUndamaged().orElseThrow().at(), "undamaged again");
     }
 
@@ -134,10 +134,10 @@
         Path newest = dir.resolve("snapshot.2_10");
         Files.write(newest, new byte[] {1, 2, 3});
         assertInstanceOf(SnapshotDamagedException.class, assertThrows(IOException.class, store::loadNewestUndamaged));
-        assertTrue(Files.exists(dir.resolve("damaged.snapshot.2_10")), "kept for whoever looks into it");
+        assertTrue(Files.exists(dir.resolve("damaged.snapshot.2_10")), "kept for diagnosis");
     }
 
-    /** A writer that was killed leaves a file that is no snapshot. */
+    /** A process killed while it writes a snapshot leaves a file that is not taken for one. */
     @Test
     void anUnfinishedFileIsNoSnapshot() throws IOException {
         SnapshotStore store = new SnapshotStore(dir);
@@ -147,18 +147,18 @@
         assertEquals(EARLIER, store.loadNewestUndamaged().orElseThrow().at());
     }
 
-    /** Bytes and times of one-entry changes over many caps; each change costs about as much as it says. */
+    /** Measures size and time of a snapshot with one-entry changes over many caps; each change adds a size independent of the table's. */
     @Test
     void aSnapshotOfManyChangesIsAsSmallAsWhatChanged() throws IOException {
         SnapshotStore store = new SnapshotStore(dir);
         State without = state(CAPS, 0);
         store.save(without, EARLIER);
         State state = state(CAPS, CHANGES);
-        long begun = System.nanoTime();
+        long startedAt = System.nanoTime();
         store.save(state, LATER);
-        long saved = System.nanoTime();
+        long savedAt = System.nanoTime();
         SnapshotStore.Loaded loaded = store.loadNewest().orElseThrow();
-        long ended = System.nanoTime();
+        long endedAt = System.nanoTime();
         long base = Files.size(dir.resolve("snapshot.1_9"));
         long bytes = Files.size(dir.resolve("snapshot.2_10"));
         System.out.printf(
@@ -167,8 +167,8 @@
                 CHANGES,
                 bytes,
                 base,
-                TimeUnit.NANOSECONDS.toMillis(saved - begun),
-                TimeUnit.NANOSECONDS.toMillis(ended - saved));
+                TimeUnit.NANOSECONDS.toMillis(savedAt - startedAt),
+                TimeUnit.NANOSECONDS.toMillis(endedAt - savedAt));
         assertEquals(
                 state.table(state.inForce()),
                 loaded.state().table(loaded.state().inForce()));
--- a/consensus/src/test/java/tallyweir/fleet/ratis/TableFetchTest.java
+++ b/consensus/src/test/java/tallyweir/fleet/ratis/TableFetchTest.java
@@ -23,14 +23,14 @@
 import tallyweir.fleet.table.Path;
 import tallyweir.fleet.table.Table;
 
-/** Fetches from sources that fail, lag behind, or send something else. */
+/** Fetches from sources that fail, lag behind or send wrong data. */
 class TableFetchTest {
     private static final int MANY = 40_000;
     private static final Table BASE = Table.EMPTY.apply(VoterCluster.caps(MANY, -1, 1));
     private static final Table NEAR = BASE.apply(VoterCluster.caps(10, 1, 2));
     private static final Table FAR = BASE.apply(VoterCluster.caps(MANY, 1, 3));
 
-    /** What a voter that has these tables replies. */
+    /** Answers like a voter that has these tables. */
     private static final class TestSource implements TableSource {
         private final List<Table> tables;
         private final List<Question> asked = new ArrayList<>();
@@ -42,17 +42,17 @@
         }
 
         @Override
-        public Reply ask(Question question) throws IOException {
-            asked.add(question);
+        public Reply ask(Question request) throws IOException {
+            asked.add(request);
             if (repliesLeft == 0) {
                 throw new IOException("cut");
             }
             repliesLeft--;
-            return onTheWay.apply(reply(question));
+            return onTheWay.apply(reply(request));
         }
 
-        private Reply reply(Question question) {
-            if (question instanceof Question.Difference difference) {
+        private Reply reply(Question request) {
+            if (request instanceof Question.Difference difference) {
                 Optional<Table> to = table(difference.to().root());
                 if (to.isEmpty()) {
                     return new Reply.UnknownRoot();
@@ -62,9 +62,9 @@
                         .<Reply>map(Reply.Difference::new)
                         .orElseGet(Reply.TooFar::new);
             }
-            Question.Piece piece = (Question.Piece) question;
-            return table(piece.root())
-                    .<Reply>map(table -> new Reply.Piece(table.piece(piece.path())))
+            Question.Piece chunk = (Question.Piece) request;
+            return table(chunk.root())
+                    .<Reply>map(table -> new Reply.Piece(table.piece(chunk.path())))
                     .orElseGet(Reply.UnknownRoot::new);
         }
 
@@ -75,7 +75,7 @@
         private List<Path> pieces() {
             return asked.stream()
                     .filter(Question.Piece.class::isInstance)
-                    .map(question -> ((Question.Piece) question).path())
+                    .map(request -> ((Question.Piece) request).path())
                     .toList();
         }
     }
@@ -113,7 +113,7 @@
         assertEquals(FAR, fetchFrom(source).fetch(Table.EMPTY, wanted(FAR)));
         List<Path> pieces = source.pieces();
         assertTrue(pieces.size() > 10, pieces::toString);
-        assertEquals(pieces.size(), new HashSet<>(pieces).size(), "each piece once");
+        assertEquals(pieces.size(), new HashSet<>(pieces).size(), "each chunk once");
     }
 
     @Test
@@ -126,14 +126,14 @@
     void aTransferThatWasCutGoesOnWithThePiecesThatItHas() {
         TestSource source = new TestSource(FAR);
         TableFetch fetch = fetchFrom(source);
-        source.repliesLeft = 8; // the difference, and seven pieces
+        source.repliesLeft = 8; // the difference and seven chunks
         assertInstanceOf(Fault.NoLeader.class, failure(fetch, Table.EMPTY, FAR));
         List<Path> before = source.pieces().subList(0, 7);
         source.asked.clear();
         source.repliesLeft = Integer.MAX_VALUE;
         assertEquals(FAR, fetch.fetch(Table.EMPTY, wanted(FAR)));
         List<Path> after = source.pieces();
-        assertTrue(after.stream().noneMatch(before::contains), () -> before + " asked for again: " + after);
+        assertTrue(after.stream().noneMatch(before::contains), () -> before + " requested again: " + after);
     }
 
     @Test
@@ -141,13 +141,13 @@
         Table newer = FAR.apply(List.of(VoterCluster.cap("tenant7", 3, 4)));
         TestSource source = new TestSource(FAR, newer);
         TableFetch fetch = fetchFrom(source);
-        int whole = pieces(newer);
-        source.repliesLeft = whole - 1; // all but the last two pieces
+        int total = pieces(newer);
+        source.repliesLeft = total - 1; // all but the last two chunks
         failure(fetch, Table.EMPTY, FAR);
         source.asked.clear();
         source.repliesLeft = Integer.MAX_VALUE;
         assertEquals(newer, fetch.fetch(Table.EMPTY, wanted(newer)));
-        assertTrue(source.pieces().size() <= 6, () -> "of " + whole + " pieces: " + source.pieces());
+        assertTrue(source.pieces().size() <= 6, () -> "of " + total + " chunks: " + source.pieces());
     }
 
     private static int pieces(Table table) {
@@ -161,8 +161,8 @@
         TestSource silent = new TestSource(FAR);
         silent.repliesLeft = 3;
         TestSource behind = new TestSource(BASE);
-        TestSource whole = new TestSource(FAR);
-        assertEquals(FAR, fetchFrom(silent, behind, whole).fetch(Table.EMPTY, wanted(FAR)));
+        TestSource complete = new TestSource(FAR);
+        assertEquals(FAR, fetchFrom(silent, behind, complete).fetch(Table.EMPTY, wanted(FAR)));
         assertInstanceOf(Fault.UnknownRoot.class, failure(fetchFrom(behind), Table.EMPTY, FAR));
     }
 
@@ -177,22 +177,22 @@
         assertEquals(FAR, fetch.fetch(Table.EMPTY, wanted(FAR)));
         TestSource other = new TestSource(FAR);
         damaged.onTheWay = TableFetchTest::damage;
-        assertEquals(FAR, fetchFrom(damaged, other).fetch(Table.EMPTY, wanted(FAR)), "the other is asked");
+        assertEquals(FAR, fetchFrom(damaged, other).fetch(Table.EMPTY, wanted(FAR)), "the other source is tried");
     }
 
-    private static Reply damage(Reply reply) {
-        if (reply instanceof Reply.Piece piece) {
-            byte[] bytes = piece.bytes().clone();
+    private static Reply damage(Reply response) {
+        if (response instanceof Reply.Piece chunk) {
+            byte[] bytes = chunk.bytes().clone();
             bytes[bytes.length / 2] ^= 1;
             return new Reply.Piece(bytes);
         }
-        return reply;
+        return response;
     }
 
     @Test
     void aDifferenceThatLeadsElsewhereIsRefused() {
         TestSource source = new TestSource(BASE, NEAR);
-        source.onTheWay = reply -> new Reply.Difference(
+        source.onTheWay = response -> new Reply.Difference(
                 List.<Change>of(VoterCluster.cap("tenant1", 1, 2), VoterCluster.cap("tenant2", 1, 900)));
         assertInstanceOf(Fault.DigestMismatch.class, failure(fetchFrom(source), BASE, NEAR));
     }
@@ -200,11 +200,11 @@
     @Test
     void aReplyToAnotherQuestionIsOfNoUse() {
         TestSource source = new TestSource(BASE, NEAR);
-        source.onTheWay = reply -> new Reply.Piece(new byte[] {1});
+        source.onTheWay = response -> new Reply.Piece(new byte[] {1});
         assertInstanceOf(Fault.NoLeader.class, failure(fetchFrom(source), BASE, NEAR));
     }
 
-    /** What the guard is for: without it a mix of both tables is handed over first. */
+    /** Without the guard, a table that mixes both revisions is passed on first. */
     @Test
     void withoutTheGuardAMixIsUsed() throws Exception {
         List<Table> used = new ArrayList<>();
--- a/consensus/src/test/java/tallyweir/fleet/ratis/TransfersTest.java
+++ b/consensus/src/test/java/tallyweir/fleet/ratis/TransfersTest.java
@@ -20,9 +20,9 @@
 import tallyweir.fleet.table.Change;
 import tallyweir.fleet.table.Table;
 
-/** Tables fetched from voters, of which one ends meanwhile. */
+/** Tables fetched from voters, one of which stops during the transfer. */
 class TransfersTest {
-    // Larger ones are tried with -Dtransfer.caps=400000.
+    // Set larger sizes with -Dtransfer.caps=400000.
     private static final int MANY = Integer.getInteger("transfer.caps", 20_000);
     private static final List<Change> FIRST = VoterCluster.caps(MANY, -1, 1);
     private static final List<Change> SECOND = VoterCluster.caps(3, 1, 2);
@@ -71,25 +71,25 @@
     @Test
     void aVoterThatEndsBetweenTwoPiecesIsLeftForAnother() throws Exception {
         RevisionRoot wanted = cluster.revision(1);
-        List<Question> replied = new ArrayList<>();
-        List<String> repliers = new ArrayList<>();
+        List<Question> answeredRequests = new ArrayList<>();
+        List<String> answeringVoters = new ArrayList<>();
         try (VoterConnection connection = new VoterConnection(VoterCluster.FLEET, cluster.addresses(), 1_000)) {
             List<TableSource> sources = connection.names().stream()
-                    .<TableSource>map(voter -> question -> {
-                        Reply reply = connection.askVoter(voter, question);
-                        replied.add(question);
-                        repliers.add(voter);
-                        if (replied.size() == 5) {
+                    .<TableSource>map(voter -> request -> {
+                        Reply response = connection.askVoter(voter, request);
+                        answeredRequests.add(request);
+                        answeringVoters.add(voter);
+                        if (answeredRequests.size() == 5) {
                             cluster.stopVoter(voter);
                         }
-                        return reply;
+                        return response;
                     })
                     .toList();
             Table fetched = new TableFetch(sources, "test", 1_000).fetch(Table.EMPTY, wanted);
             assertEquals(Table.EMPTY.apply(FIRST), fetched);
         }
-        assertTrue(replied.size() > 5, "pieces after the end of the first voter");
-        assertEquals(replied.size(), new HashSet<>(replied).size(), "nothing is fetched twice");
-        assertEquals(2, new HashSet<>(repliers).size(), repliers::toString);
+        assertTrue(answeredRequests.size() > 5, "chunks after the first voter stopped");
+        assertEquals(answeredRequests.size(), new HashSet<>(answeredRequests).size(), "nothing is fetched twice");
+        assertEquals(2, new HashSet<>(answeringVoters).size(), answeringVoters::toString);
     }
 }
--- a/consensus/src/test/java/tallyweir/fleet/ratis/VoterCluster.java
+++ b/consensus/src/test/java/tallyweir/fleet/ratis/VoterCluster.java
@@ -30,7 +30,7 @@
 import tallyweir.fleet.table.Value;
 import tallyweir.ids.TenantId;
 
-/** Three voters of this process on loopback, and a client of them. */
+/** Three voters in this process on loopback, and a client of them. */
 final class VoterCluster implements AutoCloseable {
     static final Duration PATIENCE = Duration.ofSeconds(30);
     static final String FLEET = "f";
@@ -107,15 +107,15 @@
                 .getKey();
     }
 
-    /** What came back to a command that a server sent, or empty where none came. */
+    /** Sends a command as a server does; empty if no answer arrives. */
     Optional<Answer> send(Command command) throws Exception {
-        CompletableFuture<Optional<Answer>> heard = new CompletableFuture<>();
+        CompletableFuture<Optional<Answer>> received = new CompletableFuture<>();
         client.send(
                 command,
                 Runnable::run,
-                answer -> heard.complete(Optional.of(answer)),
-                () -> heard.complete(Optional.empty()));
-        return heard.get(PATIENCE.toSeconds(), TimeUnit.SECONDS);
+                answer -> received.complete(Optional.of(answer)),
+                () -> received.complete(Optional.empty()));
+        return received.get(PATIENCE.toSeconds(), TimeUnit.SECONDS);
     }
 
     Incarnation join() throws Exception {
@@ -123,7 +123,7 @@
         return ((Answer.Joined) send(join).orElseThrow()).as();
     }
 
-    /** The server acts on a revision, and can take what it has checked. */
+    /** Reports that the server acts on a revision, and that it can adopt the one it has checked. */
     Answer.Told report(Incarnation as, long number, RevisionRoot acting, long checked, Map<TenantId, Need> needs)
             throws Exception {
         Command report = new Command.Report(
@@ -139,7 +139,7 @@
         return cap < 0 ? Optional.empty() : Optional.of(new Value.Cap(cap));
     }
 
-    /** Changes that give as many tenants a cap, from what another call gave them. */
+    /** Changes the caps of that many tenants from {@code before}, where a negative number means none, to {@code after}. */
     static List<Change> caps(int tenants, int before, int after) {
         return IntStream.range(0, tenants)
                 .mapToObj(i -> cap("tenant" + i, before, after))
@@ -155,7 +155,7 @@
         return client.ask(new Command.ChangeEntries(new OperatorCommand(command), changes, "bob", "more", false));
     }
 
-    /** A revision of the audit and the root of its table. */
+    /** Returns a revision of the audit with the root of its table. */
     RevisionRoot revision(long id) {
         Digest root = client.audit().revisions().stream()
                 .filter(revision -> revision.revision().value() == id)
@@ -165,13 +165,13 @@
         return new RevisionRoot(new RevisionId(id), root);
     }
 
-    /** Waits until a voter has a revision, whether it leads or not. */
+    /** Waits until a voter, leader or follower, has a revision. */
     void awaitRevision(String voter, RevisionRoot revision) throws IOException {
-        Question question = new Question.Difference(revision.root(), revision, 0);
+        Question request = new Question.Difference(revision.root(), revision, 0);
         try (VoterConnection connection = new VoterConnection(FLEET, addresses, GIVE_UP_MS)) {
             await().atMost(PATIENCE)
                     .ignoreExceptions()
-                    .until(() -> connection.askVoter(voter, question) instanceof Reply.Difference);
+                    .until(() -> connection.askVoter(voter, request) instanceof Reply.Difference);
         }
     }
 
--- a/consensus/src/test/java/tallyweir/fleet/ratis/VotersTest.java
+++ b/consensus/src/test/java/tallyweir/fleet/ratis/VotersTest.java
@@ -38,7 +38,7 @@
 import tallyweir.fleet.table.Value;
 import tallyweir.ids.TenantId;
 
-/** Three voters on loopback, one of them ended or started anew, and what was acknowledged. */
+/** Three voters on loopback that stop and restart: acknowledged commands must survive. */
 class VotersTest {
     private static final TenantId TENANT = new TenantId("t");
     private static final Key KEY = new Key(Kind.CAP, "t");
@@ -95,7 +95,9 @@
         refused(Fault.LostRace.class, cluster.publish("late", 0, List.of(VoterCluster.cap("t", -1, 9))));
         assertEquals(done(1), cluster.publish("c1", 0, eight), "the same command, sent again to another leader");
         assertEquals(
-                Table.EMPTY.apply(eight), cluster.client().table(Table.EMPTY, revision), "fetched from who is left");
+                Table.EMPTY.apply(eight),
+                cluster.client().table(Table.EMPTY, revision),
+                "fetched from the remaining voters");
         cluster.startVoter(first);
         for (String other : cluster.addresses().keySet()) {
             if (!other.equals(first)) {
@@ -104,7 +106,7 @@
             }
         }
         FleetAudit audit = cluster.client().audit();
-        assertEquals(new RevisionId(1), audit.inForce(), "after all have started anew");
+        assertEquals(new RevisionId(1), audit.inForce(), "after all voters restarted");
         assertEquals(VoterCluster.SERVER, audit.servers().get(0).server());
         assertEquals(revision.root(), audit.servers().get(0).digest());
         assertEquals(1, audit.capped());
@@ -155,7 +157,7 @@
         assertEquals(RevisionId.NONE, cluster.client().audit().inForce());
     }
 
-    /** Many send the same command at once, as who has no answer does; it makes one revision. */
+    /** Many clients send the same command at once, as a client without an answer retries; it makes one revision. */
     @Test
     void aCommandThatIsSentAgainActsOnce() {
         List<Change> eight = List.of(VoterCluster.cap("t", -1, 8));
@@ -179,13 +181,13 @@
         assertEquals(done(1), cluster.publish("c1", 0, List.of(VoterCluster.cap("t", -1, 8))));
     }
 
-    private static void succeeded(RaftClientReply reply) throws IOException {
-        if (!reply.isSuccess()) {
-            throw reply.getException();
+    private static void succeeded(RaftClientReply response) throws IOException {
+        if (!response.isSuccess()) {
+            throw response.getException();
         }
     }
 
-    /** A change waits behind a revision that a server has not said anything of; the leader goes; it comes into force. */
+    /** A change waits behind a revision that a server has not reported on yet; it must come into force although the leader stops. */
     @Test
     void aChangeThatWaitsOutlivesTheLeader() throws Exception {
         Incarnation as = cluster.join();
@@ -194,7 +196,7 @@
         List<Change> eight = List.of(VoterCluster.cap("t", -1, 8));
         assertInstanceOf(Answer.Waiting.class, cluster.change("waits", eight));
         cluster.stopVoter(cluster.leader());
-        assertInstanceOf(Answer.Waiting.class, cluster.change("waits", eight), "asked again of the next leader");
+        assertInstanceOf(Answer.Waiting.class, cluster.change("waits", eight), "sent again to the next leader");
         assertEquals(1, cluster.client().audit().waiting().size());
         RevisionRoot revision = cluster.revision(1);
         assertEquals(revision, cluster.report(as, 2, FIRST, 1, Map.of()).inForce());
@@ -202,12 +204,12 @@
                 new RevisionId(2),
                 cluster.report(as, 3, revision, 1, Map.of()).toCheck().id());
         cluster.report(as, 4, revision, 2, Map.of());
-        assertEquals(done(2), cluster.change("waits", eight), "and once more");
+        assertEquals(done(2), cluster.change("waits", eight), "sent a third time");
         assertEquals(Optional.of(new Value.Cap(8)), inForce());
         assertEquals(0, cluster.client().audit().waiting().size());
     }
 
-    /** A voter writes a snapshot as it ends. Of two the newer is damaged, then both are. */
+    /** A voter writes a snapshot when it closes. First the newer of two snapshots is damaged, then both. */
     @Test
     void aDamagedSnapshotIsLeftForTheOneBeforeAndWithoutAnyTheLogIsDamaged() throws Exception {
         cluster.publish("c1", 0, List.of(VoterCluster.cap("t", -1, 8)));
@@ -222,7 +224,7 @@
         damage(snapshots.get(1));
         cluster.startVoter("v1");
         cluster.stopVoter("v2");
-        assertEquals(Optional.of(new Value.Cap(9)), inForce(), "the log goes on from the earlier snapshot");
+        assertEquals(Optional.of(new Value.Cap(9)), inForce(), "the log continues from the earlier snapshot");
         cluster.startVoter("v2");
         cluster.stopVoter("v1");
         for (Path snapshot : snapshots("v1")) {
@@ -234,7 +236,7 @@
                         .fault());
     }
 
-    /** The snapshots of a voter, the newest last. */
+    /** Returns the snapshots of a voter, the newest last. */
     private List<Path> snapshots(String voter) throws IOException {
         try (Stream<Path> files = Files.walk(cluster.dir(voter))) {
             return files.filter(file -> file.getFileName().toString().matches("snapshot\\.\\d+_\\d+"))
