--- a/consensus/src/main/java/tallyweir/fleet/ratis/AnswerCodec.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/AnswerCodec.java
@@ -13,7 +13,7 @@
     @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, include = JsonTypeInfo.As.WRAPPER_ARRAY)
     @JsonSubTypes({
         @JsonSubTypes.Type(value = Answer.Joined.class, name = "joined"),
-        @JsonSubTypes.Type(value = Answer.Told.class, name = "told"),
+        @JsonSubTypes.Type(value = Answer.ReportAccepted.class, name = "told"),
         @JsonSubTypes.Type(value = Answer.Done.class, name = "done"),
         @JsonSubTypes.Type(value = Answer.Waiting.class, name = "waiting"),
         @JsonSubTypes.Type(value = Answer.Refused.class, name = "refused"),
--- a/consensus/src/main/java/tallyweir/fleet/ratis/Auditor.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/Auditor.java
@@ -28,11 +28,11 @@
  * state; how a revision differs from the one before it is computed once and cached.
  */
 final class Auditor {
-    private static final double TICKS_IN_MS = 10.0;
+    private static final double TICKS_PER_MS = 10.0;
 
     private final Object lock;
     private final Map<RevisionId, Difference> differences = new ConcurrentHashMap<>();
-    private volatile CappedTenants capped = new CappedTenants(Digest.NONE, 0, List.of());
+    private volatile CappedTenants lastCappedTenants = new CappedTenants(Digest.NONE, 0, List.of());
 
     /** @param lock the lock that guards the state */
     Auditor(Object lock) {
@@ -45,7 +45,7 @@
             return new Difference(
                     changes.size(),
                     changes.stream()
-                            .limit(FleetAudit.KEYS_MOST)
+                            .limit(FleetAudit.MAX_KEYS)
                             .map(Auditor::keyAudit)
                             .toList());
         }
@@ -67,7 +67,7 @@
                 }
             });
             caps.sort(Comparator.comparing(Entry::key));
-            List<Entry> first = caps.subList(0, Math.min(caps.size(), FleetAudit.CAPS_MOST));
+            List<Entry> first = caps.subList(0, Math.min(caps.size(), FleetAudit.MAX_CAPS));
             return new CappedTenants(table.root(), caps.size(), List.copyOf(first));
         }
     }
@@ -79,7 +79,7 @@
         List<RevisionTables> latest;
         Table inForce;
         synchronized (lock) {
-            latest = latest(state);
+            latest = latestRevisions(state);
             inForce = state.table(state.inForce());
         }
         latest.forEach(this::difference);
@@ -89,10 +89,10 @@
         }
     }
 
-    private static List<RevisionTables> latest(State state) {
+    private static List<RevisionTables> latestRevisions(State state) {
         Collection<Revision> all = state.revisions();
         return all.stream()
-                .skip(Math.max(0, all.size() - FleetAudit.REVISIONS_MOST))
+                .skip(Math.max(0, all.size() - FleetAudit.MAX_REVISIONS))
                 .map(revision -> new RevisionTables(
                         revision,
                         Optional.ofNullable(state.table(revision.base())),
@@ -110,10 +110,10 @@
 
     /** Scans a table only once, however often it is audited. */
     private CappedTenants cappedTenants(Table table) {
-        CappedTenants current = capped;
+        CappedTenants current = lastCappedTenants;
         if (!current.root.equals(table.root())) {
             current = CappedTenants.of(table);
-            capped = current;
+            lastCappedTenants = current;
         }
         return current;
     }
@@ -121,14 +121,14 @@
     private FleetAudit audit(State state, List<RevisionTables> latest, CappedTenants caps) {
         return new FleetAudit(
                 state.fleet(),
-                state.version(),
+                state.settingsVersion(),
                 state.inForce(),
                 state.proposed(),
                 state.live(),
                 state.out(),
                 latest.stream().map(this::revision).toList(),
-                state.waiting().stream().map(Auditor::outsideRevision).toList(),
-                state.refused().stream().map(Auditor::outsideRevision).toList(),
+                state.waiting().stream().map(Auditor::changeWithoutRevision).toList(),
+                state.refused().stream().map(Auditor::changeWithoutRevision).toList(),
                 state.servers().stream().map(Auditor::server).toList(),
                 state.gone().stream().map(Auditor::server).toList(),
                 caps.count,
@@ -140,22 +140,22 @@
         Difference difference = difference(tables);
         return new FleetAudit.RevisionAudit(
                 revision.id(),
-                revision.of(),
+                revision.restoredFrom(),
                 revision.root(),
-                revision.size(),
-                revision.changed(),
-                revision.by(),
-                revision.why(),
+                revision.entryCount(),
+                revision.changedEntryCount(),
+                revision.author(),
+                revision.reason(),
                 revision.fate(),
-                revision.proposedWall(),
-                revision.sinceWall(),
-                revision.reasons(),
+                revision.proposedAtMs(),
+                revision.inForceAtMs(),
+                revision.rejectionReasons(),
                 revision.records().stream()
                         .map(record -> change(record, difference))
                         .toList());
     }
 
-    private static FleetAudit.ChangeAudit outsideRevision(ChangeRecord record) {
+    private static FleetAudit.ChangeAudit changeWithoutRevision(ChangeRecord record) {
         return change(record, Difference.of(List.of()));
     }
 
@@ -166,13 +166,13 @@
         return new FleetAudit.ChangeAudit(
                 record.command(),
                 record.kind(),
-                record.by(),
-                record.why(),
+                record.author(),
+                record.reason(),
                 record.forced(),
-                record.wall(),
+                record.requestedAtMs(),
                 record.outcome(),
                 record.revision(),
-                record.fault().map(Fault::what).orElse(""),
+                record.fault().map(Fault::description).orElse(""),
                 difference.entries,
                 difference.keys);
     }
@@ -198,39 +198,39 @@
     }
 
     private static FleetAudit.ServerAudit server(ServerRecord server) {
-        List<FleetAudit.PassageAudit> passages = new ArrayList<>();
-        server.transitions().forEach(passage -> passages.add(passage(passage)));
+        List<FleetAudit.TransitionAudit> passages = new ArrayList<>();
+        server.transitions().forEach(passage -> passages.add(transition(passage)));
         return new FleetAudit.ServerAudit(
                 server.server(),
                 server.listen(),
-                server.as(),
+                server.incarnation(),
                 server.status(),
                 server.silent(),
                 server.marked(),
-                server.odd(),
+                server.digestMismatch(),
                 server.cause(),
-                server.acting(),
-                server.inForce(),
-                server.heardWall(),
-                server.outWall(),
-                server.outdated(),
-                server.folded(),
+                server.appliedRevision(),
+                server.appliedRoot(),
+                server.heardAtMs(),
+                server.outAtMs(),
+                server.outdatedQueries(),
+                server.foldedTransitions(),
                 passages);
     }
 
-    private static FleetAudit.PassageAudit passage(RevisionTransition passage) {
-        return new FleetAudit.PassageAudit(
-                passage.as(),
-                passage.from(),
-                passage.to(),
-                passage.behind() / TICKS_IN_MS,
-                passage.outdated(),
-                passage.wall());
+    private static FleetAudit.TransitionAudit transition(RevisionTransition transition) {
+        return new FleetAudit.TransitionAudit(
+                transition.incarnation(),
+                transition.from(),
+                transition.to(),
+                transition.delay() / TICKS_PER_MS,
+                transition.outdatedQueries(),
+                transition.recordedAtMs());
     }
 
     private static FleetAudit.CapAudit cap(State state, Entry entry) {
         TenantId tenant = new TenantId(entry.key().name());
         int cap = ((Value.Cap) entry.value()).connections();
-        return new FleetAudit.CapAudit(tenant, cap, state.floor(cap), state.lent(tenant), state.spoken(tenant));
+        return new FleetAudit.CapAudit(tenant, cap, state.floor(cap), state.lent(tenant), state.committed(tenant));
     }
 }
--- a/consensus/src/main/java/tallyweir/fleet/ratis/Backoff.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/Backoff.java
@@ -7,32 +7,32 @@
  * keeps many clients that failed at the same moment from retrying at the same moment. Not thread-safe.
  */
 final class Backoff {
-    private static final int DOUBLINGS_MOST = 16;
+    private static final int MAX_DOUBLINGS = 16;
 
-    private final long leastMs;
-    private final long mostMs;
+    private final long minMs;
+    private final long maxMs;
     private final RandomGenerator random;
     private int failures;
 
     /**
-     * @param leastMs base delay after the first failure
-     * @param mostMs upper bound of the base delay
+     * @param minMs base delay after the first failure
+     * @param maxMs upper bound of the base delay
      */
-    Backoff(long leastMs, long mostMs, RandomGenerator random) {
-        this.leastMs = leastMs;
-        this.mostMs = mostMs;
+    Backoff(long minMs, long maxMs, RandomGenerator random) {
+        this.minMs = minMs;
+        this.maxMs = maxMs;
         this.random = random;
     }
 
     /** Records another failure and returns the delay before the next attempt: between half and one and a half times the base delay. */
-    long afterFailureMs() {
-        long span = Math.min(mostMs, leastMs << Math.min(DOUBLINGS_MOST, failures));
+    long nextDelayMs() {
+        long baseMs = Math.min(maxMs, minMs << Math.min(MAX_DOUBLINGS, failures));
         failures++;
-        return span / 2 + random.nextLong(span + 1);
+        return baseMs / 2 + random.nextLong(baseMs + 1);
     }
 
     /** Records a success, so that the next failure starts again from the smallest base delay. */
-    void succeeded() {
+    void reset() {
         failures = 0;
     }
 }
--- a/consensus/src/main/java/tallyweir/fleet/ratis/CommandCodec.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/CommandCodec.java
@@ -13,7 +13,7 @@
     @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, include = JsonTypeInfo.As.WRAPPER_ARRAY)
     @JsonSubTypes({
         @JsonSubTypes.Type(value = Command.Tick.class, name = "tick"),
-        @JsonSubTypes.Type(value = Command.Found.class, name = "found"),
+        @JsonSubTypes.Type(value = Command.CreateFleet.class, name = "found"),
         @JsonSubTypes.Type(value = Command.Join.class, name = "join"),
         @JsonSubTypes.Type(value = Command.Report.class, name = "report"),
         @JsonSubTypes.Type(value = Command.Leave.class, name = "leave"),
--- a/consensus/src/main/java/tallyweir/fleet/ratis/EncodedMessages.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/EncodedMessages.java
@@ -13,13 +13,13 @@
 
     private final CommandCodec commands = new CommandCodec();
     private final AnswerCodec answers = new AnswerCodec();
-    private final QuestionCodec questions = new QuestionCodec();
-    private final ReplyCodec replies = new ReplyCodec();
+    private final QuestionCodec requests = new QuestionCodec();
+    private final ReplyCodec responses = new ReplyCodec();
 
     /** Answers encoded read requests. */
     public interface Source {
         /** Returns the encoded response to an encoded read request. */
-        byte[] ask(byte[] request) throws IOException;
+        byte[] read(byte[] request) throws IOException;
     }
 
     /** Encodes a command. */
@@ -38,7 +38,7 @@
      * @param have a table that the caller has, {@code EMPTY} for none
      */
     public Table fetch(Table have, RevisionRoot wanted, Source source) {
-        TableSource encoded = request -> replies.decode(source.ask(questions.encode(request)));
+        TableSource encoded = request -> responses.decode(source.read(requests.encode(request)));
         return new TableFetch(List.of(encoded), SOURCE, 0).fetch(have, wanted);
     }
 }
--- a/consensus/src/main/java/tallyweir/fleet/ratis/FleetAudit.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/FleetAudit.java
@@ -18,12 +18,12 @@
  * shown as JSON in snake case.
  *
  * @param version version of the settings, 0 before the fleet is founded
- * @param revisions the latest revisions in order, at most {@link #REVISIONS_MOST}
+ * @param revisions the latest revisions in order, at most {@link #MAX_REVISIONS}
  * @param waiting changes that wait until the proposed revision has been decided
  * @param refused changes that were refused after they had waited
  * @param gone former servers, which no longer have a slot
  * @param capped number of tenants with a cap
- * @param caps the caps of the first of them by name, at most {@link #CAPS_MOST}
+ * @param caps the caps of the first of them by name, at most {@link #MAX_CAPS}
  */
 public record FleetAudit(
         String fleet,
@@ -40,13 +40,13 @@
         int capped,
         List<CapAudit> caps) {
     /** Maximum number of revisions in one audit. */
-    public static final int REVISIONS_MOST = 1_000;
+    public static final int MAX_REVISIONS = 1_000;
 
     /** Maximum number of caps in one audit. */
-    public static final int CAPS_MOST = 1_000;
+    public static final int MAX_CAPS = 1_000;
 
     /** Maximum number of keys listed for one change. */
-    public static final int KEYS_MOST = 20;
+    public static final int MAX_KEYS = 20;
 
     /** Converts the audit to JSON with snake case names. */
     public JsonNode toJson() {
@@ -79,7 +79,7 @@
      *
      * @param fault why this request itself was refused, empty if it was not
      * @param entries number of entries that it changes
-     * @param keys the first of them, at most {@link #KEYS_MOST}
+     * @param keys the first of them, at most {@link #MAX_KEYS}
      */
     public record ChangeAudit(
             OperatorCommand command,
@@ -113,10 +113,10 @@
             long outMs,
             long outdated,
             int folded,
-            List<PassageAudit> passages) {}
+            List<TransitionAudit> passages) {}
 
     /** A server's transition from one revision to another. */
-    public record PassageAudit(
+    public record TransitionAudit(
             Incarnation incarnation, RevisionId from, RevisionId to, double behindMs, long outdated, long atMs) {}
 
     /**
--- a/consensus/src/main/java/tallyweir/fleet/ratis/FleetMapper.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/FleetMapper.java
@@ -36,8 +36,8 @@
  * wrongly typed components are errors.
  */
 final class FleetMapper {
-    private static final Set<Class<?>> TEXTS = Set.of(ServerId.class, TenantId.class, OperatorCommand.class);
-    private static final Set<Class<?>> NUMBERS = Set.of(RevisionId.class, Incarnation.class);
+    private static final Set<Class<?>> TEXT_IDS = Set.of(ServerId.class, TenantId.class, OperatorCommand.class);
+    private static final Set<Class<?>> NUMBER_IDS = Set.of(RevisionId.class, Incarnation.class);
 
     private FleetMapper() {}
 
@@ -63,27 +63,27 @@
                 .addMixIn(Fault.class, FaultNames.class)
                 .addMixIn(Path.class, PathValue.class)
                 .addModule(new Jdk8Module())
-                .addModule(tables())
-                .addModule(names());
-        TEXTS.forEach(type -> builder.addMixIn(type, TextValue.class));
-        NUMBERS.forEach(type -> builder.addMixIn(type, NumberValue.class));
+                .addModule(tableModule())
+                .addModule(idModule());
+        TEXT_IDS.forEach(type -> builder.addMixIn(type, TextValue.class));
+        NUMBER_IDS.forEach(type -> builder.addMixIn(type, NumberValue.class));
         Fault.kinds().forEach(kind -> builder.registerSubtypes(new NamedType(kind, kind.getSimpleName())));
         return builder.build();
     }
 
-    private static SimpleModule tables() {
+    private static SimpleModule tableModule() {
         SimpleModule module = new SimpleModule("tables");
         module.setSerializers(new EntryListSerializers());
         module.setDeserializers(new EntryListDeserializers());
         return module;
     }
 
-    private static SimpleModule names() {
+    private static SimpleModule idModule() {
         SimpleModule module = new SimpleModule("names");
         module.addSerializer(new DigestSerializer());
         module.addDeserializer(Digest.class, new DigestDeserializer());
-        module.addKeyDeserializer(TenantId.class, new NameDeserializer(TenantId::new));
-        module.addKeyDeserializer(ServerId.class, new NameDeserializer(ServerId::new));
+        module.addKeyDeserializer(TenantId.class, new TextKeyDeserializer(TenantId::new));
+        module.addKeyDeserializer(ServerId.class, new TextKeyDeserializer(ServerId::new));
         return module;
     }
 
@@ -94,7 +94,7 @@
         @Override
         public JsonFormat.Value findFormat(Annotated annotated) {
             Class<?> type = annotated.getRawType();
-            if (type.isRecord() && type != Path.class && !TEXTS.contains(type) && !NUMBERS.contains(type)) {
+            if (type.isRecord() && type != Path.class && !TEXT_IDS.contains(type) && !NUMBER_IDS.contains(type)) {
                 return JsonFormat.Value.forShape(JsonFormat.Shape.ARRAY);
             }
             return super.findFormat(annotated);
@@ -102,16 +102,16 @@
     }
 
     /** Reads a map key that is a record with one text component. */
-    private static final class NameDeserializer extends KeyDeserializer {
-        private final Function<String, Object> name;
+    private static final class TextKeyDeserializer extends KeyDeserializer {
+        private final Function<String, Object> constructor;
 
-        private NameDeserializer(Function<String, Object> name) {
-            this.name = name;
+        private TextKeyDeserializer(Function<String, Object> constructor) {
+            this.constructor = constructor;
         }
 
         @Override
         public Object deserializeKey(String key, DeserializationContext context) {
-            return name.apply(key);
+            return constructor.apply(key);
         }
     }
 
--- a/consensus/src/main/java/tallyweir/fleet/ratis/LocalReplica.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/LocalReplica.java
@@ -11,10 +11,10 @@
 public final class LocalReplica {
     private final CommandCodec commands = new CommandCodec();
     private final AnswerCodec answers = new AnswerCodec();
-    private final QuestionCodec questions = new QuestionCodec();
-    private final ReplyCodec replies = new ReplyCodec();
+    private final QuestionCodec requests = new QuestionCodec();
+    private final ReplyCodec responses = new ReplyCodec();
     private final State state;
-    private final TableReplies tables;
+    private final TableReplies tableReader;
 
     /** Creates a replica with an empty state. */
     public LocalReplica() {
@@ -23,7 +23,7 @@
 
     private LocalReplica(State state) {
         this.state = state;
-        tables = new TableReplies(state::table);
+        tableReader = new TableReplies(state::table);
     }
 
     /** Creates a replica from a snapshot written by {@link #save}. */
@@ -56,8 +56,8 @@
     }
 
     /** Answers an encoded read request about a table with an encoded response. */
-    public byte[] reply(byte[] request) throws IOException {
-        return replies.encode(tables.reply(questions.decode(request)));
+    public byte[] read(byte[] request) throws IOException {
+        return responses.encode(tableReader.read(requests.decode(request)));
     }
 
     /** The state that commands are applied to. */
--- a/consensus/src/main/java/tallyweir/fleet/ratis/Machine.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/Machine.java
@@ -47,22 +47,22 @@
     private final SimpleStateMachineStorage storage = new SimpleStateMachineStorage();
     private final CommandCodec commands = new CommandCodec();
     private final AnswerCodec answers = new AnswerCodec();
-    private final QuestionCodec questions = new QuestionCodec();
-    private final ReplyCodec replies = new ReplyCodec();
+    private final QuestionCodec requests = new QuestionCodec();
+    private final ReplyCodec responses = new ReplyCodec();
     private final Auditor auditor = new Auditor(this);
-    private final TableReplies tables = new TableReplies(this::table);
+    private final TableReplies tableReader = new TableReplies(this::table);
     private final LongSupplier clock; // tenths of a millisecond; monotonic
-    private final LongSupplier wall; // ms since 1970
+    private final LongSupplier wallClock; // ms since 1970
     private SnapshotStore snapshots;
     private State state = new State();
-    private boolean leads;
-    private long ledFrom; // fleet's clock at the election
-    private long ledSince; // this voter's clock at the election
+    private boolean leader;
+    private long fleetTimeAtElection; // fleet's clock at the election
+    private long clockAtElection; // this voter's clock at the election
     private Throwable logFailure;
 
     Machine(LongSupplier clock, LongSupplier wall) {
         this.clock = clock;
-        this.wall = wall;
+        this.wallClock = wall;
     }
 
     // ---- the log and its snapshots
@@ -74,14 +74,14 @@
                 raftStorage.getStorageDir().getStateMachineDir().toPath());
         Optional<SnapshotStore.Loaded> loaded = snapshots.loadNewestUndamaged();
         storage.init(raftStorage); // after loading: it takes the newest file, damaged or not, as the latest snapshot
-        loaded.ifPresent(this::use);
+        loaded.ifPresent(this::install);
     }
 
     /** Called after another voter's snapshot was installed; the log continues after it. */
     @Override
     public void reinitialize() throws IOException {
         storage.loadLatestSnapshot();
-        snapshots.loadNewest().ifPresent(this::use);
+        snapshots.loadNewest().ifPresent(this::install);
     }
 
     @Override
@@ -89,11 +89,11 @@
         return storage;
     }
 
-    private synchronized void use(SnapshotStore.Loaded loaded) {
+    private synchronized void install(SnapshotStore.Loaded loaded) {
         state = loaded.state();
-        setLastAppliedTermIndex(loaded.at());
+        setLastAppliedTermIndex(loaded.lastEntry());
         LOG.atInfo()
-                .addKeyValue("index", loaded.at().getIndex())
+                .addKeyValue("index", loaded.lastEntry().getIndex())
                 .addKeyValue("revision", state.inForce().value())
                 .addKeyValue("servers", state.servers().size())
                 .log("restored the fleet's state from a snapshot");
@@ -114,15 +114,15 @@
 
     @Override
     public synchronized void notifyLeaderReady() {
-        leads = true;
-        ledFrom = state.now();
-        ledSince = clock.getAsLong();
+        leader = true;
+        fleetTimeAtElection = state.now();
+        clockAtElection = clock.getAsLong();
         LOG.atInfo().addKeyValue("voter", getId()).log("this voter leads the fleet");
     }
 
     @Override
     public synchronized void notifyNotLeader(Collection<TransactionContext> pending) {
-        leads = false;
+        leader = false;
     }
 
     @Override
@@ -136,23 +136,23 @@
         return Optional.ofNullable(logFailure);
     }
 
-    synchronized boolean leads() {
-        return leads;
+    synchronized boolean isLeader() {
+        return leader;
     }
 
     /** Returns the fleet's clock in tenths of a millisecond if this voter leads, otherwise 0. */
-    private synchronized long stamp() {
-        return leads ? ledFrom + clock.getAsLong() - ledSince : 0;
+    private synchronized long fleetTime() {
+        return leader ? fleetTimeAtElection + clock.getAsLong() - clockAtElection : 0;
     }
 
     /** Returns whether this voter leads and the passage of time alone would change the state by now, so a tick is needed. */
-    synchronized boolean due() {
-        return leads && state.nextDue() <= stamp();
+    synchronized boolean isTickDue() {
+        return leader && state.nextDeadline() <= fleetTime();
     }
 
     /** Returns the version of the settings in effect, 0 before the fleet is founded. */
     synchronized long settingsVersion() {
-        return state.version();
+        return state.settingsVersion();
     }
 
     // ---- commands
@@ -162,8 +162,8 @@
     public TransactionContext startTransaction(RaftClientRequest request) {
         ByteString content = request.getMessage().getContent();
         ByteBuffer stamp = ByteBuffer.allocate(STAMP_BYTES)
-                .putLong(stamp())
-                .putLong(wall.getAsLong())
+                .putLong(fleetTime())
+                .putLong(wallClock.getAsLong())
                 .flip();
         TransactionContext transaction = TransactionContext.newBuilder()
                 .setStateMachine(this)
@@ -206,21 +206,21 @@
     @Override
     public CompletableFuture<Message> query(Message message) {
         try {
-            Question request = questions.decode(message.getContent().toByteArray());
-            return CompletableFuture.completedFuture(message(replies.encode(reply(request))));
+            Question request = requests.decode(message.getContent().toByteArray());
+            return CompletableFuture.completedFuture(message(responses.encode(read(request))));
         } catch (IOException | RuntimeException e) {
             return CompletableFuture.failedFuture(e);
         }
     }
 
-    private Reply reply(Question request) {
+    private Reply read(Question request) {
         if (request instanceof Question.Audit) {
             return new Reply.Audit(auditor.audit(currentState()));
         }
         if (request instanceof Question.Values values) {
             return values(values.keys());
         }
-        return tables.reply(request);
+        return tableReader.read(request);
     }
 
     private synchronized State currentState() {
--- a/consensus/src/main/java/tallyweir/fleet/ratis/Question.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/Question.java
@@ -21,8 +21,8 @@
      * @param to the wanted revision and the root of its table
      * @param most maximum number of changes to return
      */
-    record Difference(Digest from, RevisionRoot to, int most) implements Question {}
+    record Difference(Digest from, RevisionRoot to, int maxChanges) implements Question {}
 
     /** Reads one chunk of the table with the given root; sent to any voter. */
-    record Piece(Digest root, Path path) implements Question {}
+    record Chunk(Digest root, Path path) implements Question {}
 }
--- a/consensus/src/main/java/tallyweir/fleet/ratis/QuestionCodec.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/QuestionCodec.java
@@ -14,7 +14,7 @@
         @JsonSubTypes.Type(value = Question.Audit.class, name = "audit"),
         @JsonSubTypes.Type(value = Question.Values.class, name = "values"),
         @JsonSubTypes.Type(value = Question.Difference.class, name = "difference"),
-        @JsonSubTypes.Type(value = Question.Piece.class, name = "piece"),
+        @JsonSubTypes.Type(value = Question.Chunk.class, name = "piece"),
     })
     private interface Names {}
 }
--- a/consensus/src/main/java/tallyweir/fleet/ratis/RatisFleetClient.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/RatisFleetClient.java
@@ -34,19 +34,19 @@
  */
 public final class RatisFleetClient implements FleetClient {
     private static final Logger LOG = LoggerFactory.getLogger(RatisFleetClient.class);
-    private static final long BACKOFF_LEAST_MS = 100;
-    private static final long BACKOFF_MOST_MS = 5_000;
+    private static final long MIN_BACKOFF_MS = 100;
+    private static final long MAX_BACKOFF_MS = 5_000;
 
     private final String fleet;
     private final Map<String, String> voters;
-    private final long giveUpMs;
-    private final boolean checksRoots;
+    private final long timeoutMs;
+    private final boolean verifiesRoots;
     private final VoterConnection connection;
     private final List<? extends TableSource> sources;
-    private final TableFetch fetches; // used by the fetch thread only
-    private final Backoff fetchBackoff = new Backoff(BACKOFF_LEAST_MS, BACKOFF_MOST_MS, new Random());
-    private final ExecutorService sending = daemonThread("fleet commands");
-    private final ExecutorService fetching = daemonThread("fleet tables");
+    private final TableFetch tableFetch; // used by the fetch thread only
+    private final Backoff fetchBackoff = new Backoff(MIN_BACKOFF_MS, MAX_BACKOFF_MS, new Random());
+    private final ExecutorService commandExecutor = singleDaemonThread("fleet commands");
+    private final ExecutorService fetchExecutor = singleDaemonThread("fleet tables");
 
     /** @param timeoutMs about how long an answer is waited for, in ms */
     public RatisFleetClient(String fleet, Map<String, String> voters, long timeoutMs) {
@@ -56,22 +56,22 @@
     RatisFleetClient(String fleet, Map<String, String> voters, long timeoutMs, Set<Guard> without) {
         this.fleet = fleet;
         this.voters = Map.copyOf(voters);
-        this.giveUpMs = timeoutMs;
-        checksRoots = !without.contains(Guard.ROOT);
+        this.timeoutMs = timeoutMs;
+        verifiesRoots = !without.contains(Guard.ROOT);
         connection = new VoterConnection(fleet, voters, timeoutMs);
-        sources = connection.names().stream().map(this::source).toList();
-        fetches = newFetch();
+        sources = connection.voterNames().stream().map(this::source).toList();
+        tableFetch = newTableFetch();
     }
 
     private TableSource source(String voter) {
-        return request -> connection.askVoter(voter, request);
+        return request -> connection.readFromVoter(voter, request);
     }
 
-    private TableFetch newFetch() {
-        return new TableFetch(sources, addresses(), giveUpMs);
+    private TableFetch newTableFetch() {
+        return new TableFetch(sources, addresses(), timeoutMs);
     }
 
-    private static ExecutorService daemonThread(String name) {
+    private static ExecutorService singleDaemonThread(String name) {
         return Executors.newSingleThreadExecutor(task -> {
             Thread thread = new Thread(task, name);
             thread.setDaemon(true);
@@ -80,7 +80,7 @@
     }
 
     /** Returns the name of the fleet. */
-    public String name() {
+    public String fleetName() {
         return fleet;
     }
 
@@ -88,7 +88,7 @@
 
     @Override
     public void send(Command command, Executor callbackExecutor, Consumer<Answer> onAnswer, Runnable onFailure) {
-        onThread(sending, () -> {
+        submit(commandExecutor, () -> {
             Answer answer;
             try {
                 answer = connection.send(command);
@@ -108,34 +108,34 @@
             Executor callbackExecutor,
             Consumer<Table> onTable,
             Consumer<Fault> onFailure) {
-        onThread(fetching, () -> {
+        submit(fetchExecutor, () -> {
             try {
                 fetchNow(have, wanted, table -> callbackExecutor.execute(() -> onTable.accept(table)));
-                fetchBackoff.succeeded();
+                fetchBackoff.reset();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             } catch (FleetException e) {
-                failLater(e.fault(), callbackExecutor, onFailure);
+                failAfterBackoff(e.fault(), callbackExecutor, onFailure);
             } catch (IOException | RuntimeException e) {
                 LOG.debug("fetching a table failed", e);
-                failLater(noLeader(), callbackExecutor, onFailure);
+                failAfterBackoff(noLeader(), callbackExecutor, onFailure);
             }
         });
     }
 
     private void fetchNow(Table have, RevisionRoot wanted, Consumer<Table> onTable)
             throws IOException, InterruptedException {
-        if (checksRoots) {
-            onTable.accept(fetches.fetch(have, wanted));
+        if (verifiesRoots) {
+            onTable.accept(tableFetch.fetch(have, wanted));
         } else {
-            new UncheckedFetch(connection::askLeader).fetch(have, wanted, onTable);
+            new UncheckedFetch(connection::readFromLeader).fetch(have, wanted, onTable);
         }
     }
 
     /** Reports the failure after a random backoff, since the caller retries as soon as it is notified. */
-    private void failLater(Fault fault, Executor callbackExecutor, Consumer<Fault> onFailure) {
+    private void failAfterBackoff(Fault fault, Executor callbackExecutor, Consumer<Fault> onFailure) {
         try {
-            TimeUnit.MILLISECONDS.sleep(fetchBackoff.afterFailureMs());
+            TimeUnit.MILLISECONDS.sleep(fetchBackoff.nextDelayMs());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return;
@@ -143,7 +143,7 @@
         callbackExecutor.execute(() -> onFailure.accept(fault));
     }
 
-    private static void onThread(ExecutorService thread, Runnable task) {
+    private static void submit(ExecutorService thread, Runnable task) {
         try {
             thread.execute(task);
         } catch (RejectedExecutionException e) {
@@ -166,17 +166,17 @@
      * Sends a command and waits for its answer. If none arrives, returns {@link Fault.OutcomeUnknown}; sending the same command again
      * gives its outcome.
      */
-    public Answer ask(Command command) {
+    public Answer request(Command command) {
         try {
             return connection.send(command);
         } catch (IOException | RuntimeException e) {
             LOG.debug("no answer from the fleet", e);
             return new Answer.Refused(
-                    VoterConnection.isOtherFleet(e) ? stranger() : new Fault.OutcomeUnknown(nameOf(command)));
+                    VoterConnection.isOtherFleet(e) ? otherFleet() : new Fault.OutcomeUnknown(commandName(command)));
         }
     }
 
-    private static String nameOf(Command command) {
+    private static String commandName(Command command) {
         if (command instanceof Command.Publish publish) {
             return publish.command().value();
         }
@@ -196,12 +196,12 @@
      * @throws FleetException if it cannot be fetched
      */
     public Table table(Table have, RevisionRoot wanted) {
-        return newFetch().fetch(have, wanted);
+        return newTableFetch().fetch(have, wanted);
     }
 
     /** Returns the values of entries in the revision in force; a key without an entry has no value. */
     public EntryValues values(List<Key> keys) {
-        Reply.Values response = ask(new Question.Values(new ArrayList<>(keys)), Reply.Values.class);
+        Reply.Values response = request(new Question.Values(new ArrayList<>(keys)), Reply.Values.class);
         Map<Key, Value> values = new LinkedHashMap<>();
         response.entries().forEach(entry -> values.put(entry.key(), entry.value()));
         return new EntryValues(response.revision(), values);
@@ -209,24 +209,24 @@
 
     /** Returns all that the replicated state knows about revisions, servers and caps. */
     public FleetAudit audit() {
-        return ask(new Question.Audit(), Reply.Audit.class).audit();
+        return request(new Question.Audit(), Reply.Audit.class).audit();
     }
 
-    private <T extends Reply> T ask(Question request, Class<T> expected) {
+    private <T extends Reply> T request(Question request, Class<T> expected) {
         try {
-            return expected.cast(connection.askLeader(request));
+            return expected.cast(connection.readFromLeader(request));
         } catch (IOException | RuntimeException e) {
             LOG.debug("no response from the fleet", e);
-            throw (VoterConnection.isOtherFleet(e) ? stranger() : noLeader()).thrown();
+            throw (VoterConnection.isOtherFleet(e) ? otherFleet() : noLeader()).toException();
         }
     }
 
-    private Fault stranger() {
+    private Fault otherFleet() {
         return new Fault.Stranger(fleet, "at " + addresses());
     }
 
     private Fault noLeader() {
-        return new Fault.NoLeader(addresses(), giveUpMs);
+        return new Fault.NoLeader(addresses(), timeoutMs);
     }
 
     private String addresses() {
@@ -235,8 +235,8 @@
 
     @Override
     public void close() {
-        sending.shutdownNow();
-        fetching.shutdownNow();
+        commandExecutor.shutdownNow();
+        fetchExecutor.shutdownNow();
         try {
             connection.close();
         } catch (IOException e) {
--- a/consensus/src/main/java/tallyweir/fleet/ratis/RatisFleetClients.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/RatisFleetClients.java
@@ -22,9 +22,9 @@
 
 /** Opens clients of fleets whose voters run Ratis, and starts the voter if this server is one. */
 public final class RatisFleetClients implements FleetClients {
-    private static final int TRIES_IN_LEASE = 5;
-    private static final long TICKS_IN_MS = 10;
-    private static final long NANOS_IN_TICK = 100_000;
+    private static final int REQUESTS_PER_LEASE = 5;
+    private static final long TICKS_PER_MS = 10;
+    private static final long NANOS_PER_TICK = 100_000;
 
     @Override
     public FleetClient open(
@@ -37,7 +37,7 @@
         Optional<Voter> voter = voters.containsKey(self)
                 ? Optional.of(startVoter(fleet, voters, self, Path.of(dir), settings))
                 : Optional.empty();
-        long timeoutMs = settings.lease() / TICKS_IN_MS / TRIES_IN_LEASE;
+        long timeoutMs = settings.leaseDuration() / TICKS_PER_MS / REQUESTS_PER_LEASE;
         return new ServerClient(new RatisFleetClient(fleet, voters, timeoutMs, without), voter);
     }
 
@@ -50,7 +50,7 @@
                     self,
                     dir,
                     settings,
-                    () -> System.nanoTime() / NANOS_IN_TICK,
+                    () -> System.nanoTime() / NANOS_PER_TICK,
                     System::currentTimeMillis);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
--- a/consensus/src/main/java/tallyweir/fleet/ratis/Reply.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/Reply.java
@@ -17,10 +17,10 @@
     record Difference(List<Change> changes) implements Reply {}
 
     /** Response to {@link Question.Difference} if there are more changes than the maximum, or the table to start from is unknown. */
-    record TooFar() implements Reply {}
+    record DifferenceTooLarge() implements Reply {}
 
     /** Response to a request for a chunk. */
-    record Piece(byte[] bytes) implements Reply {}
+    record Chunk(byte[] bytes) implements Reply {}
 
     /** This voter has no table with the requested root, or the table has no such path; another voter may have it. */
     record UnknownRoot() implements Reply {}
--- a/consensus/src/main/java/tallyweir/fleet/ratis/ReplyCodec.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/ReplyCodec.java
@@ -14,8 +14,8 @@
         @JsonSubTypes.Type(value = Reply.Audit.class, name = "audit"),
         @JsonSubTypes.Type(value = Reply.Values.class, name = "values"),
         @JsonSubTypes.Type(value = Reply.Difference.class, name = "difference"),
-        @JsonSubTypes.Type(value = Reply.TooFar.class, name = "too_far"),
-        @JsonSubTypes.Type(value = Reply.Piece.class, name = "piece"),
+        @JsonSubTypes.Type(value = Reply.DifferenceTooLarge.class, name = "too_far"),
+        @JsonSubTypes.Type(value = Reply.Chunk.class, name = "piece"),
         @JsonSubTypes.Type(value = Reply.UnknownRoot.class, name = "unknown_root"),
     })
     private interface Names {}
--- a/consensus/src/main/java/tallyweir/fleet/ratis/SnapshotFileReader.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/SnapshotFileReader.java
@@ -20,12 +20,12 @@
  */
 final class SnapshotFileReader implements Iterator<SnapshotPart>, Closeable {
     private static final int BUFFER_BYTES = 1 << 16;
-    private static final int PART_BYTES_MOST = 1 << 26;
+    private static final int MAX_PART_BYTES = 1 << 26;
 
     private final SnapshotPartCodec codec = new SnapshotPartCodec();
     private final DataInputStream in;
     private Optional<SnapshotPart> next;
-    private int parts;
+    private int partCount;
 
     SnapshotFileReader(Path path) throws IOException {
         in = new DataInputStream(new BufferedInputStream(Files.newInputStream(path), BUFFER_BYTES));
@@ -55,36 +55,36 @@
     private Optional<SnapshotPart> read() throws IOException {
         try {
             int length = in.readInt();
-            if (length == SnapshotFileWriter.END) {
-                readEnd();
+            if (length == SnapshotFileWriter.TRAILER_LENGTH) {
+                readTrailer();
                 return Optional.empty();
             }
             return Optional.of(readPart(length));
         } catch (SnapshotDamagedException e) {
             throw e;
         } catch (IOException e) {
-            throw new SnapshotDamagedException("part " + parts + " cannot be read", e);
+            throw new SnapshotDamagedException("part " + partCount + " cannot be read", e);
         }
     }
 
     private SnapshotPart readPart(int length) throws IOException {
-        if (length < 0 || length > PART_BYTES_MOST) {
-            throw new SnapshotDamagedException("part " + parts + " has an invalid length: " + length);
+        if (length < 0 || length > MAX_PART_BYTES) {
+            throw new SnapshotDamagedException("part " + partCount + " has an invalid length: " + length);
         }
         int checksum = in.readInt();
         byte[] bytes = in.readNBytes(length);
         if (bytes.length < length || SnapshotFileWriter.checksum(bytes) != checksum) {
-            throw new SnapshotDamagedException("part " + parts + " is truncated or does not match its checksum");
+            throw new SnapshotDamagedException("part " + partCount + " is truncated or does not match its checksum");
         }
-        parts++;
+        partCount++;
         return codec.decode(bytes);
     }
 
-    private void readEnd() throws IOException {
-        int written = in.readInt();
-        if (written != parts || in.read() >= 0) {
+    private void readTrailer() throws IOException {
+        int expectedCount = in.readInt();
+        if (expectedCount != partCount || in.read() >= 0) {
             throw new SnapshotDamagedException(
-                    "the file has " + parts + " parts, but its trailer does not match: " + written);
+                    "the file has " + partCount + " parts, but its trailer does not match: " + expectedCount);
         }
     }
 
--- a/consensus/src/main/java/tallyweir/fleet/ratis/SnapshotFileWriter.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/SnapshotFileWriter.java
@@ -18,14 +18,14 @@
  */
 final class SnapshotFileWriter implements Consumer<SnapshotPart>, Closeable {
     static final String MAGIC = "tallyweir fleet snapshot 1\n";
-    static final int END = 0;
+    static final int TRAILER_LENGTH = 0;
 
     private static final int BUFFER_BYTES = 1 << 16;
 
     private final SnapshotPartCodec codec = new SnapshotPartCodec();
     private final FileOutputStream file;
     private final DataOutputStream out;
-    private int parts;
+    private int partCount;
 
     SnapshotFileWriter(Path path) throws IOException {
         file = new FileOutputStream(path.toFile());
@@ -43,13 +43,13 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        parts++;
+        partCount++;
     }
 
     /** Writes the trailer that marks the snapshot as complete, and forces the file to the disk. */
     void finish() throws IOException {
-        out.writeInt(END);
-        out.writeInt(parts);
+        out.writeInt(TRAILER_LENGTH);
+        out.writeInt(partCount);
         out.flush();
         file.getFD().sync();
     }
--- a/consensus/src/main/java/tallyweir/fleet/ratis/SnapshotPartCodec.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/SnapshotPartCodec.java
@@ -14,18 +14,18 @@
 
     private static ObjectMapper mapper() {
         ObjectMapper mapper = FleetMapper.create();
-        nameRecords(mapper, SnapshotPart.class);
-        nameRecords(mapper, LendingPart.class);
+        registerRecordNames(mapper, SnapshotPart.class);
+        registerRecordNames(mapper, LendingPart.class);
         return mapper;
     }
 
-    private static void nameRecords(ObjectMapper mapper, Class<?> sealed) {
-        mapper.addMixIn(sealed, Named.class);
+    private static void registerRecordNames(ObjectMapper mapper, Class<?> sealed) {
+        mapper.addMixIn(sealed, TaggedByName.class);
         for (Class<?> each : sealed.getPermittedSubclasses()) {
             mapper.registerSubtypes(new NamedType(each, each.getSimpleName()));
         }
     }
 
     @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, include = JsonTypeInfo.As.WRAPPER_ARRAY)
-    private interface Named {}
+    private interface TaggedByName {}
 }
--- a/consensus/src/main/java/tallyweir/fleet/ratis/SnapshotStore.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/SnapshotStore.java
@@ -21,8 +21,8 @@
 /** The snapshot files of one voter, under the names that Ratis gives them. A damaged file is renamed and the previous one is used. */
 final class SnapshotStore {
     private static final Logger LOG = LoggerFactory.getLogger(SnapshotStore.class);
-    private static final String UNFINISHED = "unfinished.";
-    private static final String DAMAGED = "damaged.";
+    private static final String UNFINISHED_PREFIX = "unfinished.";
+    private static final String DAMAGED_PREFIX = "damaged.";
 
     private final Path dir;
 
@@ -31,12 +31,12 @@
     }
 
     /** A loaded state and the last log entry that it includes. */
-    record Loaded(State state, TermIndex at) {}
+    record Loaded(State state, TermIndex lastEntry) {}
 
     /** Writes a state. The file is renamed only after it has been synced, so a file under a snapshot's name is always complete. */
     SingleFileSnapshotInfo save(State state, TermIndex at) throws IOException {
         String name = SimpleStateMachineStorage.getSnapshotFileName(at.getTerm(), at.getIndex());
-        Path unfinished = dir.resolve(UNFINISHED + name);
+        Path unfinished = dir.resolve(UNFINISHED_PREFIX + name);
         try (SnapshotFileWriter writer = new SnapshotFileWriter(unfinished)) {
             state.save(writer);
             writer.finish();
@@ -61,7 +61,7 @@
             } catch (SnapshotDamagedException e) {
                 LOG.atError().setCause(e).addKeyValue("file", file).log("snapshot is damaged; trying the previous one");
                 Files.move(
-                        file, file.resolveSibling(DAMAGED + file.getFileName()), StandardCopyOption.REPLACE_EXISTING);
+                        file, file.resolveSibling(DAMAGED_PREFIX + file.getFileName()), StandardCopyOption.REPLACE_EXISTING);
             }
         }
         if (!newestFirst.isEmpty()) {
--- a/consensus/src/main/java/tallyweir/fleet/ratis/TableFetch.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/TableFetch.java
@@ -22,14 +22,14 @@
  */
 final class TableFetch {
     /** Maximum number of changes in a difference; more are cheaper to transfer as chunks. */
-    static final int CHANGES_MOST = 10_000;
+    static final int MAX_CHANGES = 10_000;
 
     private static final Logger LOG = LoggerFactory.getLogger(TableFetch.class);
 
     private final List<TableSource> sources;
-    private final String names;
-    private final long giveUpMs;
-    private int next;
+    private final String sourceNames;
+    private final long timeoutMs;
+    private int nextSource;
     private boolean mismatchLogged; // reset by a successful fetch
     private Optional<TableTransfer> transfer = Optional.empty();
 
@@ -39,9 +39,9 @@
      */
     TableFetch(List<? extends TableSource> sources, String names, long timeoutMs) {
         this.sources = List.copyOf(sources);
-        this.names = names;
-        this.giveUpMs = timeoutMs;
-        next = ThreadLocalRandom.current().nextInt(sources.size());
+        this.sourceNames = names;
+        this.timeoutMs = timeoutMs;
+        nextSource = ThreadLocalRandom.current().nextInt(sources.size());
     }
 
     /**
@@ -57,91 +57,91 @@
             transfer = Optional.empty();
             return have;
         }
-        Table fetched = byDifference(have, wanted).orElseGet(() -> byPieces(have, wanted.root()));
+        Table fetched = fetchByDifference(have, wanted).orElseGet(() -> fetchByChunks(have, wanted.root()));
         transfer = Optional.empty();
         mismatchLogged = false;
         return fetched;
     }
 
     /** Empty if the difference is too large or the source does not know the caller's table. */
-    private Optional<Table> byDifference(Table have, RevisionRoot wanted) {
-        Question request = new Question.Difference(have.root(), wanted, CHANGES_MOST);
-        return anySource(request, response -> {
+    private Optional<Table> fetchByDifference(Table have, RevisionRoot wanted) {
+        Question request = new Question.Difference(have.root(), wanted, MAX_CHANGES);
+        return tryEachSource(request, response -> {
             if (response instanceof Reply.Difference difference) {
                 return Optional.of(verified(have.apply(difference.changes()), wanted.root()));
             }
-            expect(Reply.TooFar.class, response);
+            requireType(Reply.DifferenceTooLarge.class, response);
             return Optional.empty();
         });
     }
 
     private static Table verified(Table table, Digest wanted) {
         if (!table.root().equals(wanted)) {
-            throw new Fault.DigestMismatch(wanted.value(), table.root().value()).thrown();
+            throw new Fault.DigestMismatch(wanted.value(), table.root().value()).toException();
         }
         return table;
     }
 
-    private Table byPieces(Table have, Digest wanted) {
-        TableTransfer pieces =
-                transfer.map(earlier -> earlier.towards(wanted)).orElseGet(() -> new TableTransfer(have, wanted));
-        transfer = Optional.of(pieces);
-        Optional<Path> path = pieces.next();
+    private Table fetchByChunks(Table have, Digest wanted) {
+        TableTransfer chunks =
+                transfer.map(earlier -> earlier.retarget(wanted)).orElseGet(() -> new TableTransfer(have, wanted));
+        transfer = Optional.of(chunks);
+        Optional<Path> path = chunks.nextPath();
         while (path.isPresent()) {
-            take(pieces, wanted, path.get());
-            path = pieces.next();
+            fetchChunk(chunks, wanted, path.get());
+            path = chunks.nextPath();
         }
-        return pieces.table();
+        return chunks.table();
     }
 
-    private void take(TableTransfer pieces, Digest wanted, Path path) {
-        anySource(new Question.Piece(wanted, path), response -> {
-            pieces.take(path, expect(Reply.Piece.class, response).bytes());
+    private void fetchChunk(TableTransfer chunks, Digest wanted, Path path) {
+        tryEachSource(new Question.Chunk(wanted, path), response -> {
+            chunks.accept(path, requireType(Reply.Chunk.class, response).bytes());
             return path;
         });
     }
 
     /** Uses a response; throws if it is unusable. */
-    private interface ReplyUse<T> {
-        T use(Reply response) throws IOException;
+    private interface ResponseHandler<T> {
+        T handle(Reply response) throws IOException;
     }
 
     /** Tries each source in turn, starting with the one that responded last, until one gives a usable response. */
-    private <T> T anySource(Question request, ReplyUse<T> use) {
+    private <T> T tryEachSource(Question request, ResponseHandler<T> use) {
         Optional<Fault> worstFault = Optional.empty();
         for (int tried = 0; tried < sources.size(); tried++) {
             try {
-                Reply response = sources.get(next).ask(request);
+                Reply response = sources.get(nextSource).read(request);
                 if (!(response instanceof Reply.UnknownRoot)) {
-                    return use.use(response);
+                    return use.handle(response);
                 }
-                worstFault = worstFault.or(() -> Optional.of(new Fault.UnknownRoot(wantedBy(request))));
+                worstFault = worstFault.or(() -> Optional.of(new Fault.UnknownRoot(requestedRoot(request))));
             } catch (FleetException e) {
                 logMismatch(e.fault());
                 worstFault = Optional.of(e.fault());
             } catch (IOException e) {
                 LOG.debug("no response from a voter", e);
             }
-            next = (next + 1) % sources.size();
+            nextSource = (nextSource + 1) % sources.size();
         }
-        throw worstFault.orElse(new Fault.NoLeader(names, giveUpMs)).thrown();
+        throw worstFault.orElse(new Fault.NoLeader(sourceNames, timeoutMs)).toException();
     }
 
     private void logMismatch(Fault fault) {
         if (!mismatchLogged) {
             mismatchLogged = true;
-            LOG.warn("{}; {}", fault.what(), fault.advice());
+            LOG.warn("{}; {}", fault.description(), fault.advice());
         }
     }
 
-    private static String wantedBy(Question request) {
+    private static String requestedRoot(Question request) {
         if (request instanceof Question.Difference difference) {
             return difference.to().root().value();
         }
-        return ((Question.Piece) request).root().value();
+        return ((Question.Chunk) request).root().value();
     }
 
-    private static <T extends Reply> T expect(Class<T> type, Reply response) throws MalformedMessageException {
+    private static <T extends Reply> T requireType(Class<T> type, Reply response) throws MalformedMessageException {
         if (!type.isInstance(response)) {
             throw new MalformedMessageException(
                     response.getClass().getSimpleName() + " is not a response to this request");
--- a/consensus/src/main/java/tallyweir/fleet/ratis/TableReplies.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/TableReplies.java
@@ -18,12 +18,12 @@
     }
 
     /** Answers a request for a difference or a chunk. */
-    Reply reply(Question request) {
+    Reply read(Question request) {
         if (request instanceof Question.Difference difference) {
             return difference(difference);
         }
-        if (request instanceof Question.Piece chunk) {
-            return piece(chunk);
+        if (request instanceof Question.Chunk chunk) {
+            return chunk(chunk);
         }
         throw new IllegalArgumentException("not a request about a table: " + request);
     }
@@ -34,17 +34,17 @@
         if (to.isEmpty()) {
             return new Reply.UnknownRoot();
         }
-        Optional<List<Change>> changes = from.flatMap(table -> table.differenceTo(to.get(), request.most()));
-        return changes.<Reply>map(Reply.Difference::new).orElseGet(Reply.TooFar::new);
+        Optional<List<Change>> changes = from.flatMap(table -> table.differenceTo(to.get(), request.maxChanges()));
+        return changes.<Reply>map(Reply.Difference::new).orElseGet(Reply.DifferenceTooLarge::new);
     }
 
-    private Reply piece(Question.Piece request) {
+    private Reply chunk(Question.Chunk request) {
         Optional<Table> table = tables.apply(request.root());
         if (table.isEmpty()) {
             return new Reply.UnknownRoot();
         }
         try {
-            return new Reply.Piece(table.get().piece(request.path()));
+            return new Reply.Chunk(table.get().chunk(request.path()));
         } catch (FleetException e) { // the table has no such path
             return new Reply.UnknownRoot();
         }
--- a/consensus/src/main/java/tallyweir/fleet/ratis/UncheckedFetch.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/UncheckedFetch.java
@@ -13,7 +13,7 @@
  * the result is not verified against the root. Used only by tests and drills that show which failure the guard prevents.
  */
 final class UncheckedFetch {
-    private static final long HALF_MS = 500;
+    private static final long DELAY_BETWEEN_HALVES_MS = 500;
 
     private final TableSource source;
 
@@ -23,14 +23,14 @@
 
     /** Passes on a table that mixes two revisions, and after a delay the complete one. */
     void fetch(Table have, RevisionRoot wanted, Consumer<Table> onTable) throws IOException, InterruptedException {
-        Reply response = source.ask(new Question.Difference(have.root(), wanted, Integer.MAX_VALUE));
+        Reply response = source.read(new Question.Difference(have.root(), wanted, Integer.MAX_VALUE));
         if (!(response instanceof Reply.Difference difference)) {
             throw new IOException(
                     "expected a difference, but got " + response.getClass().getSimpleName());
         }
         List<Change> changes = difference.changes();
         onTable.accept(have.apply(changes.subList(0, changes.size() / 2)));
-        TimeUnit.MILLISECONDS.sleep(HALF_MS);
+        TimeUnit.MILLISECONDS.sleep(DELAY_BETWEEN_HALVES_MS);
         onTable.accept(have.apply(changes));
     }
 }
--- a/consensus/src/main/java/tallyweir/fleet/ratis/Voter.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/Voter.java
@@ -32,19 +32,19 @@
 /** One of the servers that replicate the log: a Ratis server with the replicated state, and the thread with the leader's periodic work. */
 public final class Voter implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Voter.class);
-    private static final long ELECTION_MS = 300; // an election starts after one to two times this without a heartbeat
-    private static final long SNAPSHOT_EVERY = 20_000; // entries
-    private static final int SNAPSHOTS_KEPT = 2;
-    private static final int LOOK_MS = 10;
+    private static final long MIN_ELECTION_TIMEOUT_MS = 300; // an election starts after one to two times this without a heartbeat
+    private static final long SNAPSHOT_INTERVAL_ENTRIES = 20_000; // entries
+    private static final int RETAINED_SNAPSHOTS = 2;
+    private static final int POLL_INTERVAL_MS = 10;
     private static final int SEGMENT_MB = 8;
-    private static final int ENTRY_MB = 16; // one log entry: a revision that changes half a million entries
+    private static final int MAX_ENTRY_MB = 16; // one log entry: a revision that changes half a million entries
 
     private final CommandCodec commands = new CommandCodec();
     private final String fleet;
     private final RaftServer server;
     private final Machine machine;
     private final RaftClient client;
-    private final Thread clockwork;
+    private final Thread leaderThread;
     private final FleetSettings settings;
     private volatile boolean closed;
 
@@ -66,29 +66,29 @@
         machine = new Machine(clock, wall);
         RaftProperties properties = new RaftProperties();
         RaftServerConfigKeys.setStorageDir(properties, List.of(dir.toFile()));
-        RaftServerConfigKeys.Rpc.setTimeoutMin(properties, TimeDuration.valueOf(ELECTION_MS, TimeUnit.MILLISECONDS));
+        RaftServerConfigKeys.Rpc.setTimeoutMin(properties, TimeDuration.valueOf(MIN_ELECTION_TIMEOUT_MS, TimeUnit.MILLISECONDS));
         RaftServerConfigKeys.Rpc.setTimeoutMax(
-                properties, TimeDuration.valueOf(2 * ELECTION_MS, TimeUnit.MILLISECONDS));
+                properties, TimeDuration.valueOf(2 * MIN_ELECTION_TIMEOUT_MS, TimeUnit.MILLISECONDS));
         RaftServerConfigKeys.Rpc.setFirstElectionTimeoutMin(
-                properties, TimeDuration.valueOf(ELECTION_MS, TimeUnit.MILLISECONDS));
+                properties, TimeDuration.valueOf(MIN_ELECTION_TIMEOUT_MS, TimeUnit.MILLISECONDS));
         RaftServerConfigKeys.Rpc.setFirstElectionTimeoutMax(
-                properties, TimeDuration.valueOf(2 * ELECTION_MS, TimeUnit.MILLISECONDS));
+                properties, TimeDuration.valueOf(2 * MIN_ELECTION_TIMEOUT_MS, TimeUnit.MILLISECONDS));
         RaftServerConfigKeys.Snapshot.setAutoTriggerEnabled(properties, true);
-        RaftServerConfigKeys.Snapshot.setAutoTriggerThreshold(properties, SNAPSHOT_EVERY);
-        RaftServerConfigKeys.Snapshot.setRetentionFileNum(properties, SNAPSHOTS_KEPT);
+        RaftServerConfigKeys.Snapshot.setAutoTriggerThreshold(properties, SNAPSHOT_INTERVAL_ENTRIES);
+        RaftServerConfigKeys.Snapshot.setRetentionFileNum(properties, RETAINED_SNAPSHOTS);
         // Keeps enough of the log to continue from the earlier of two snapshots if the later one is damaged.
-        RaftServerConfigKeys.Log.setPurgePreservationLogNum(properties, 2 * SNAPSHOT_EVERY);
+        RaftServerConfigKeys.Log.setPurgePreservationLogNum(properties, 2 * SNAPSHOT_INTERVAL_ENTRIES);
         RaftServerConfigKeys.Log.setSegmentSizeMax(properties, SizeInBytes.valueOf(SEGMENT_MB + "MB"));
         RaftServerConfigKeys.Log.setPreallocatedSize(properties, SizeInBytes.valueOf("256KB"));
-        RaftServerConfigKeys.Log.setWriteBufferSize(properties, SizeInBytes.valueOf(ENTRY_MB + 1 + "MB"));
-        RaftServerConfigKeys.Log.Appender.setBufferByteLimit(properties, SizeInBytes.valueOf(ENTRY_MB + "MB"));
+        RaftServerConfigKeys.Log.setWriteBufferSize(properties, SizeInBytes.valueOf(MAX_ENTRY_MB + 1 + "MB"));
+        RaftServerConfigKeys.Log.Appender.setBufferByteLimit(properties, SizeInBytes.valueOf(MAX_ENTRY_MB + "MB"));
         RaftServerConfigKeys.Read.setOption(properties, RaftServerConfigKeys.Read.Option.LINEARIZABLE);
         String address = voters.get(self);
         int colon = address.lastIndexOf(':');
         GrpcConfigKeys.Server.setHost(properties, address.substring(0, colon));
         GrpcConfigKeys.Server.setPort(properties, Integer.parseInt(address.substring(colon + 1)));
         boolean existing = Files.isDirectory(
-                dir.resolve(Voters.id(fleet).getUuid().toString()).resolve("current"));
+                dir.resolve(Voters.groupId(fleet).getUuid().toString()).resolve("current"));
         server = RaftServer.newBuilder()
                 .setServerId(RaftPeerId.valueOf(self))
                 .setGroup(Voters.group(fleet, voters))
@@ -97,8 +97,8 @@
                 .setOption(existing ? RaftStorage.StartupOption.RECOVER : RaftStorage.StartupOption.FORMAT)
                 .build();
         client = Voters.client(fleet, Map.of(self, address), 1_000);
-        clockwork = new Thread(this::lead, "fleet clock");
-        clockwork.setDaemon(true);
+        leaderThread = new Thread(this::runLeaderWork, "fleet clock");
+        leaderThread.setDaemon(true);
     }
 
     /**
@@ -129,32 +129,32 @@
                     address.substring(0, address.lastIndexOf(':')),
                     Integer.parseInt(address.substring(address.lastIndexOf(':') + 1))));
         } catch (BindException e) {
-            throw new Fault.NameTaken(self, address).thrown();
+            throw new Fault.NameTaken(self, address).toException();
         }
         Voter voter;
         try {
             voter = new Voter(fleet, voters, self, dir, settings, clock, wall);
             voter.server.start();
         } catch (IOException | RuntimeException e) {
-            throw new Fault.LogDamaged(self, e.toString()).thrown();
+            throw new Fault.LogDamaged(self, e.toString()).toException();
         }
-        voter.clockwork.start();
+        voter.leaderThread.start();
         return voter;
     }
 
     /** Periodic work of the leader: founds the fleet or updates its settings, and sends a tick when a deadline of the state has passed. */
-    private void lead() {
+    private void runLeaderWork() {
         boolean faultLogged = false;
         while (!closed) {
             try {
-                TimeUnit.MILLISECONDS.sleep(LOOK_MS);
+                TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
                 if (!faultLogged && fault() != null) {
                     faultLogged = true;
-                    LOG.error(fault().what() + "; " + fault().advice());
+                    LOG.error(fault().description() + "; " + fault().advice());
                 }
-                if (machine.leads() && machine.settingsVersion() < settings.version()) {
-                    send(new Command.Found(fleet, settings));
-                } else if (machine.due()) {
+                if (machine.isLeader() && machine.settingsVersion() < settings.version()) {
+                    send(new Command.CreateFleet(fleet, settings));
+                } else if (machine.isTickDue()) {
                     send(new Command.Tick());
                 }
             } catch (InterruptedException e) {
@@ -170,8 +170,8 @@
     }
 
     /** Returns whether this voter believes that it is the leader; may be out of date. */
-    public boolean leads() {
-        return machine.leads();
+    public boolean isLeader() {
+        return machine.isLeader();
     }
 
     /** Returns the fault of the log's disk, null while it works. */
@@ -184,7 +184,7 @@
     @Override
     public void close() {
         closed = true;
-        clockwork.interrupt();
+        leaderThread.interrupt();
         try {
             client.close();
             server.close();
--- a/consensus/src/main/java/tallyweir/fleet/ratis/VoterConnection.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/VoterConnection.java
@@ -16,41 +16,41 @@
 final class VoterConnection implements AutoCloseable {
     private final CommandCodec commands = new CommandCodec();
     private final AnswerCodec answers = new AnswerCodec();
-    private final QuestionCodec questions = new QuestionCodec();
-    private final ReplyCodec replies = new ReplyCodec();
-    private final List<String> names;
-    private final RaftClient leader;
-    private final RaftClient single;
+    private final QuestionCodec requests = new QuestionCodec();
+    private final ReplyCodec responses = new ReplyCodec();
+    private final List<String> voterNames;
+    private final RaftClient leaderClient;
+    private final RaftClient singleAttemptClient;
 
     /** @param timeoutMs about how long an answer is waited for, in ms */
     VoterConnection(String fleet, Map<String, String> voters, long timeoutMs) {
-        names = List.copyOf(voters.keySet());
-        leader = Voters.client(fleet, voters, timeoutMs);
-        single = Voters.clientWithoutRetry(fleet, voters, timeoutMs);
+        voterNames = List.copyOf(voters.keySet());
+        leaderClient = Voters.client(fleet, voters, timeoutMs);
+        singleAttemptClient = Voters.clientWithoutRetry(fleet, voters, timeoutMs);
     }
 
     /** Returns the names of all voters. */
-    List<String> names() {
-        return names;
+    List<String> voterNames() {
+        return voterNames;
     }
 
     /** Sends a command to be applied; if this throws, the command may have been applied or not. */
     Answer send(Command command) throws IOException {
-        RaftClientReply response = leader.io().send(message(commands.encode(command)));
+        RaftClientReply response = leaderClient.io().send(message(commands.encode(command)));
         return answers.decode(content(response));
     }
 
     /** Linearizable read from the leader: the response includes everything acknowledged before. */
-    Reply askLeader(Question request) throws IOException {
-        RaftClientReply response = leader.io().sendReadOnly(message(questions.encode(request)));
-        return replies.decode(content(response));
+    Reply readFromLeader(Question request) throws IOException {
+        RaftClientReply response = leaderClient.io().sendReadOnly(message(requests.encode(request)));
+        return responses.decode(content(response));
     }
 
     /** Stale read from one voter, leader or follower, without retries; the response may lag behind the leader. */
-    Reply askVoter(String voter, Question request) throws IOException {
+    Reply readFromVoter(String voter, Question request) throws IOException {
         RaftClientReply response =
-                single.io().sendStaleRead(message(questions.encode(request)), 0, RaftPeerId.valueOf(voter));
-        return replies.decode(content(response));
+                singleAttemptClient.io().sendStaleRead(message(requests.encode(request)), 0, RaftPeerId.valueOf(voter));
+        return responses.decode(content(response));
     }
 
     /** Returns whether a failure means that the voters belong to another fleet. */
@@ -76,8 +76,8 @@
 
     @Override
     public void close() throws IOException {
-        try (leader;
-                single) {
+        try (leaderClient;
+                singleAttemptClient) {
             return;
         }
     }
--- a/consensus/src/main/java/tallyweir/fleet/ratis/Voters.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/Voters.java
@@ -20,21 +20,21 @@
  * fleet's name.
  */
 final class Voters {
-    private static final long RETRY_LEAST_MS = 50;
-    private static final long RETRY_MOST_MS = 400;
-    private static final long REQUEST_LEAST_MS = 100;
-    private static final int REQUESTS_IN_GIVE_UP = 3;
+    private static final long MIN_RETRY_DELAY_MS = 50;
+    private static final long MAX_RETRY_DELAY_MS = 400;
+    private static final long MIN_REQUEST_TIMEOUT_MS = 100;
+    private static final int REQUESTS_PER_TIMEOUT = 3;
 
     private Voters() {}
 
-    static RaftGroupId id(String fleet) {
+    static RaftGroupId groupId(String fleet) {
         return RaftGroupId.valueOf(
                 UUID.nameUUIDFromBytes(("tallyweir fleet " + fleet).getBytes(StandardCharsets.UTF_8)));
     }
 
     static RaftGroup group(String fleet, Map<String, String> voters) {
         return RaftGroup.valueOf(
-                id(fleet),
+                groupId(fleet),
                 voters.entrySet().stream()
                         .map(voter -> RaftPeer.newBuilder()
                                 .setId(voter.getKey())
@@ -46,9 +46,9 @@
     /** A client that finds the leader and retries with exponential backoff, for about {@code timeoutMs} milliseconds in all. */
     static RaftClient client(String fleet, Map<String, String> voters, long timeoutMs) {
         RetryPolicy retries = ExponentialBackoffRetry.newBuilder()
-                .setBaseSleepTime(milliseconds(RETRY_LEAST_MS))
-                .setMaxSleepTime(milliseconds(RETRY_MOST_MS))
-                .setMaxAttempts((int) Math.max(REQUESTS_IN_GIVE_UP, timeoutMs / RETRY_MOST_MS + REQUESTS_IN_GIVE_UP))
+                .setBaseSleepTime(milliseconds(MIN_RETRY_DELAY_MS))
+                .setMaxSleepTime(milliseconds(MAX_RETRY_DELAY_MS))
+                .setMaxAttempts((int) Math.max(REQUESTS_PER_TIMEOUT, timeoutMs / MAX_RETRY_DELAY_MS + REQUESTS_PER_TIMEOUT))
                 .build();
         return client(fleet, voters, timeoutMs, retries);
     }
@@ -61,7 +61,7 @@
     private static RaftClient client(String fleet, Map<String, String> voters, long timeoutMs, RetryPolicy retries) {
         RaftProperties properties = new RaftProperties();
         RaftClientConfigKeys.Rpc.setRequestTimeout(
-                properties, milliseconds(Math.max(REQUEST_LEAST_MS, timeoutMs / REQUESTS_IN_GIVE_UP)));
+                properties, milliseconds(Math.max(MIN_REQUEST_TIMEOUT_MS, timeoutMs / REQUESTS_PER_TIMEOUT)));
         return RaftClient.newBuilder()
                 .setProperties(properties)
                 .setRaftGroup(group(fleet, voters))
--- a/consensus/src/test/java/tallyweir/fleet/ratis/CodecTest.java
+++ b/consensus/src/test/java/tallyweir/fleet/ratis/CodecTest.java
@@ -34,12 +34,12 @@
 
 /** Messages survive an encode/decode round trip unchanged, and malformed ones are rejected. */
 class CodecTest {
-    private static final int QUIET_REPORT_BYTES = 200;
+    private static final int MAX_IDLE_REPORT_BYTES = 200;
 
     private final CommandCodec commands = new CommandCodec();
     private final AnswerCodec answers = new AnswerCodec();
-    private final QuestionCodec questions = new QuestionCodec();
-    private final ReplyCodec replies = new ReplyCodec();
+    private final QuestionCodec requests = new QuestionCodec();
+    private final ReplyCodec responses = new ReplyCodec();
     private final SnapshotPartCodec parts = new SnapshotPartCodec();
 
     @Provide
@@ -87,9 +87,9 @@
     void everyQuestionAndReplyIsTheSameOnceDecoded(
             @ForAll("anyQuestion") Question request, @ForAll("anyReply") Reply response)
             throws MalformedMessageException {
-        assertEquals(request, questions.decode(questions.encode(request)));
-        byte[] bytes = replies.encode(response);
-        assertArrayEquals(bytes, replies.encode(replies.decode(bytes)));
+        assertEquals(request, requests.decode(requests.encode(request)));
+        byte[] bytes = responses.encode(response);
+        assertArrayEquals(bytes, responses.encode(responses.decode(bytes)));
     }
 
     @Property(tries = 300, seed = "24")
@@ -139,7 +139,7 @@
 
     /** Rejects each proper prefix of a message, the empty one included, and a message followed by another byte. */
     @Property(tries = 50, seed = "26")
-    void whatIsCutOrContinuedIsTurnedDown(@ForAll("anyCommand") Command command) {
+    void truncatedOrExtendedMessagesAreRejected(@ForAll("anyCommand") Command command) {
         byte[] complete = commands.encode(command);
         for (int length = 0; length < complete.length; length++) {
             byte[] truncated = Arrays.copyOf(complete, length);
@@ -151,7 +151,7 @@
 
     /** Jackson reads an unpaired surrogate but does not write it, so the message would have no valid encoding. */
     @Example
-    void halfOfASurrogatePairIsTurnedDown() {
+    void anUnpairedSurrogateIsRejected() {
         byte[] bytes = commands.encode(new Command.Leave(new ServerId("\u0800"), new Incarnation(1)));
         int at = 0;
         while (bytes[at] != (byte) 0xE0) { // the first byte of U+0800 in UTF-8
@@ -164,7 +164,7 @@
 
     /** A damaged message is either rejected or decodes to another valid message; no other exception is thrown. */
     @Property(seed = "27")
-    void damageHasNoOtherOutcome(@ForAll("anyCommand") Command command, @ForAll int place, @ForAll byte damage) {
+    void damageThrowsNoOtherException(@ForAll("anyCommand") Command command, @ForAll int place, @ForAll byte damage) {
         byte[] bytes = commands.encode(command);
         bytes[Math.floorMod(place, bytes.length)] = damage;
         Optional<Command> decoded;
@@ -177,7 +177,7 @@
     }
 
     @Property(seed = "28")
-    void anyBytesHaveNoOtherOutcome(@ForAll byte[] bytes) {
+    void randomBytesThrowNoOtherException(@ForAll byte[] bytes) {
         try {
             commands.encode(commands.decode(bytes));
         } catch (MalformedMessageException e) {
@@ -195,7 +195,7 @@
     record Three(Object first, Object second, Object third) {}
 
     @Example
-    void anotherNameOrOtherComponentsAreTurnedDown() throws Exception {
+    void unknownNamesAndWrongComponentsAreRejected() throws Exception {
         var mapper = FleetMapper.create();
         byte[] right = mapper.writeValueAsBytes(new Two("leave", new Two("s", 1)));
         assertEquals(new Command.Leave(new ServerId("s"), new Incarnation(1)), commands.decode(right));
@@ -218,7 +218,7 @@
     }
 
     @Example
-    void aReportWithNothingToSayIsSmall() {
+    void aReportWithoutNewsIsSmall() {
         Command report = new Command.Report(
                 new ServerId("server-0123.example"),
                 new Incarnation(1_000_000),
@@ -232,7 +232,7 @@
                 1_000_000,
                 Map.of());
         int bytes = commands.encode(report).length;
-        assertTrue(bytes < QUIET_REPORT_BYTES, () -> bytes + " bytes");
+        assertTrue(bytes < MAX_IDLE_REPORT_BYTES, () -> bytes + " bytes");
     }
 
     @Example
--- a/consensus/src/test/java/tallyweir/fleet/ratis/FleetClientsTest.java
+++ b/consensus/src/test/java/tallyweir/fleet/ratis/FleetClientsTest.java
@@ -42,7 +42,7 @@
                 Runnable::run,
                 answer -> received.complete(Optional.of(answer)),
                 () -> received.complete(Optional.empty()));
-        return received.get(VoterCluster.PATIENCE.toSeconds(), TimeUnit.SECONDS);
+        return received.get(VoterCluster.TIMEOUT.toSeconds(), TimeUnit.SECONDS);
     }
 
     @Test
@@ -52,7 +52,7 @@
         String address = "127.0.0.1:" + VoterCluster.freePort();
         try (FleetClient client = service.open("one", Map.of("a", address), "a", dir.toString(), SETTINGS, Set.of())) {
             Command join = new Command.Join("one", SERVER, "127.0.0.1:1", 1);
-            await().atMost(VoterCluster.PATIENCE).until(() -> send(client, join).orElse(null) instanceof Answer.Joined);
+            await().atMost(VoterCluster.TIMEOUT).until(() -> send(client, join).orElse(null) instanceof Answer.Joined);
             List<Change> changes = VoterCluster.caps(3, -1, 1);
             Command publish = new Command.Publish(new OperatorCommand("c"), RevisionId.NONE, changes, "ann", "", false);
             assertEquals(Optional.of(new Answer.Done(new RevisionId(1))), send(client, publish));
@@ -60,10 +60,10 @@
             CompletableFuture<Object> fetched = new CompletableFuture<>();
             RevisionRoot wanted = new RevisionRoot(new RevisionId(1), table.root());
             client.fetch(Table.EMPTY, wanted, Runnable::run, fetched::complete, fetched::complete);
-            assertEquals(table, fetched.get(VoterCluster.PATIENCE.toSeconds(), TimeUnit.SECONDS));
+            assertEquals(table, fetched.get(VoterCluster.TIMEOUT.toSeconds(), TimeUnit.SECONDS));
             Answer.Joined again =
                     assertInstanceOf(Answer.Joined.class, send(client, join).orElseThrow());
-            client.leave(SERVER, again.as());
+            client.leave(SERVER, again.incarnation());
         }
     }
 }
--- a/consensus/src/test/java/tallyweir/fleet/ratis/RecordArbitraries.java
+++ b/consensus/src/test/java/tallyweir/fleet/ratis/RecordArbitraries.java
@@ -22,9 +22,9 @@
 
 /** Random records of any type: for a sealed type any of its records, for a record random values of its components. */
 final class RecordArbitraries {
-    private static final int ELEMENTS_MOST = 5;
+    private static final int MAX_ELEMENTS = 5;
     private static final int DIGEST_BYTES = 32;
-    private static final int TEXT_MOST = 40;
+    private static final int MAX_TEXT_LENGTH = 40;
 
     private RecordArbitraries() {}
 
@@ -93,10 +93,10 @@
             return Arbitraries.of(true, false);
         }
         if (type == String.class) {
-            return Arbitraries.strings().ofMaxLength(TEXT_MOST);
+            return Arbitraries.strings().ofMaxLength(MAX_TEXT_LENGTH);
         }
         if (type == byte[].class) {
-            return Arbitraries.bytes().array(byte[].class).ofMaxSize(TEXT_MOST);
+            return Arbitraries.bytes().array(byte[].class).ofMaxSize(MAX_TEXT_LENGTH);
         }
         throw new IllegalArgumentException("no arbitrary values of " + type);
     }
@@ -104,10 +104,10 @@
     private static Arbitrary<?> container(ParameterizedType type) {
         Type[] of = type.getActualTypeArguments();
         if (type.getRawType() == Map.class) {
-            return Arbitraries.maps(arbitrary(of[0]), arbitrary(of[1])).ofMaxSize(ELEMENTS_MOST);
+            return Arbitraries.maps(arbitrary(of[0]), arbitrary(of[1])).ofMaxSize(MAX_ELEMENTS);
         }
         if (type.getRawType() == List.class) {
-            return arbitrary(of[0]).list().ofMaxSize(ELEMENTS_MOST);
+            return arbitrary(of[0]).list().ofMaxSize(MAX_ELEMENTS);
         }
         if (type.getRawType() == Optional.class) {
             return arbitrary(of[0]).optional();
@@ -158,7 +158,7 @@
     private static Arbitrary<Entry> entriesOf(Kind kind) {
         Arbitrary<Integer> numbers = Arbitraries.integers().between(1, 1000);
         Arbitrary<String> names =
-                Arbitraries.strings().alpha().numeric().ofMinLength(1).ofMaxLength(TEXT_MOST);
+                Arbitraries.strings().alpha().numeric().ofMinLength(1).ofMaxLength(MAX_TEXT_LENGTH);
         return Combinators.combine(names, numbers).as((name, number) -> entry(kind, name, number));
     }
 
--- a/consensus/src/test/java/tallyweir/fleet/ratis/SnapshotStoreTest.java
+++ b/consensus/src/test/java/tallyweir/fleet/ratis/SnapshotStoreTest.java
@@ -33,7 +33,7 @@
     private static final TermIndex EARLIER = TermIndex.valueOf(1, 9);
     private static final TermIndex LATER = TermIndex.valueOf(2, 10);
     private static final int CAPS_IN_COMMAND = 50_000;
-    private static final int STEP = 17; // between two changed tenants
+    private static final int TENANT_STEP = 17; // between two changed tenants
 
     // Larger ones are measured with -Dsnapshot.caps=400000 -Dsnapshot.changes=25000.
     private static final int CAPS = Integer.getInteger("snapshot.caps", 20_000);
@@ -45,7 +45,7 @@
     private static State state(int caps, int changes) {
         State state = new State();
         state.clock(1, 1);
-        state.apply(new Command.Found("f", SETTINGS));
+        state.apply(new Command.CreateFleet("f", SETTINGS));
         List<Change> all = VoterCluster.caps(caps, -1, 1);
         long revision = 0;
         for (int from = 0; from < caps; from += CAPS_IN_COMMAND) {
@@ -63,7 +63,7 @@
         int[] current = new int[caps];
         Arrays.fill(current, 1);
         for (int i = 0; i < changes; i++) {
-            int tenant = i * STEP % caps;
+            int tenant = i * TENANT_STEP % caps;
             List<Change> one = List.of(VoterCluster.cap("tenant" + tenant, current[tenant], ++current[tenant]));
             assertDone(
                     ++revision,
@@ -85,13 +85,13 @@
     }
 
     @Test
-    void aStateIsTheSameOnceLoaded() throws IOException {
+    void aSavedStateIsLoadedUnchanged() throws IOException {
         SnapshotStore store = new SnapshotStore(dir);
         assertEquals(Optional.empty(), store.loadNewestUndamaged());
         State state = state(2_500, 100);
         store.save(state, LATER);
         SnapshotStore.Loaded loaded = store.loadNewestUndamaged().orElseThrow();
-        assertEquals(LATER, loaded.at());
+        assertEquals(LATER, loaded.lastEntry());
         assertEquals(parts(state), parts(loaded.state()));
         assertEquals(state.table(state.inForce()), loaded.state().table(state.inForce()));
         assertEquals(parts(state), parts(store.loadNewest().orElseThrow().state()));
@@ -99,7 +99,7 @@
 
     /** Truncates a snapshot to many lengths and flips a bit at many positions: always detected, and the previous snapshot is used. */
     @Test
-    void whatIsTornOrChangedIsFoundAndTheOneBeforeIsUsed() throws IOException {
+    void damageIsDetectedAndThePreviousSnapshotIsUsed() throws IOException {
         SnapshotStore store = new SnapshotStore(dir);
         State before = state(30, 1);
         store.save(before, EARLIER);
@@ -118,17 +118,17 @@
         Files.write(newest, Arrays.copyOf(complete, complete.length + 1));
         assertEarlier(store, before);
         Files.write(newest, complete);
-        assertEquals(LATER, store.loadNewestUndamaged().orElseThrow().at(), "undamaged again");
+        assertEquals(LATER, store.loadNewestUndamaged().orElseThrow().lastEntry(), "undamaged again");
     }
 
     private static void assertEarlier(SnapshotStore store, State before) throws IOException {
         SnapshotStore.Loaded loaded = store.loadNewestUndamaged().orElseThrow();
-        assertEquals(EARLIER, loaded.at());
+        assertEquals(EARLIER, loaded.lastEntry());
         assertEquals(before.inForce(), loaded.state().inForce());
     }
 
     @Test
-    void withoutAnUndamagedOneThereIsNoState() throws IOException {
+    void loadingFailsIfEverySnapshotIsDamaged() throws IOException {
         SnapshotStore store = new SnapshotStore(dir);
         store.save(state(30, 1), LATER);
         Path newest = dir.resolve("snapshot.2_10");
@@ -139,17 +139,17 @@
 
     /** A process killed while it writes a snapshot leaves a file that is not taken for one. */
     @Test
-    void anUnfinishedFileIsNoSnapshot() throws IOException {
+    void anUnfinishedFileIsNotASnapshot() throws IOException {
         SnapshotStore store = new SnapshotStore(dir);
         State state = state(30, 1);
         store.save(state, EARLIER);
         Files.write(dir.resolve("unfinished.snapshot.2_10"), new byte[100]);
-        assertEquals(EARLIER, store.loadNewestUndamaged().orElseThrow().at());
+        assertEquals(EARLIER, store.loadNewestUndamaged().orElseThrow().lastEntry());
     }
 
     /** Measures size and time of a snapshot with one-entry changes over many caps; each change adds a size independent of the table's. */
     @Test
-    void aSnapshotOfManyChangesIsAsSmallAsWhatChanged() throws IOException {
+    void theSizeOfASnapshotGrowsWithTheChangesOnly() throws IOException {
         SnapshotStore store = new SnapshotStore(dir);
         State without = state(CAPS, 0);
         store.save(without, EARLIER);
--- a/consensus/src/test/java/tallyweir/fleet/ratis/TableFetchTest.java
+++ b/consensus/src/test/java/tallyweir/fleet/ratis/TableFetchTest.java
@@ -33,38 +33,38 @@
     /** Answers like a voter that has these tables. */
     private static final class TestSource implements TableSource {
         private final List<Table> tables;
-        private final List<Question> asked = new ArrayList<>();
-        private Function<Reply, Reply> onTheWay = Function.identity();
-        private int repliesLeft = Integer.MAX_VALUE;
+        private final List<Question> requests = new ArrayList<>();
+        private Function<Reply, Reply> tamper = Function.identity();
+        private int responsesLeft = Integer.MAX_VALUE;
 
         TestSource(Table... tables) {
             this.tables = List.of(tables);
         }
 
         @Override
-        public Reply ask(Question request) throws IOException {
-            asked.add(request);
-            if (repliesLeft == 0) {
+        public Reply read(Question request) throws IOException {
+            requests.add(request);
+            if (responsesLeft == 0) {
                 throw new IOException("cut");
             }
-            repliesLeft--;
-            return onTheWay.apply(reply(request));
+            responsesLeft--;
+            return tamper.apply(response(request));
         }
 
-        private Reply reply(Question request) {
+        private Reply response(Question request) {
             if (request instanceof Question.Difference difference) {
                 Optional<Table> to = table(difference.to().root());
                 if (to.isEmpty()) {
                     return new Reply.UnknownRoot();
                 }
                 return table(difference.from())
-                        .flatMap(from -> from.differenceTo(to.get(), difference.most()))
+                        .flatMap(from -> from.differenceTo(to.get(), difference.maxChanges()))
                         .<Reply>map(Reply.Difference::new)
-                        .orElseGet(Reply.TooFar::new);
+                        .orElseGet(Reply.DifferenceTooLarge::new);
             }
-            Question.Piece chunk = (Question.Piece) request;
+            Question.Chunk chunk = (Question.Chunk) request;
             return table(chunk.root())
-                    .<Reply>map(table -> new Reply.Piece(table.piece(chunk.path())))
+                    .<Reply>map(table -> new Reply.Chunk(table.chunk(chunk.path())))
                     .orElseGet(Reply.UnknownRoot::new);
         }
 
@@ -72,10 +72,10 @@
             return tables.stream().filter(table -> table.root().equals(root)).findFirst();
         }
 
-        private List<Path> pieces() {
-            return asked.stream()
-                    .filter(Question.Piece.class::isInstance)
-                    .map(request -> ((Question.Piece) request).path())
+        private List<Path> requestedChunks() {
+            return requests.stream()
+                    .filter(Question.Chunk.class::isInstance)
+                    .map(request -> ((Question.Chunk) request).path())
                     .toList();
         }
     }
@@ -94,72 +94,72 @@
     }
 
     @Test
-    void whatIsNearComesAsOneDifference() {
+    void aNearTableIsFetchedAsOneDifference() {
         TestSource source = new TestSource(BASE, NEAR);
         assertEquals(NEAR, fetchFrom(source).fetch(BASE, wanted(NEAR)));
-        assertEquals(1, source.asked.size());
+        assertEquals(1, source.requests.size());
     }
 
     @Test
-    void whatIsThereIsNotAskedFor() {
+    void aTableAtHandIsNotRequested() {
         TestSource source = new TestSource(BASE);
         assertSame(BASE, fetchFrom(source).fetch(BASE, wanted(BASE)));
-        assertEquals(0, source.asked.size());
+        assertEquals(0, source.requests.size());
     }
 
     @Test
-    void whatIsFarComesInPiecesEachOnce() {
+    void aFarTableIsFetchedInChunksEachOnce() {
         TestSource source = new TestSource(Table.EMPTY, FAR);
         assertEquals(FAR, fetchFrom(source).fetch(Table.EMPTY, wanted(FAR)));
-        List<Path> pieces = source.pieces();
-        assertTrue(pieces.size() > 10, pieces::toString);
-        assertEquals(pieces.size(), new HashSet<>(pieces).size(), "each chunk once");
+        List<Path> chunks = source.requestedChunks();
+        assertTrue(chunks.size() > 10, chunks::toString);
+        assertEquals(chunks.size(), new HashSet<>(chunks).size(), "each chunk once");
     }
 
     @Test
-    void aTableThatNobodyKnowsIsNoObstacle() {
+    void fetchingWorksFromATableUnknownToTheSource() {
         Table own = Table.EMPTY.apply(VoterCluster.caps(5, -1, 7));
         assertEquals(NEAR, fetchFrom(new TestSource(BASE, NEAR)).fetch(own, wanted(NEAR)));
     }
 
     @Test
-    void aTransferThatWasCutGoesOnWithThePiecesThatItHas() {
+    void anInterruptedTransferResumes() {
         TestSource source = new TestSource(FAR);
         TableFetch fetch = fetchFrom(source);
-        source.repliesLeft = 8; // the difference and seven chunks
+        source.responsesLeft = 8; // the difference and seven chunks
         assertInstanceOf(Fault.NoLeader.class, failure(fetch, Table.EMPTY, FAR));
-        List<Path> before = source.pieces().subList(0, 7);
-        source.asked.clear();
-        source.repliesLeft = Integer.MAX_VALUE;
+        List<Path> before = source.requestedChunks().subList(0, 7);
+        source.requests.clear();
+        source.responsesLeft = Integer.MAX_VALUE;
         assertEquals(FAR, fetch.fetch(Table.EMPTY, wanted(FAR)));
-        List<Path> after = source.pieces();
+        List<Path> after = source.requestedChunks();
         assertTrue(after.stream().noneMatch(before::contains), () -> before + " requested again: " + after);
     }
 
     @Test
-    void aTransferTowardsANewerTableGoesOnWithWhatBothHave() {
+    void aTransferOfANewerTableReusesSharedChunks() {
         Table newer = FAR.apply(List.of(VoterCluster.cap("tenant7", 3, 4)));
         TestSource source = new TestSource(FAR, newer);
         TableFetch fetch = fetchFrom(source);
-        int total = pieces(newer);
-        source.repliesLeft = total - 1; // all but the last two chunks
+        int total = chunkCount(newer);
+        source.responsesLeft = total - 1; // all but the last two chunks
         failure(fetch, Table.EMPTY, FAR);
-        source.asked.clear();
-        source.repliesLeft = Integer.MAX_VALUE;
+        source.requests.clear();
+        source.responsesLeft = Integer.MAX_VALUE;
         assertEquals(newer, fetch.fetch(Table.EMPTY, wanted(newer)));
-        assertTrue(source.pieces().size() <= 6, () -> "of " + total + " chunks: " + source.pieces());
+        assertTrue(source.requestedChunks().size() <= 6, () -> "of " + total + " chunks: " + source.requestedChunks());
     }
 
-    private static int pieces(Table table) {
+    private static int chunkCount(Table table) {
         TestSource source = new TestSource(table);
         fetchFrom(source).fetch(Table.EMPTY, wanted(table));
-        return source.pieces().size();
+        return source.requestedChunks().size();
     }
 
     @Test
-    void aSourceThatFailsOrLagsIsLeftForAnother() {
+    void theNextSourceIsTriedIfOneFailsOrLags() {
         TestSource silent = new TestSource(FAR);
-        silent.repliesLeft = 3;
+        silent.responsesLeft = 3;
         TestSource behind = new TestSource(BASE);
         TestSource complete = new TestSource(FAR);
         assertEquals(FAR, fetchFrom(silent, behind, complete).fetch(Table.EMPTY, wanted(FAR)));
@@ -167,46 +167,46 @@
     }
 
     @Test
-    void damageOnTheWayIsRefusedAndNothingOfItIsKept() {
+    void damagedChunksAreRejectedAndNotRetained() {
         TestSource damaged = new TestSource(BASE, FAR);
-        damaged.onTheWay = TableFetchTest::damage;
+        damaged.tamper = TableFetchTest::damage;
         TableFetch fetch = fetchFrom(damaged);
         assertInstanceOf(Fault.DigestMismatch.class, failure(fetch, Table.EMPTY, FAR));
         assertInstanceOf(Fault.DigestMismatch.class, failure(fetch, Table.EMPTY, FAR), "and again");
-        damaged.onTheWay = Function.identity();
+        damaged.tamper = Function.identity();
         assertEquals(FAR, fetch.fetch(Table.EMPTY, wanted(FAR)));
         TestSource other = new TestSource(FAR);
-        damaged.onTheWay = TableFetchTest::damage;
+        damaged.tamper = TableFetchTest::damage;
         assertEquals(FAR, fetchFrom(damaged, other).fetch(Table.EMPTY, wanted(FAR)), "the other source is tried");
     }
 
     private static Reply damage(Reply response) {
-        if (response instanceof Reply.Piece chunk) {
+        if (response instanceof Reply.Chunk chunk) {
             byte[] bytes = chunk.bytes().clone();
             bytes[bytes.length / 2] ^= 1;
-            return new Reply.Piece(bytes);
+            return new Reply.Chunk(bytes);
         }
         return response;
     }
 
     @Test
-    void aDifferenceThatLeadsElsewhereIsRefused() {
+    void aDifferenceToAnotherTableIsRejected() {
         TestSource source = new TestSource(BASE, NEAR);
-        source.onTheWay = response -> new Reply.Difference(
+        source.tamper = response -> new Reply.Difference(
                 List.<Change>of(VoterCluster.cap("tenant1", 1, 2), VoterCluster.cap("tenant2", 1, 900)));
         assertInstanceOf(Fault.DigestMismatch.class, failure(fetchFrom(source), BASE, NEAR));
     }
 
     @Test
-    void aReplyToAnotherQuestionIsOfNoUse() {
+    void aResponseOfTheWrongTypeIsRejected() {
         TestSource source = new TestSource(BASE, NEAR);
-        source.onTheWay = response -> new Reply.Piece(new byte[] {1});
+        source.tamper = response -> new Reply.Chunk(new byte[] {1});
         assertInstanceOf(Fault.NoLeader.class, failure(fetchFrom(source), BASE, NEAR));
     }
 
     /** Without the guard, a table that mixes both revisions is passed on first. */
     @Test
-    void withoutTheGuardAMixIsUsed() throws Exception {
+    void withoutTheGuardAMixedTableIsUsed() throws Exception {
         List<Table> used = new ArrayList<>();
         new UncheckedFetch(new TestSource(BASE, NEAR)).fetch(BASE, wanted(NEAR), used::add);
         assertEquals(2, used.size());
--- a/consensus/src/test/java/tallyweir/fleet/ratis/TransfersTest.java
+++ b/consensus/src/test/java/tallyweir/fleet/ratis/TransfersTest.java
@@ -40,18 +40,18 @@
     }
 
     @AfterEach
-    void end() {
+    void stop() {
         cluster.close();
     }
 
     private Object fetch(Table have, RevisionRoot wanted) throws Exception {
         CompletableFuture<Object> outcome = new CompletableFuture<>();
         cluster.client().fetch(have, wanted, Runnable::run, outcome::complete, outcome::complete);
-        return outcome.get(VoterCluster.PATIENCE.toSeconds(), TimeUnit.SECONDS);
+        return outcome.get(VoterCluster.TIMEOUT.toSeconds(), TimeUnit.SECONDS);
     }
 
     @Test
-    void aWholeTableAndADifferenceComeFromTheVoters() throws Exception {
+    void completeTablesAndDifferencesAreFetchedFromVoters() throws Exception {
         Table first = Table.EMPTY.apply(FIRST);
         Table second = first.apply(SECOND);
         assertEquals(first, fetch(Table.EMPTY, cluster.revision(1)));
@@ -69,14 +69,14 @@
     }
 
     @Test
-    void aVoterThatEndsBetweenTwoPiecesIsLeftForAnother() throws Exception {
+    void anotherVoterIsUsedIfOneStopsBetweenTwoChunks() throws Exception {
         RevisionRoot wanted = cluster.revision(1);
         List<Question> answeredRequests = new ArrayList<>();
         List<String> answeringVoters = new ArrayList<>();
         try (VoterConnection connection = new VoterConnection(VoterCluster.FLEET, cluster.addresses(), 1_000)) {
-            List<TableSource> sources = connection.names().stream()
+            List<TableSource> sources = connection.voterNames().stream()
                     .<TableSource>map(voter -> request -> {
-                        Reply response = connection.askVoter(voter, request);
+                        Reply response = connection.readFromVoter(voter, request);
                         answeredRequests.add(request);
                         answeringVoters.add(voter);
                         if (answeredRequests.size() == 5) {
--- a/consensus/src/test/java/tallyweir/fleet/ratis/VoterCluster.java
+++ b/consensus/src/test/java/tallyweir/fleet/ratis/VoterCluster.java
@@ -32,13 +32,13 @@
 
 /** Three voters in this process on loopback, and a client of them. */
 final class VoterCluster implements AutoCloseable {
-    static final Duration PATIENCE = Duration.ofSeconds(30);
+    static final Duration TIMEOUT = Duration.ofSeconds(30);
     static final String FLEET = "f";
     static final ServerId SERVER = new ServerId("s");
 
     private static final int VOTERS = 3;
-    private static final long NANOS_IN_TICK = 100_000;
-    private static final long GIVE_UP_MS = 10_000;
+    private static final long NANOS_PER_TICK = 100_000;
+    private static final long CLIENT_TIMEOUT_MS = 10_000;
     private static final FleetSettings SETTINGS =
             new FleetSettings(1, 20_000, 5_000, 100_000, 50_000, 0.01, 0.5, 0.25, 8, 0.5, 0, 2, 0.5);
 
@@ -55,8 +55,8 @@
         for (String name : addresses.keySet()) {
             startVoter(name);
         }
-        client = new RatisFleetClient(FLEET, addresses, GIVE_UP_MS);
-        await().atMost(PATIENCE).until(() -> client.audit().version() == 1);
+        client = new RatisFleetClient(FLEET, addresses, CLIENT_TIMEOUT_MS);
+        await().atMost(TIMEOUT).until(() -> client.audit().version() == 1);
     }
 
     static int freePort() throws IOException {
@@ -90,7 +90,7 @@
                 name,
                 log,
                 SETTINGS,
-                () -> System.nanoTime() / NANOS_IN_TICK,
+                () -> System.nanoTime() / NANOS_PER_TICK,
                 System::currentTimeMillis);
     }
 
@@ -99,9 +99,9 @@
     }
 
     String leader() {
-        await().atMost(PATIENCE).until(() -> voters.values().stream().anyMatch(Voter::leads));
+        await().atMost(TIMEOUT).until(() -> voters.values().stream().anyMatch(Voter::isLeader));
         return voters.entrySet().stream()
-                .filter(voter -> voter.getValue().leads())
+                .filter(voter -> voter.getValue().isLeader())
                 .findFirst()
                 .orElseThrow()
                 .getKey();
@@ -115,20 +115,20 @@
                 Runnable::run,
                 answer -> received.complete(Optional.of(answer)),
                 () -> received.complete(Optional.empty()));
-        return received.get(PATIENCE.toSeconds(), TimeUnit.SECONDS);
+        return received.get(TIMEOUT.toSeconds(), TimeUnit.SECONDS);
     }
 
     Incarnation join() throws Exception {
         Command join = new Command.Join(FLEET, SERVER, "127.0.0.1:1", 1);
-        return ((Answer.Joined) send(join).orElseThrow()).as();
+        return ((Answer.Joined) send(join).orElseThrow()).incarnation();
     }
 
     /** Reports that the server acts on a revision, and that it can adopt the one it has checked. */
-    Answer.Told report(Incarnation as, long number, RevisionRoot acting, long checked, Map<TenantId, Need> needs)
+    Answer.ReportAccepted report(Incarnation as, long number, RevisionRoot acting, long checked, Map<TenantId, Need> needs)
             throws Exception {
         Command report = new Command.Report(
                 SERVER, as, number, acting.id(), acting.root(), 0, new RevisionId(checked), "", 0, 0, needs);
-        return (Answer.Told) send(report).orElseThrow();
+        return (Answer.ReportAccepted) send(report).orElseThrow();
     }
 
     static Change cap(String tenant, int before, int after) {
@@ -147,12 +147,12 @@
     }
 
     Answer publish(String command, long expected, List<Change> changes) {
-        return client.ask(new Command.Publish(
+        return client.request(new Command.Publish(
                 new OperatorCommand(command), new RevisionId(expected), changes, "ann", "because", false));
     }
 
     Answer change(String command, List<Change> changes) {
-        return client.ask(new Command.ChangeEntries(new OperatorCommand(command), changes, "bob", "more", false));
+        return client.request(new Command.ChangeEntries(new OperatorCommand(command), changes, "bob", "more", false));
     }
 
     /** Returns a revision of the audit with the root of its table. */
@@ -168,10 +168,10 @@
     /** Waits until a voter, leader or follower, has a revision. */
     void awaitRevision(String voter, RevisionRoot revision) throws IOException {
         Question request = new Question.Difference(revision.root(), revision, 0);
-        try (VoterConnection connection = new VoterConnection(FLEET, addresses, GIVE_UP_MS)) {
-            await().atMost(PATIENCE)
+        try (VoterConnection connection = new VoterConnection(FLEET, addresses, CLIENT_TIMEOUT_MS)) {
+            await().atMost(TIMEOUT)
                     .ignoreExceptions()
-                    .until(() -> connection.askVoter(voter, request) instanceof Reply.Difference);
+                    .until(() -> connection.readFromVoter(voter, request) instanceof Reply.Difference);
         }
     }
 
--- a/consensus/src/test/java/tallyweir/fleet/ratis/VotersTest.java
+++ b/consensus/src/test/java/tallyweir/fleet/ratis/VotersTest.java
@@ -43,7 +43,7 @@
     private static final TenantId TENANT = new TenantId("t");
     private static final Key KEY = new Key(Kind.CAP, "t");
     private static final RevisionRoot FIRST = new RevisionRoot(RevisionId.NONE, Table.EMPTY.root());
-    private static final int RESENT = 8;
+    private static final int RETRIES = 8;
 
     @TempDir
     private Path dir;
@@ -56,7 +56,7 @@
     }
 
     @AfterEach
-    void end() {
+    void stop() {
         cluster.close();
     }
 
@@ -70,23 +70,23 @@
 
     private static <T extends Fault> T refused(Class<T> kind, Answer answer) {
         return assertInstanceOf(
-                kind, assertInstanceOf(Answer.Refused.class, answer).why());
+                kind, assertInstanceOf(Answer.Refused.class, answer).fault());
     }
 
-    private Optional<Value> inForce() {
+    private Optional<Value> capInForce() {
         return Optional.ofNullable(
                 cluster.client().values(List.of(KEY)).values().get(KEY));
     }
 
     @Test
-    void whatWasAcknowledgedOutlivesTheLeaderAndComesBackFromItsDisk() throws Exception {
+    void acknowledgedCommandsSurviveLeaderLossAndRestarts() throws Exception {
         Incarnation as = cluster.join();
-        assertTrue(cluster.report(as, 1, FIRST, 0, need(0, 0)).lease() > 0);
+        assertTrue(cluster.report(as, 1, FIRST, 0, need(0, 0)).leaseDuration() > 0);
         List<Change> eight = List.of(VoterCluster.cap("t", -1, 8));
         RevisionRoot revision =
                 new RevisionRoot(new RevisionId(1), Table.EMPTY.apply(eight).root());
         assertEquals(done(1), cluster.publish("c1", 0, eight));
-        assertEquals(revision, cluster.report(as, 2, FIRST, 0, need(0, 0)).toCheck());
+        assertEquals(revision, cluster.report(as, 2, FIRST, 0, need(0, 0)).proposed());
         assertEquals(revision, cluster.report(as, 3, FIRST, 1, need(0, 0)).inForce());
         assertEquals(3, granted(cluster.report(as, 4, revision, 1, need(0, 3))));
         String first = cluster.leader();
@@ -126,12 +126,12 @@
                         .textValue());
     }
 
-    private static int granted(Answer.Told told) {
-        return told.shares().get(TENANT).granted();
+    private static int granted(Answer.ReportAccepted told) {
+        return told.grants().get(TENANT).granted();
     }
 
     @Test
-    void withoutAMajorityNothingIsAcknowledgedAndAStrangerFindsNoFleet() throws Exception {
+    void nothingIsAcknowledgedWithoutAMajorityOrForAnotherFleet() throws Exception {
         try (RatisFleetClient strange = new RatisFleetClient("g", cluster.addresses(), 1_000)) {
             assertInstanceOf(
                     Fault.Stranger.class,
@@ -144,14 +144,14 @@
                 "its address is in use");
         cluster.stopVoter("v1");
         cluster.stopVoter("v2");
-        try (RatisFleetClient shortOf = new RatisFleetClient(VoterCluster.FLEET, cluster.addresses(), 1_500)) {
-            FleetException e = assertThrows(FleetException.class, shortOf::audit);
-            assertEquals(10, e.fault().exit());
+        try (RatisFleetClient withoutMajority = new RatisFleetClient(VoterCluster.FLEET, cluster.addresses(), 1_500)) {
+            FleetException e = assertThrows(FleetException.class, withoutMajority::audit);
+            assertEquals(10, e.fault().exitCode());
             Command rollback = new Command.Rollback(
                     new OperatorCommand("c"), RevisionId.NONE, new RevisionId(1), "ann", "", false);
             assertEquals(
                     "c",
-                    refused(Fault.OutcomeUnknown.class, shortOf.ask(rollback)).command());
+                    refused(Fault.OutcomeUnknown.class, withoutMajority.request(rollback)).command());
         }
         cluster.startVoter("v1");
         assertEquals(RevisionId.NONE, cluster.client().audit().inForce());
@@ -159,20 +159,20 @@
 
     /** Many clients send the same command at once, as a client without an answer retries; it makes one revision. */
     @Test
-    void aCommandThatIsSentAgainActsOnce() {
+    void aCommandSentSeveralTimesIsAppliedOnce() {
         List<Change> eight = List.of(VoterCluster.cap("t", -1, 8));
-        List<CompletableFuture<Answer>> answers = IntStream.range(0, RESENT)
+        List<CompletableFuture<Answer>> answers = IntStream.range(0, RETRIES)
                 .mapToObj(i -> CompletableFuture.supplyAsync(() -> cluster.change("again", eight)))
                 .toList();
         answers.forEach(answer -> assertEquals(done(1), answer.join()));
         FleetAudit audit = cluster.client().audit();
         assertEquals(1, audit.revisions().size());
         assertEquals(1, audit.revisions().get(0).changed());
-        assertEquals(Optional.of(new Value.Cap(8)), inForce());
+        assertEquals(Optional.of(new Value.Cap(8)), capInForce());
     }
 
     @Test
-    void whatIsNoCommandDoesNotReachTheLogAndWhatIsNoQuestionHasNoReply() throws Exception {
+    void malformedCommandsAndRequestsAreRejected() throws Exception {
         Message garbage = Message.valueOf("garbage");
         try (RaftClient raw = Voters.client(VoterCluster.FLEET, cluster.addresses(), 2_000)) {
             assertThrows(IOException.class, () -> succeeded(raw.io().send(garbage)));
@@ -189,7 +189,7 @@
 
     /** A change waits behind a revision that a server has not reported on yet; it must come into force although the leader stops. */
     @Test
-    void aChangeThatWaitsOutlivesTheLeader() throws Exception {
+    void aWaitingChangeSurvivesTheLossOfTheLeader() throws Exception {
         Incarnation as = cluster.join();
         cluster.report(as, 1, FIRST, 0, Map.of());
         assertEquals(done(1), cluster.publish("first", 0, List.of(VoterCluster.cap("other", -1, 1))));
@@ -202,16 +202,16 @@
         assertEquals(revision, cluster.report(as, 2, FIRST, 1, Map.of()).inForce());
         assertEquals(
                 new RevisionId(2),
-                cluster.report(as, 3, revision, 1, Map.of()).toCheck().id());
+                cluster.report(as, 3, revision, 1, Map.of()).proposed().id());
         cluster.report(as, 4, revision, 2, Map.of());
         assertEquals(done(2), cluster.change("waits", eight), "sent a third time");
-        assertEquals(Optional.of(new Value.Cap(8)), inForce());
+        assertEquals(Optional.of(new Value.Cap(8)), capInForce());
         assertEquals(0, cluster.client().audit().waiting().size());
     }
 
     /** A voter writes a snapshot when it closes. First the newer of two snapshots is damaged, then both. */
     @Test
-    void aDamagedSnapshotIsLeftForTheOneBeforeAndWithoutAnyTheLogIsDamaged() throws Exception {
+    void aVoterFallsBackToAnEarlierSnapshotAndFailsWithoutAny() throws Exception {
         cluster.publish("c1", 0, List.of(VoterCluster.cap("t", -1, 8)));
         cluster.awaitRevision("v1", cluster.revision(1));
         cluster.stopVoter("v1");
@@ -224,7 +224,7 @@
         damage(snapshots.get(1));
         cluster.startVoter("v1");
         cluster.stopVoter("v2");
-        assertEquals(Optional.of(new Value.Cap(9)), inForce(), "the log continues from the earlier snapshot");
+        assertEquals(Optional.of(new Value.Cap(9)), capInForce(), "the log continues from the earlier snapshot");
         cluster.startVoter("v2");
         cluster.stopVoter("v1");
         for (Path snapshot : snapshots("v1")) {
--- a/core/src/main/java/tallyweir/Calls.java
+++ b/core/src/main/java/tallyweir/Calls.java
@@ -7,13 +7,13 @@
  * time reserved by the calls in flight. Times are tenths of a millisecond. Not thread-safe.
  */
 final class Calls {
-    final Ring took;
+    final Ring recentDurations;
     // The same over a longer window, so that a server that makes few calls has enough samples.
-    final Ring lately;
+    final Ring usualDurations;
     final long linger;
-    int inHand;
-    private final Ring done;
-    private double promised;
+    int inFlight;
+    private final Ring endedCallTime;
+    private double reservedTime;
 
     /**
      * @param window over which the time of calls is counted
@@ -24,25 +24,25 @@
      */
     Calls(long window, long shortWindow, long longWindow, int buckets, long linger) {
         this.linger = linger;
-        done = new Ring(window + linger, buckets);
-        took = new Ring(shortWindow, buckets);
-        lately = new Ring(longWindow, buckets);
+        endedCallTime = new Ring(window + linger, buckets);
+        recentDurations = new Ring(shortWindow, buckets);
+        usualDurations = new Ring(longWindow, buckets);
     }
 
     /** Call time used in the window plus the time reserved by calls in flight. */
-    double taken(long now) {
-        return done.sum(now) + promised;
+    double usedTime(long now) {
+        return endedCallTime.sum(now) + reservedTime;
     }
 
-    void begun(Query q) {
-        inHand++;
-        promised += q.callUntil - q.called + linger;
+    void onCallStarted(Query q) {
+        inFlight++;
+        reservedTime += q.callDeadline - q.calledAt + linger;
     }
 
     /** @param lingers whether the store may still be working on the call */
-    void ended(long now, Query q, boolean lingers) {
-        inHand--;
-        promised -= q.callUntil - q.called + linger;
-        done.add(now, now - q.called + (lingers ? linger : 0));
+    void onCallEnded(long now, Query q, boolean lingers) {
+        inFlight--;
+        reservedTime -= q.callDeadline - q.calledAt + linger;
+        endedCallTime.add(now, now - q.calledAt + (lingers ? linger : 0));
     }
 }
--- a/core/src/main/java/tallyweir/Choice.java
+++ b/core/src/main/java/tallyweir/Choice.java
@@ -21,140 +21,140 @@
     // follows, and the expected wait, added here. Of each, _FROM is where queries of the lowest revenue start to be
     // refused, and _ALL where queries of the highest are refused for certain. The distinct revenues divide the range
     // evenly.
-    static final double CPU_CUT = 0.90;
+    static final double BUSY_CORES_REFUSE_FROM = 0.90;
     // Above 1, so that busy cores alone never refuse all queries of the highest revenue.
-    static final double CPU_END = 1.10;
-    static final double LATE_CUT = 0.25;
-    static final double LATE_END = 1.0;
+    static final double BUSY_CORES_REFUSE_ALL = 1.10;
+    static final double LATE_SHARE_REFUSE_FROM = 0.25;
+    static final double LATE_SHARE_REFUSE_ALL = 1.0;
     // The wait is measured as a share of the time that a query can spare.
-    static final double WAIT_CUT = 0.25;
-    static final double WAIT_END = 1.0;
+    static final double WAIT_SHARE_REFUSE_FROM = 0.25;
+    static final double WAIT_SHARE_REFUSE_ALL = 1.0;
     // A few seconds, as in the same algorithm.
-    static final long LATE_SPAN = 3 * 10_000;
-    static final long SECOND = 10_000;
-    static final long GAUGE_EVERY = SECOND / 10;
-    static final int BUCKETS = 12;
+    static final long MEASUREMENT_WINDOW_TENTHS_MS = 3 * 10_000;
+    static final long SECOND_TENTHS_MS = 10_000;
+    static final long GAUGE_INTERVAL_TENTHS_MS = SECOND_TENTHS_MS / 10;
+    static final int WINDOW_BUCKETS = 12;
 
     // Safety margins and thresholds, as ratios of what the settings allow.
 
     // A run starts only below this share of the concurrency that the server survives now.
-    static final double CROWD_SAFE = 0.85;
+    static final double MAX_CONCURRENCY_SHARE = 0.85;
     // Shares of the memory limit up to which a run may start, a query is admitted, and results of harmless queries are
     // retained.
-    static final double MEMORY_RUN = 0.95;
-    static final double MEMORY_HOLD = 0.85;
-    static final double MEMORY_KEYS = 0.30;
+    static final double MAX_MEMORY_SHARE_TO_RUN = 0.95;
+    static final double MAX_MEMORY_SHARE_TO_ADMIT = 0.85;
+    static final double MAX_MEMORY_SHARE_TO_RETAIN = 0.30;
     // The part of this server's share of the calls in flight that is used.
-    static final double BELOW_SAFE = 0.90;
+    static final double MAX_CALL_SHARE = 0.90;
     // Run queue length per core above which fewer concurrent runs are allowed.
-    static final double CROWDED = 1.25;
+    static final double MAX_RUN_QUEUE_PER_CORE = 1.25;
     // A query is given up if less than this part of its estimated run time is left.
-    static final double NEEDS = 0.5;
+    static final double MIN_RUN_SHARE_LEFT = 0.5;
     // Queries of a tenant count as surplus only above this multiple of its share.
-    static final double SHARE_SLACK = 1.1;
+    static final double TENANT_SHARE_TOLERANCE = 1.1;
     // Standard deviations of a count that are attributed to chance.
-    static final double CHANCE = 2;
+    static final double CHANCE_DEVIATIONS = 2;
     // A larger share of retries among the queries read means that the whole fleet is overloaded.
-    static final double AGAIN_MANY = 0.20;
+    static final double MAX_USUAL_RETRY_SHARE = 0.20;
     // A larger share of refusals means the same, for callers that don't mark their retries.
-    static final double TURNED_MANY = 0.20;
+    static final double MAX_USUAL_REFUSAL_SHARE = 0.20;
     // Bands by which a retry is ranked lower, per unit of the share of retries above the limit.
-    static final double AGAIN_DOWN = 3;
+    static final double RETRY_PENALTY_BANDS = 3;
     // Calls that take longer than this multiple of their usual duration are slow; fewer are sent then.
-    static final double CALL_SLOW = 3;
+    static final double SLOW_CALL_RATIO = 3;
     // With fewer calls than this, their total duration is still divided by this number to get the mean.
-    static final double CALLS_FEW = 3;
+    static final double MIN_CALLS_FOR_MEAN = 3;
     // The calls allowed in flight never fall below this part of the server's share.
-    static final double CALLS_LEAST = 0.2;
+    static final double MIN_CALL_LIMIT_SHARE = 0.2;
     // Factor by which the calls allowed in flight shrink, and recover, at each reading of the gauges.
-    static final double CALLS_CUT = 0.9;
+    static final double CALL_LIMIT_DECAY = 0.9;
     // Part of the window's call time that is at first reserved for a call that may be repeated.
-    static final double CALL_PART = 0.25;
+    static final double INITIAL_RESERVATION_SHARE = 0.25;
     // Smaller relative changes of the load are not advertised.
-    static final double SAY_STEP = 0.1;
+    static final double MIN_ADVERTISED_CHANGE = 0.1;
     // Weight of the time that queries lie unread, relative to the duration of a run, in the advice to wait.
-    static final double DEAR = 5;
-    static final int CALL_TRIES = 3;
+    static final double UNREAD_TIME_WEIGHT = 5;
+    static final int MAX_CALL_ATTEMPTS = 3;
     // Cost of a connection that is idle for the maximum time, in connection openings.
-    static final double IDLE_COST = 2;
+    static final double MAX_IDLE_COST_OPENINGS = 2;
     // Number of idle timeouts compared.
-    static final int IDLE_STEPS = 6;
+    static final int IDLE_TIMEOUT_COUNT = 6;
     // Each idle timeout is the next longer one divided by this.
-    static final int IDLE_STEP = 5;
+    static final int IDLE_TIMEOUT_RATIO = 5;
 
     private final Outgoing out;
-    private final SplittableRandom chance;
-    private final long born;
+    private final SplittableRandom random;
+    private final long startedAt;
     private long now;
     private final Map<WorkloadId, Workload> workloads = new HashMap<>();
     private final TreeSet<Double> revenues = new TreeSet<>();
     private final Map<TenantId, Tenant> tenants = new HashMap<>();
-    private final Map<QueryId, Query> live = new HashMap<>();
+    private final Map<QueryId, Query> liveQueries = new HashMap<>();
     // Order of waiting queries and calls: higher revenue first, then first come, first served.
-    private static final Comparator<Query> DEARER =
-            Comparator.comparingDouble((Query q) -> -q.workload.revenue).thenComparingLong(q -> q.order);
-    private final PriorityQueue<Query> hold = new PriorityQueue<>(DEARER);
-    private final PriorityQueue<Query> atCall = new PriorityQueue<>(DEARER);
-    private final ArrayDeque<Query> callLater = new ArrayDeque<>();
-    private final ArrayDeque<Query> reuses = new ArrayDeque<>();
-    private final PriorityQueue<Due> dues = new PriorityQueue<>();
+    private static final Comparator<Query> BY_REVENUE_THEN_ORDER =
+            Comparator.comparingDouble((Query q) -> -q.workload.revenue).thenComparingLong(q -> q.sequence);
+    private final PriorityQueue<Query> waitingQueue = new PriorityQueue<>(BY_REVENUE_THEN_ORDER);
+    private final PriorityQueue<Query> callQueue = new PriorityQueue<>(BY_REVENUE_THEN_ORDER);
+    private final ArrayDeque<Query> callRetries = new ArrayDeque<>();
+    private final ArrayDeque<Query> replayQueue = new ArrayDeque<>();
+    private final PriorityQueue<Due> deadlines = new PriorityQueue<>();
     // 1 for each run past its expected time, else 0.
-    private final Ring late = new Ring(LATE_SPAN, BUCKETS);
+    private final Ring lateRuns = new Ring(MEASUREMENT_WINDOW_TENTHS_MS, WINDOW_BUCKETS);
     // The same, of runs that called the store.
-    private final Ring lateBelow = new Ring(LATE_SPAN, BUCKETS);
-    private final Ring runs = new Ring(LATE_SPAN, BUCKETS);
+    private final Ring lateCallingRuns = new Ring(MEASUREMENT_WINDOW_TENTHS_MS, WINDOW_BUCKETS);
+    private final Ring runDurations = new Ring(MEASUREMENT_WINDOW_TENTHS_MS, WINDOW_BUCKETS);
     // Times that queries waited to be read.
-    private final Ring unread = new Ring(LATE_SPAN, BUCKETS);
-    private final Ring turned = new Ring(LATE_SPAN, BUCKETS);
+    private final Ring unreadTimes = new Ring(MEASUREMENT_WINDOW_TENTHS_MS, WINDOW_BUCKETS);
+    private final Ring refusals = new Ring(MEASUREMENT_WINDOW_TENTHS_MS, WINDOW_BUCKETS);
     // Its count is the number of queries read, its sum the number of retries among them.
-    private final Ring tries = new Ring(LATE_SPAN, BUCKETS);
-    private Returns returns;
-    private long idleMost;
-    private long idleFor;
-    private Query fresh;
+    private final Ring readsAndRetries = new Ring(MEASUREMENT_WINDOW_TENTHS_MS, WINDOW_BUCKETS);
+    private Returns idleTimeouts;
+    private long maxIdle;
+    private long idleTimeout;
+    private Query incoming;
     // Admitting the next query would leave no connection for health checks.
-    private boolean lastConnection;
-    private double draw;
-    private long order;
-    private long wakeAt = Long.MAX_VALUE;
-    private boolean gaugeDue;
+    private boolean onLastConnection;
+    private double incomingDraw;
+    private long nextSequence;
+    private long deadlineTimerAt = Long.MAX_VALUE;
+    private boolean gaugesPending;
     private double coresBusy;
     private double runQueue;
-    private final Crowd crowd = new Crowd();
-    private Memory memory;
-    private Calls calls;
+    private final Crowd concurrency = new Crowd();
+    private Memory memoryUse;
+    private Calls callBudget;
     private int cores;
     // Concurrent runs that are allowed on the cores.
-    private double runsAllowed;
+    private double runLimit;
     // No run is suspended before this time.
-    private long pauseAgain;
-    private double fallMultiple;
-    private double coldFrom;
-    private long coldFor;
-    private double callsShare;
+    private long nextSuspendAt;
+    private double collapseMultiple;
+    private double coldStartShare;
+    private long coldDuration;
+    private double callShare;
     // Calls that are allowed in flight.
-    private double callsAllowed;
-    private double callUsual = Double.MAX_VALUE;
+    private double callLimit;
+    private double usualCallDuration = Double.MAX_VALUE;
     // Replaces a server that ended shortly before.
     private boolean cold;
-    private long callSpan;
+    private long callWindow;
     // Time that this server's calls may take in the window.
-    private double callTime;
+    private double callTimeShare;
     // Part of that time that is reserved for one call that may be repeated.
-    private double callPart;
-    private Halt halt = Halt.OFF;
-    private Said said = Said.OFF;
-    private double saidLast;
+    private double callReservation;
+    private Halt cancellation = Halt.OFF;
+    private Said loadAdvice = Said.OFF;
+    private double lastAdvertisedLoad;
     // Shortest expected time of all workloads.
-    private long shortest = Long.MAX_VALUE;
-    private long round = 1;
-    private long grace;
-    private long shareFor;
-    private long keepOffMost;
-    private double surplusWorth = 1;
+    private long minExpectedTime = Long.MAX_VALUE;
+    private long pollInterval = 1;
+    private long drainGrace;
+    private long resultShareDuration;
+    private long maxRetryAfter;
+    private double surplusWeight = 1;
     // Negative while the server is not draining.
-    private long draining = -1;
-    private long stopBy = Long.MAX_VALUE;
+    private long drainStartedAt = -1;
+    private long stopDeadline = Long.MAX_VALUE;
     private final Rules rules = new Rules();
 
     /**
@@ -163,31 +163,31 @@
      */
     public Choice(Outgoing out, long seed, long now) {
         this.out = out;
-        this.chance = new SplittableRandom(seed);
-        this.born = now;
+        this.random = new SplittableRandom(seed);
+        this.startedAt = now;
         this.now = now;
         // Order: due answers, the incoming query, waiting replays, calls to the store, runs on the cores, timers.
-        rules.add(this::somethingDue, this::answerDue);
-        rules.add(() -> fresh != null && hopeless(fresh), () -> deferFresh(keepOffMost, true));
-        rules.add(() -> fresh != null && lastConnection, () -> deferFresh(adviceFor(), false));
+        rules.add(this::isDeadlineDue, this::handleDeadline);
+        rules.add(() -> incoming != null && isTooLateToAnswer(incoming), () -> deferIncoming(maxRetryAfter, true));
+        rules.add(() -> incoming != null && onLastConnection, () -> deferIncoming(adviseRetryAfter(), false));
         rules.add(
-                () -> fresh != null && fresh.leader == null && (draw < chanceFor(fresh) || tooLate(fresh)),
-                () -> deferFresh(adviceFor(), nowhereElse(fresh)));
-        rules.add(() -> fresh != null && !fitsHold(fresh), () -> deferFresh(adviceFor(), false));
-        rules.add(() -> fresh != null && fresh.leader != null, this::follow);
-        rules.add(() -> fresh != null, () -> takeFresh(HELD));
-        rules.add(() -> !reuses.isEmpty(), this::reuse);
-        rules.add(this::callFails, this::giveUpCall);
-        rules.add(this::callFits, this::call);
-        rules.add(() -> !hold.isEmpty() && cannotMake(hold.peek()), () -> giveUp(hold.peek()));
-        rules.add(() -> !hold.isEmpty() && coresFree() && fitsRun(hold.peek()), this::begin);
-        rules.add(() -> !hold.isEmpty() && mayPause() && pausable() != null, () -> pause(pausable()));
-        rules.add(() -> gaugeDue, this::readGauges);
-        rules.add(() -> !dues.isEmpty() && dues.peek().at() < wakeAt, this::setTimer);
+                () -> incoming != null && incoming.leader == null && (incomingDraw < refusalProbability(incoming) || wouldBeLate(incoming)),
+                () -> deferIncoming(adviseRetryAfter(), isFinalRefusal(incoming)));
+        rules.add(() -> incoming != null && !fitsMemoryToAdmit(incoming), () -> deferIncoming(adviseRetryAfter(), false));
+        rules.add(() -> incoming != null && incoming.leader != null, this::followLeader);
+        rules.add(() -> incoming != null, () -> admitIncoming(HELD));
+        rules.add(() -> !replayQueue.isEmpty(), this::replayNext);
+        rules.add(this::isNextCallHopeless, this::giveUpNextCall);
+        rules.add(this::fitsNextCall, this::startNextCall);
+        rules.add(() -> !waitingQueue.isEmpty() && canNoLongerBeInTime(waitingQueue.peek()), () -> giveUp(waitingQueue.peek()));
+        rules.add(() -> !waitingQueue.isEmpty() && hasFreeCore() && fitsMemoryToRun(waitingQueue.peek()), this::startNext);
+        rules.add(() -> !waitingQueue.isEmpty() && maySuspend() && suspensionCandidate() != null, () -> suspend(suspensionCandidate()));
+        rules.add(() -> gaugesPending, this::evaluateGauges);
+        rules.add(() -> !deadlines.isEmpty() && deadlines.peek().dueAt() < deadlineTimerAt, this::setDeadlineTimer);
     }
 
-    private void settle() {
-        rules.settle();
+    private void applyRules() {
+        rules.runUntilStable();
     }
 
     // ---- settings
@@ -201,7 +201,7 @@
      * @param coldDuration time until a cold server survives as much as a warm one
      * @param cancellation how a run can be ended before it completes
      */
-    public void machine(
+    public void configureMachine(
             int cores,
             double collapseMultiple,
             boolean cold,
@@ -210,17 +210,17 @@
             Halt cancellation) {
         this.cores = cores;
         this.cold = cold;
-        this.halt = cancellation;
-        runsAllowed = cores;
-        this.fallMultiple = collapseMultiple;
-        this.coldFrom = coldStartShare;
-        this.coldFor = cold ? coldDuration : 0;
+        this.cancellation = cancellation;
+        runLimit = cores;
+        this.collapseMultiple = collapseMultiple;
+        this.coldStartShare = coldStartShare;
+        this.coldDuration = cold ? coldDuration : 0;
     }
 
     /** Concurrent runs that the server survives now. A cold server is taken to warm up linearly, the worst case. */
-    private double survived() {
-        double warm = coldFor <= 0 ? 1 : coldFrom + (1 - coldFrom) * Math.min(1, (now - born) / (double) coldFor);
-        return cores * (1 + (fallMultiple - 1) * warm);
+    private double survivableConcurrency() {
+        double warm = coldDuration <= 0 ? 1 : coldStartShare + (1 - coldStartShare) * Math.min(1, (now - startedAt) / (double) coldDuration);
+        return cores * (1 + (collapseMultiple - 1) * warm);
     }
 
     /**
@@ -229,8 +229,8 @@
      * @param runMemoryFactor memory of a run over the size of its query
      * @param entryKb memory of one retained result
      */
-    public void memory(double limitKb, double runMemoryFactor, double entryKb) {
-        memory = new Memory(limitKb, runMemoryFactor, entryKb);
+    public void configureMemory(double limitKb, double runMemoryFactor, double entryKb) {
+        memoryUse = new Memory(limitKb, runMemoryFactor, entryKb);
     }
 
     /**
@@ -240,13 +240,13 @@
      * @param shareWindow over which that mean is taken
      * @param linger time for which an abandoned call still occupies the store
      */
-    public void below(double maxCallsInFlight, long shareWindow, long linger) {
-        calls = new Calls(shareWindow, SECOND, LATE_SPAN, BUCKETS, linger);
-        callsShare = maxCallsInFlight <= 0 ? Double.MAX_VALUE : maxCallsInFlight;
-        callsAllowed = callsShare;
-        callSpan = shareWindow;
-        callTime = maxCallsInFlight <= 0 ? Double.MAX_VALUE : maxCallsInFlight * shareWindow * BELOW_SAFE;
-        callPart = callTime * CALL_PART;
+    public void configureCalls(double maxCallsInFlight, long shareWindow, long linger) {
+        callBudget = new Calls(shareWindow, SECOND_TENTHS_MS, MEASUREMENT_WINDOW_TENTHS_MS, WINDOW_BUCKETS, linger);
+        callShare = maxCallsInFlight <= 0 ? Double.MAX_VALUE : maxCallsInFlight;
+        callLimit = callShare;
+        callWindow = shareWindow;
+        callTimeShare = maxCallsInFlight <= 0 ? Double.MAX_VALUE : maxCallsInFlight * shareWindow * MAX_CALL_SHARE;
+        callReservation = callTimeShare * INITIAL_RESERVATION_SHARE;
     }
 
     /**
@@ -259,7 +259,7 @@
      * @param callsStore whether runs of this workload call the store
      * @param degradedValue part of the revenue that a degraded answer earns; 0 if there is none
      */
-    public void workload(
+    public void addWorkload(
             WorkloadId id,
             Effect effect,
             long expectedTime,
@@ -271,15 +271,15 @@
             double degradedValue) {
         Workload settings = new Workload(
                 effect, expectedTime, hardLimit, revenue, lateValue, repeatWindow, callsStore, degradedValue);
-        settings.measuredOver(LATE_SPAN, BUCKETS);
+        settings.setMeasurementWindow(MEASUREMENT_WINDOW_TENTHS_MS, WINDOW_BUCKETS);
         workloads.put(id, settings);
         revenues.add(revenue);
-        shortest = Math.min(shortest, expectedTime);
+        minExpectedTime = Math.min(minExpectedTime, expectedTime);
     }
 
     /** Adds a tenant whose quota is divided evenly among this many servers. */
-    public void tenant(TenantId id, double quotaPerSecond, int servers) {
-        tenants.put(id, new Tenant(quotaPerSecond / Math.max(1, servers), new Ring(LATE_SPAN, BUCKETS)));
+    public void addTenant(TenantId id, double quotaPerSecond, int servers) {
+        tenants.put(id, new Tenant(quotaPerSecond / Math.max(1, servers), new Ring(MEASUREMENT_WINDOW_TENTHS_MS, WINDOW_BUCKETS)));
     }
 
     /**
@@ -289,10 +289,10 @@
      * @param drainGrace time after the start of draining in which arriving queries are still carried out
      * @param surplusWeight weight, 0 to 1, of queries above a tenant's share
      */
-    public void duties(long pollInterval, long drainGrace, double surplusWeight) {
-        this.round = Math.max(1, pollInterval);
-        this.grace = drainGrace;
-        this.surplusWorth = surplusWeight;
+    public void configureAnswers(long pollInterval, long drainGrace, double surplusWeight) {
+        this.pollInterval = Math.max(1, pollInterval);
+        this.drainGrace = drainGrace;
+        this.surplusWeight = surplusWeight;
     }
 
     /**
@@ -301,39 +301,39 @@
      * @param resultShareDuration time for which the result of a harmless query may be shared; 0 for never
      * @param maxRetryAfter longest time that a caller may be advised to wait; 0 for no advice
      */
-    public void callers(Said loadAdvice, long resultShareDuration, long maxRetryAfter) {
-        this.said = loadAdvice;
-        this.shareFor = resultShareDuration;
-        this.keepOffMost = maxRetryAfter;
+    public void configureCallers(Said loadAdvice, long resultShareDuration, long maxRetryAfter) {
+        this.loadAdvice = loadAdvice;
+        this.resultShareDuration = resultShareDuration;
+        this.maxRetryAfter = maxRetryAfter;
     }
 
     /** Sets the longest time that a connection may be idle. */
-    public void connections(long maxIdleTime) {
-        this.idleMost = Math.max(1, maxIdleTime);
-        long[] timeouts = new long[IDLE_STEPS];
-        for (int i = 0; i < IDLE_STEPS; i++) {
-            timeouts[i] = Math.min(this.idleMost, Math.max(100, (long) (maxIdleTime / Math.pow(IDLE_STEP, i))));
+    public void configureConnections(long maxIdleTime) {
+        this.maxIdle = Math.max(1, maxIdleTime);
+        long[] timeouts = new long[IDLE_TIMEOUT_COUNT];
+        for (int i = 0; i < IDLE_TIMEOUT_COUNT; i++) {
+            timeouts[i] = Math.min(this.maxIdle, Math.max(100, (long) (maxIdleTime / Math.pow(IDLE_TIMEOUT_RATIO, i))));
         }
-        returns = new Returns(now, timeouts, maxIdleTime / 2, BUCKETS);
-        idleFor = this.idleMost;
+        idleTimeouts = new Returns(now, timeouts, maxIdleTime / 2, WINDOW_BUCKETS);
+        idleTimeout = this.maxIdle;
     }
 
     /** Starts to accept events, after all settings were made. */
     public void start() {
-        out.health(true, true);
-        keepIdle();
-        out.wake(now + GAUGE_EVERY, GAUGES);
+        out.setHealth(true, true);
+        updateIdleTimeout();
+        out.setTimer(now + GAUGE_INTERVAL_TENTHS_MS, GAUGES_TIMER);
     }
 
     // ---- events
 
     /** The timer at which the front end calls {@link #setGauges} before {@link #onTimer}. */
-    public static final TimerId GAUGES = new TimerId(1);
+    public static final TimerId GAUGES_TIMER = new TimerId(1);
 
-    private static final TimerId DUES = new TimerId(2);
+    private static final TimerId DEADLINE_TIMER = new TimerId(2);
 
     /** Sets the current time; a time earlier than the last one is ignored. */
-    public void clock(long now) {
+    public void setTime(long now) {
         this.now = Math.max(this.now, now);
     }
 
@@ -347,7 +347,7 @@
      * @param retry whether the caller marks the query as a retry
      * @param predictedRunTime as predicted by the caller; 0 if there is no prediction
      */
-    public void read(
+    public void onQueryRead(
             QueryId id,
             QueryId earlier,
             CallerId caller,
@@ -362,37 +362,37 @@
             long predictedRunTime) {
         Query q = new Query();
         q.id = id;
-        q.order = order++;
+        q.sequence = nextSequence++;
         q.workload = workloads.get(workload);
         q.tenant = tenant == null ? null : tenants.get(tenant);
         q.subject = subject;
-        q.arrived = now - age;
-        q.size = sizeKb;
-        q.again = retry;
-        q.predicted = predictedRunTime;
-        long deadline = timeout > 0 ? now + timeout : Math.max(now, q.arrived + q.workload.hard);
-        q.answerBy = Math.min(deadline, stopBy) - round;
-        q.goodBy = Math.min(q.answerBy, q.arrived + q.workload.expected);
-        q.useBy = q.workload.lateValue > 0 ? q.answerBy : q.goodBy;
+        q.arrivedAt = now - age;
+        q.sizeKb = sizeKb;
+        q.retry = retry;
+        q.predictedRunTime = predictedRunTime;
+        long deadline = timeout > 0 ? now + timeout : Math.max(now, q.arrivedAt + q.workload.hardLimit);
+        q.answerDeadline = Math.min(deadline, stopDeadline) - pollInterval;
+        q.fullRevenueUntil = Math.min(q.answerDeadline, q.arrivedAt + q.workload.expectedTime);
+        q.anyRevenueUntil = q.workload.lateValue > 0 ? q.answerDeadline : q.fullRevenueUntil;
         if (earlier != null) {
-            q.leader = live.get(earlier);
+            q.leader = liveQueries.get(earlier);
             if (q.leader == null) {
                 q.leader = new Query(); // ended before: the replay finds out whether its result is still there
-                q.leader.state = OVER;
-            } else if (q.harmless() && q.leader.answered) {
+                q.leader.state = ENDED;
+            } else if (q.isHarmless() && q.leader.answered) {
                 q.leader = null; // already answered without its run, so there will be no result
             }
         }
         if (q.tenant != null && !retry) {
             q.tenant.reads().add(now, 1);
         }
-        returns.read(now, caller, IDLE_COST / idleMost);
-        tries.add(now, retry ? 1 : 0);
-        unread.add(now, age);
-        live.put(id, q);
-        fresh = q;
-        draw = draw();
-        settle();
+        idleTimeouts.onRead(now, caller, MAX_IDLE_COST_OPENINGS / maxIdle);
+        readsAndRetries.add(now, retry ? 1 : 0);
+        unreadTimes.add(now, age);
+        liveQueries.put(id, q);
+        incoming = q;
+        incomingDraw = nextDraw();
+        applyRules();
     }
 
     /**
@@ -400,49 +400,49 @@
      * full. Such a query is deferred: admitted, it would block health checks until a query ends, and a server that is
      * merely busy would look dead.
      */
-    public void lastConnection(boolean last) {
-        lastConnection = last;
+    public void setOnLastConnection(boolean last) {
+        onLastConnection = last;
     }
 
     /** Draws a number from 0 to 1 for each query read. Overridden so that shadow settings get the same draws. */
-    protected double draw() {
-        return chance.nextDouble();
+    protected double nextDraw() {
+        return random.nextDouble();
     }
 
     /** A run or a replay ended, was cancelled or was suspended. */
-    public void ended(QueryId id, Outcome outcome) {
-        Query q = live.get(id);
+    public void onRunEnded(QueryId id, Outcome outcome) {
+        Query q = liveQueries.get(id);
         if (q == null || q.state == HELD || q.state == FOLLOWING) {
             return;
         }
         if (q.state == REPLAYING) {
-            over(q);
+            end(q);
         } else {
             boolean wasAnswered = q.answered;
-            boolean suspended = halt == Halt.SUSPEND && outcome == Outcome.RECALLED && !wasAnswered && q.harmless();
-            leaveCores(q, outcome, suspended);
+            boolean suspended = cancellation == Halt.SUSPEND && outcome == Outcome.RECALLED && !wasAnswered && q.isHarmless();
+            endRun(q, outcome, suspended);
             if (suspended) {
-                pauseAgain = now;
-                toHold(q);
+                nextSuspendAt = now;
+                enqueue(q);
             } else if (outcome == Outcome.RECALLED && !wasAnswered) {
-                backToHold(q);
+                requeueCancelled(q);
             } else {
-                over(q);
+                end(q);
             }
         }
-        settle();
+        applyRules();
     }
 
     /** A run has reached its call to the store and is blocked until the call is made. */
-    public void standsAtCall(QueryId id) {
-        Query q = live.get(id);
+    public void onBlockedOnCall(QueryId id) {
+        Query q = liveQueries.get(id);
         if (q != null && q.state == RUNNING) {
-            crowd.offCores(now, q);
-            stand(q);
-            q.stood = true;
-            q.calls = 0;
-            atCall.add(q);
-            settle();
+            concurrency.leaveCores(now, q);
+            blockOnCall(q);
+            q.wasBlocked = true;
+            q.callAttempts = 0;
+            callQueue.add(q);
+            applyRules();
         }
     }
 
@@ -451,46 +451,46 @@
      *
      * @param duration time since the call was made
      */
-    public void callEnded(QueryId id, Outcome outcome, long duration) {
-        Query q = live.get(id);
+    public void onCallEnded(QueryId id, Outcome outcome, long duration) {
+        Query q = liveQueries.get(id);
         if (q == null || q.state != CALLING) {
             return;
         }
-        calls.ended(now, q, outcome == Outcome.OVERDUE || outcome == Outcome.SEVERED);
+        callBudget.onCallEnded(now, q, outcome == Outcome.OVERDUE || outcome == Outcome.SEVERED);
         // A call that timed out had too little time reserved, if calls have become longer than the reservation.
-        callPart = outcome == Outcome.OVERDUE
-                ? Math.min(callTime, 2 * callPart)
-                : outcome == Outcome.COMPLETED ? Math.max(callTime * CALL_PART, callPart * CALLS_CUT) : callPart;
+        callReservation = outcome == Outcome.OVERDUE
+                ? Math.min(callTimeShare, 2 * callReservation)
+                : outcome == Outcome.COMPLETED ? Math.max(callTimeShare * INITIAL_RESERVATION_SHARE, callReservation * CALL_LIMIT_DECAY) : callReservation;
         if (outcome == Outcome.COMPLETED) { // a lost reply does not mean that the store is slow
-            calls.took.add(now, duration);
-            calls.lately.add(now, duration);
+            callBudget.recentDurations.add(now, duration);
+            callBudget.usualDurations.add(now, duration);
             q.state = RUNNING;
-            crowd.onCores(now, q);
+            concurrency.enterCores(now, q);
         } else {
-            stand(q);
+            blockOnCall(q);
             boolean provenNotRun = outcome == Outcome.SATURATED || outcome == Outcome.REFUSED_CONN;
-            if (!q.harmless() && !provenNotRun) {
-                q.calls = CALL_TRIES;
+            if (!q.isHarmless() && !provenNotRun) {
+                q.callAttempts = MAX_CALL_ATTEMPTS;
             }
-            (q.workload.poorerValue > 0 ? atCall : callLater).add(q);
+            (q.workload.degradedValue > 0 ? callQueue : callRetries).add(q);
         }
-        settle();
+        applyRules();
     }
 
     /** The caller of a query disconnected. */
-    public void gone(QueryId id) {
-        Query q = live.get(id);
+    public void onCallerDisconnected(QueryId id) {
+        Query q = liveQueries.get(id);
         if (q == null) {
             return;
         }
-        boolean cancel = q.state == RUNNING && q.harmless() && halt != Halt.OFF && !q.answered;
+        boolean cancel = q.state == RUNNING && q.isHarmless() && cancellation != Halt.OFF && !q.answered;
         q.answered = true;
         if (q.state == HELD || q.state == FOLLOWING || q.state == REPLAYING) {
-            over(q);
+            end(q);
         } else if (cancel) {
-            out.stop(id);
+            out.cancel(id);
         }
-        settle();
+        applyRules();
     }
 
     /**
@@ -499,18 +499,18 @@
      * @param timeLeft after which the process ends
      */
     public void drain(long timeLeft) {
-        draining = now;
-        stopBy = now + timeLeft;
-        for (Query q : live.values().stream()
-                .sorted(Comparator.comparingLong(q -> q.order))
+        drainStartedAt = now;
+        stopDeadline = now + timeLeft;
+        for (Query q : liveQueries.values().stream()
+                .sorted(Comparator.comparingLong(q -> q.sequence))
                 .toList()) {
-            q.answerBy = Math.min(q.answerBy, stopBy - round);
-            q.useBy = Math.min(q.useBy, q.answerBy);
-            q.goodBy = Math.min(q.goodBy, q.answerBy);
-            watch(q, q.useBy);
+            q.answerDeadline = Math.min(q.answerDeadline, stopDeadline - pollInterval);
+            q.anyRevenueUntil = Math.min(q.anyRevenueUntil, q.answerDeadline);
+            q.fullRevenueUntil = Math.min(q.fullRevenueUntil, q.answerDeadline);
+            addDeadline(q, q.anyRevenueUntil);
         }
-        out.health(false, true);
-        settle();
+        out.setHealth(false, true);
+        applyRules();
     }
 
     /**
@@ -519,57 +519,57 @@
      * @param coresBusy busy share of the cores, 0 to 1
      * @param runQueue number of runs on the cores or waiting for one
      */
-    public void gauges(double coresBusy, double runQueue) {
+    public void setGauges(double coresBusy, double runQueue) {
         this.coresBusy = coresBusy;
         this.runQueue = runQueue;
-        gaugeDue = true;
+        gaugesPending = true;
     }
 
-    /** A timer set through {@link Outgoing#wake} has expired. */
-    public void timer(TimerId timer) {
-        if (timer.equals(GAUGES)) {
-            out.wake(now + GAUGE_EVERY, GAUGES);
+    /** A timer set through {@link Outgoing#setTimer} has expired. */
+    public void onTimer(TimerId timer) {
+        if (timer.equals(GAUGES_TIMER)) {
+            out.setTimer(now + GAUGE_INTERVAL_TENTHS_MS, GAUGES_TIMER);
         } else {
-            gaugeDue = false;
-            wakeAt = Long.MAX_VALUE;
+            gaugesPending = false;
+            deadlineTimerAt = Long.MAX_VALUE;
         }
-        settle();
+        applyRules();
     }
 
     // ---- refusal: each reading gives a probability for each band of revenue, and the highest of them counts
 
-    private double chanceFor(Query q) {
-        double spare = Math.max(1, q.workload.expected - runTime(q));
-        double wait = (now - q.arrived + waitAhead(q.workload.revenue)) / spare;
-        double surplus = q.tenant == null ? 0 : (1 - surplusWorth) * surplus(q.tenant);
+    private double refusalProbability(Query q) {
+        double spare = Math.max(1, q.workload.expectedTime - estimateRunTime(q));
+        double wait = (now - q.arrivedAt + estimateWait(q.workload.revenue)) / spare;
+        double surplus = q.tenant == null ? 0 : (1 - surplusWeight) * surplusShare(q.tenant);
         // A retry has less time left than a first query. But an idle server must not refuse it, which would cause
         // more retries.
-        double load = Math.min(1, Math.max(dear(), runQueue / cores));
-        double penalty = Math.max(surplus, q.again ? AGAIN_DOWN * manyAgain() * load : 0);
-        return bandChance(revenues.headSet(q.workload.revenue).size() - penalty, wait, q.workload.callsBelow);
+        double load = Math.min(1, Math.max(readingCost(), runQueue / cores));
+        double penalty = Math.max(surplus, q.retry ? RETRY_PENALTY_BANDS * excessRetryShare() * load : 0);
+        return bandRefusalProbability(revenues.headSet(q.workload.revenue).size() - penalty, wait, q.workload.callsStore);
     }
 
     /** The part of a tenant's queries read here that exceeds this server's part of its share by more than chance. */
-    private double surplus(Tenant tenant) {
-        double share = tenant.perSecond() * LATE_SPAN / SECOND * SHARE_SLACK;
-        double maxByChance = share + CHANCE * Math.sqrt(share);
+    private double surplusShare(Tenant tenant) {
+        double share = tenant.quotaPerSecond() * MEASUREMENT_WINDOW_TENTHS_MS / SECOND_TENTHS_MS * TENANT_SHARE_TOLERANCE;
+        double maxByChance = share + CHANCE_DEVIATIONS * Math.sqrt(share);
         return Math.max(0, 1 - maxByChance / Math.max(1, tenant.reads().count(now)));
     }
 
-    private double bandChance(double band, double wait, boolean callsStore) {
+    private double bandRefusalProbability(double band, double wait, boolean callsStore) {
         // A few cores can be full for half a second by chance. Only a run queue above what chance explains is
         // overload.
-        boolean overloaded = runQueue > cores + CHANCE * Math.sqrt(cores);
-        double busy = overloaded ? rise(coresBusy, CPU_CUT, CPU_END, band) : 0;
+        boolean overloaded = runQueue > cores + CHANCE_DEVIATIONS * Math.sqrt(cores);
+        double busy = overloaded ? ramp(coresBusy, BUSY_CORES_REFUSE_FROM, BUSY_CORES_REFUSE_ALL, band) : 0;
         // A slow store delays only the workloads that call it, so the others are not refused for that.
-        double ended = late.count(now) + (callsStore ? lateBelow.count(now) : 0);
-        double lateShare = (late.sum(now) + (callsStore ? lateBelow.sum(now) : 0)) / Math.max(ended, cores);
+        double ended = lateRuns.count(now) + (callsStore ? lateCallingRuns.count(now) : 0);
+        double lateShare = (lateRuns.sum(now) + (callsStore ? lateCallingRuns.sum(now) : 0)) / Math.max(ended, cores);
         return Math.max(
-                rise(wait, WAIT_CUT, WAIT_END, band), Math.max(busy, rise(lateShare, LATE_CUT, LATE_END, band)));
+                ramp(wait, WAIT_SHARE_REFUSE_FROM, WAIT_SHARE_REFUSE_ALL, band), Math.max(busy, ramp(lateShare, LATE_SHARE_REFUSE_FROM, LATE_SHARE_REFUSE_ALL, band)));
     }
 
     /** Rises linearly from 0 to 1 over the band's part of the range between the two bounds. */
-    private double rise(double reading, double from, double all, double band) {
+    private double ramp(double reading, double from, double all, double band) {
         double width = (all - from) / revenues.size();
         return Math.min(1, Math.max(0, (reading - from - band * width) / width));
     }
@@ -579,51 +579,51 @@
      * so that one more would only cost reading. Many refusals here mean the same, for callers that don't mark
      * retries. The advice does harm if only this server is overloaded.
      */
-    private boolean nowhereElse(Query q) {
-        return q.again || manyAgain() > 0 || turned.count(now) > TURNED_MANY * Math.max(cores, tries.count(now));
+    private boolean isFinalRefusal(Query q) {
+        return q.retry || excessRetryShare() > 0 || refusals.count(now) > MAX_USUAL_REFUSAL_SHARE * Math.max(cores, readsAndRetries.count(now));
     }
 
     /** By how much the share of retries exceeds what the trouble of one server alone explains. */
-    private double manyAgain() {
-        return Math.max(0, tries.sum(now) / Math.max(cores, tries.count(now)) - AGAIN_MANY);
+    private double excessRetryShare() {
+        return Math.max(0, readsAndRetries.sum(now) / Math.max(cores, readsAndRetries.count(now)) - MAX_USUAL_RETRY_SHARE);
     }
 
     /**
      * The cost of reading queries, relative to running them. If reading is quick next to a run, a refusal costs
      * little, whereas advising callers to wait costs queries of the highest revenue.
      */
-    private double dear() {
-        return DEAR * unread.mean(now) / Math.max(1, meanRun());
+    private double readingCost() {
+        return UNREAD_TIME_WEIGHT * unreadTimes.mean(now) / Math.max(1, meanRunDuration());
     }
 
-    private long adviceFor() {
-        double refusedShare = turned.count(now) / Math.max((double) cores, tries.count(now));
-        return (long) (keepOffMost * Math.min(1, dear()) * refusedShare);
+    private long adviseRetryAfter() {
+        double refusedShare = refusals.count(now) / Math.max((double) cores, readsAndRetries.count(now));
+        return (long) (maxRetryAfter * Math.min(1, readingCost()) * refusedShare);
     }
 
-    private void readGauges() {
-        gaugeDue = false;
-        if (calls.lately.count(now) > BUCKETS) {
-            callUsual = Math.min(callUsual, calls.lately.mean(now));
+    private void evaluateGauges() {
+        gaugesPending = false;
+        if (callBudget.usualDurations.count(now) > WINDOW_BUCKETS) {
+            usualCallDuration = Math.min(usualCallDuration, callBudget.usualDurations.mean(now));
         }
-        double recent = calls.took.sum(now) / Math.max(CALLS_FEW, calls.took.count(now));
+        double recent = callBudget.recentDurations.sum(now) / Math.max(MIN_CALLS_FOR_MEAN, callBudget.recentDurations.count(now));
         // An overloaded store gets less done, so fewer calls are sent while they take far longer than usual. This
         // also covers a store that is slow for other reasons; it does harm if calls have become longer for good. A
         // share that is used up is taken as a sign of slowness too, since calls may have been slow from the start.
-        boolean usedUp = !atCall.isEmpty() && atCall.peek().workload.poorerValue > 0 && !callFits();
-        callsAllowed = usedUp || recent > CALL_SLOW * callUsual
-                ? Math.max(callsShare * CALLS_LEAST, callsAllowed * CALLS_CUT)
-                : Math.min(callsShare, callsAllowed / CALLS_CUT);
-        if (!hold.isEmpty() && runQueue < cores) {
-            runsAllowed += Math.max(1, cores - runQueue);
-        } else if (runQueue > cores * CROWDED) {
-            runsAllowed -= 1;
+        boolean usedUp = !callQueue.isEmpty() && callQueue.peek().workload.degradedValue > 0 && !fitsNextCall();
+        callLimit = usedUp || recent > SLOW_CALL_RATIO * usualCallDuration
+                ? Math.max(callShare * MIN_CALL_LIMIT_SHARE, callLimit * CALL_LIMIT_DECAY)
+                : Math.min(callShare, callLimit / CALL_LIMIT_DECAY);
+        if (!waitingQueue.isEmpty() && runQueue < cores) {
+            runLimit += Math.max(1, cores - runQueue);
+        } else if (runQueue > cores * MAX_RUN_QUEUE_PER_CORE) {
+            runLimit -= 1;
         }
-        runsAllowed = Math.max(cores, Math.min(runsAllowed, survived()));
-        saySoon();
-        keepIdle();
-        atCall.addAll(callLater);
-        callLater.clear();
+        runLimit = Math.max(cores, Math.min(runLimit, survivableConcurrency()));
+        updateAdvertisedLoad();
+        updateIdleTimeout();
+        callQueue.addAll(callRetries);
+        callRetries.clear();
     }
 
     /**
@@ -631,96 +631,96 @@
      * connections that are not used again; callers that do come back save an opening. This also protects against
      * tables filled by retries; it does harm if opening a connection costs far more than keeping one.
      */
-    private void keepIdle() {
-        long timeout = returns.best(now);
-        if (idleFor != timeout) {
-            idleFor = timeout;
-            out.closeIdle(timeout);
+    private void updateIdleTimeout() {
+        long timeout = idleTimeouts.bestTimeout(now);
+        if (idleTimeout != timeout) {
+            idleTimeout = timeout;
+            out.setIdleTimeout(timeout);
         }
     }
 
     /** Advertises overload to callers, so that they don't send queries that would be refused. */
-    private void saySoon() {
-        double meanRunTime = meanRun();
-        if (said == Said.OFF || meanRunTime <= 0) {
+    private void updateAdvertisedLoad() {
+        double meanRunTime = meanRunDuration();
+        if (loadAdvice == Said.OFF || meanRunTime <= 0) {
             return;
         }
-        double spare = Math.max(1, shortest - meanRunTime);
+        double spare = Math.max(1, minExpectedTime - meanRunTime);
         double load = 0;
         int band = 0;
         for (double revenue : revenues) {
-            load += bandChance(band++, waitAhead(revenue) / spare, true) / revenues.size();
+            load += bandRefusalProbability(band++, estimateWait(revenue) / spare, true) / revenues.size();
         }
-        if (Math.abs(load - saidLast) > SAY_STEP * Math.max(load, saidLast)) {
-            saidLast = load;
-            out.say(load);
+        if (Math.abs(load - lastAdvertisedLoad) > MIN_ADVERTISED_CHANGE * Math.max(load, lastAdvertisedLoad)) {
+            lastAdvertisedLoad = load;
+            out.advertiseLoad(load);
         }
     }
 
     // ---- the incoming query
 
-    private boolean hopeless(Query q) {
-        return q.answerBy <= now || draining >= 0 && q.arrived > draining + grace;
+    private boolean isTooLateToAnswer(Query q) {
+        return q.answerDeadline <= now || drainStartedAt >= 0 && q.arrivedAt > drainStartedAt + drainGrace;
     }
 
-    private boolean fitsHold(Query q) {
-        double entry = q.workload.effect == Effect.STAMPED && q.leader == null ? memory.entry : 0;
-        return memory.used(now) + q.size + entry <= memory.limit * MEMORY_HOLD;
+    private boolean fitsMemoryToAdmit(Query q) {
+        double entry = q.workload.effect == Effect.STAMPED && q.leader == null ? memoryUse.entryKb : 0;
+        return memoryUse.usedKb(now) + q.sizeKb + entry <= memoryUse.limitKb * MAX_MEMORY_SHARE_TO_ADMIT;
     }
 
-    private boolean fitsKey() {
-        return memory.used(now) + memory.entry <= memory.limit * MEMORY_HOLD
-                && memory.kept(now) + memory.entry <= memory.limit * MEMORY_KEYS;
+    private boolean fitsMemoryToRetain() {
+        return memoryUse.usedKb(now) + memoryUse.entryKb <= memoryUse.limitKb * MAX_MEMORY_SHARE_TO_ADMIT
+                && memoryUse.retainedKb(now) + memoryUse.entryKb <= memoryUse.limitKb * MAX_MEMORY_SHARE_TO_RETAIN;
     }
 
-    private boolean fitsRun(Query q) {
-        return q.paused || memory.used(now) + q.size * (memory.runFactor - 1) <= memory.limit * MEMORY_RUN;
+    private boolean fitsMemoryToRun(Query q) {
+        return q.suspended || memoryUse.usedKb(now) + q.sizeKb * (memoryUse.runMemoryFactor - 1) <= memoryUse.limitKb * MAX_MEMORY_SHARE_TO_RUN;
     }
 
-    private boolean coresFree() {
-        return crowd.on < runsAllowed && crowd.all + 1 <= survived() * CROWD_SAFE;
+    private boolean hasFreeCore() {
+        return concurrency.running < runLimit && concurrency.started + 1 <= survivableConcurrency() * MAX_CONCURRENCY_SHARE;
     }
 
     /** A repeat is answered from the query that it repeats, at once or as soon as that query starts. */
-    private void follow() {
-        Query q = fresh;
-        takeFresh(FOLLOWING);
+    private void followLeader() {
+        Query q = incoming;
+        admitIncoming(FOLLOWING);
         if (q.leader.state == HELD || q.leader.state == FOLLOWING) {
             q.leader.followers.add(q);
         } else {
-            reuses.add(q);
+            replayQueue.add(q);
         }
     }
 
-    private void deferFresh(long retryAfter, boolean finalRefusal) {
-        turned.add(now, 1);
-        Query q = fresh;
-        fresh = null;
+    private void deferIncoming(long retryAfter, boolean finalRefusal) {
+        refusals.add(now, 1);
+        Query q = incoming;
+        incoming = null;
         defer(q, retryAfter, finalRefusal);
     }
 
-    private void takeFresh(Query.State state) {
-        Query q = fresh;
-        fresh = null;
-        memory.held += q.size;
+    private void admitIncoming(Query.State state) {
+        Query q = incoming;
+        incoming = null;
+        memoryUse.heldKb += q.sizeKb;
         q.state = state;
-        watch(q, q.useBy);
+        addDeadline(q, q.anyRevenueUntil);
         if (state == FOLLOWING) {
             return;
         }
-        toHold(q);
-        boolean shared = q.harmless() && shareFor > 0 && q.subject != null;
+        enqueue(q);
+        boolean shared = q.isHarmless() && resultShareDuration > 0 && q.subject != null;
         if (q.workload.effect == Effect.STAMPED) {
-            keep(q, q.workload.window);
-        } else if (shared && fitsKey()) {
-            keep(q, q.workload.expected + shareFor);
+            retain(q, q.workload.repeatWindow);
+        } else if (shared && fitsMemoryToRetain()) {
+            retain(q, q.workload.expectedTime + resultShareDuration);
         }
     }
 
-    private void keep(Query q, long duration) {
-        q.kept = true;
-        memory.keep(now, duration);
-        out.keep(q.id, duration);
+    private void retain(Query q, long duration) {
+        q.retained = true;
+        memoryUse.retain(now, duration);
+        out.retain(q.id, duration);
     }
 
     // ---- time left
@@ -729,107 +729,107 @@
      * Mean of the workload's runs and one mean run of all; in proportion to the prediction, if it is below the usual
      * one.
      */
-    private long runTime(Query q) {
+    private long estimateRunTime(Query q) {
         Workload w = q.workload;
-        double mean = (w.runs.sum(now) + meanRun()) / (w.runs.count(now) + 1);
-        double usual = w.predicted.mean(now);
-        return (long) (q.predicted > 0 && usual > 0 ? mean * Math.min(1, q.predicted / usual) : mean);
+        double mean = (w.runDurations.sum(now) + meanRunDuration()) / (w.runDurations.count(now) + 1);
+        double usual = w.predictedRunTimes.mean(now);
+        return (long) (q.predictedRunTime > 0 && usual > 0 ? mean * Math.min(1, q.predictedRunTime / usual) : mean);
     }
 
     /** Mean duration of a run; no less than the mean age of the runs on the cores, so that a stall shows at once. */
-    private long meanRun() {
-        return Math.max((long) runs.mean(now), crowd.meanAge(now));
+    private long meanRunDuration() {
+        return Math.max((long) runDurations.mean(now), concurrency.meanAge(now));
     }
 
     /** Estimated time that an incoming query of this revenue waits for a core. */
-    private long waitAhead(double revenue) {
-        if (hold.isEmpty() && coresFree()) {
+    private long estimateWait(double revenue) {
+        if (waitingQueue.isEmpty() && hasFreeCore()) {
             return 0;
         }
         int ahead = 1;
-        for (Query q : hold) {
+        for (Query q : waitingQueue) {
             ahead += q.workload.revenue >= revenue ? 1 : 0;
         }
         int active = 0;
         for (Workload w : workloads.values()) {
-            active += w.revenue >= revenue ? w.begun : 0;
+            active += w.revenue >= revenue ? w.startedRuns : 0;
         }
-        boolean startsAtOnce = halt == Halt.SUSPEND && ahead + active <= runsAllowed; // the others can be suspended
-        return startsAtOnce ? 0 : (long) (ahead * meanRun() / Math.max(crowd.on, runsAllowed));
+        boolean startsAtOnce = cancellation == Halt.SUSPEND && ahead + active <= runLimit; // the others can be suspended
+        return startsAtOnce ? 0 : (long) (ahead * meanRunDuration() / Math.max(concurrency.running, runLimit));
     }
 
     /**
      * A query that can't be answered in time for its full revenue must not take memory or cores. One query of a
      * workload may try all the same if it need not wait.
      */
-    private boolean tooLate(Query q) {
-        long wait = waitAhead(q.workload.revenue);
-        return now >= q.goodBy || (wait > 0 || q.workload.begun > 0) && now + wait + runTime(q) > q.goodBy;
+    private boolean wouldBeLate(Query q) {
+        long wait = estimateWait(q.workload.revenue);
+        return now >= q.fullRevenueUntil || (wait > 0 || q.workload.startedRuns > 0) && now + wait + estimateRunTime(q) > q.fullRevenueUntil;
     }
 
-    private boolean cannotMake(Query q) {
-        return crowd.all > 0 && now + (long) (NEEDS * runTime(q)) > q.goodBy;
+    private boolean canNoLongerBeInTime(Query q) {
+        return concurrency.started > 0 && now + (long) (MIN_RUN_SHARE_LEFT * estimateRunTime(q)) > q.fullRevenueUntil;
     }
 
     // ---- answers
 
-    private void watch(Query q, long time) {
-        dues.add(new Due(time, order++, q));
+    private void addDeadline(Query q, long time) {
+        deadlines.add(new Due(time, nextSequence++, q));
     }
 
-    private boolean somethingDue() {
-        return !dues.isEmpty()
-                && (dues.peek().at() <= now || !dues.peek().query().open());
+    private boolean isDeadlineDue() {
+        return !deadlines.isEmpty()
+                && (deadlines.peek().dueAt() <= now || !deadlines.peek().query().isPending());
     }
 
-    private void answerDue() {
-        Query q = dues.poll().query();
-        if (!q.open()) {
+    private void handleDeadline() {
+        Query q = deadlines.poll().query();
+        if (!q.isPending()) {
             return;
         }
-        boolean finalDeadline = q.answerBy <= now;
-        boolean canCancel = q.state == AT_CALL || q.harmless() && (q.state != RUNNING || halt != Halt.OFF);
-        if (finalDeadline || canCancel || !q.ran) {
+        boolean finalDeadline = q.answerDeadline <= now;
+        boolean canCancel = q.state == BLOCKED_ON_CALL || q.isHarmless() && (q.state != RUNNING || cancellation != Halt.OFF);
+        if (finalDeadline || canCancel || !q.hasRun) {
             giveUp(q);
         } else {
-            watch(q, q.answerBy);
+            addDeadline(q, q.answerDeadline);
         }
     }
 
     private void giveUp(Query q) {
         Query.State previous = q.state;
-        if (q.ran && !q.harmless() || previous == REPLAYING) {
+        if (q.hasRun && !q.isHarmless() || previous == REPLAYING) {
             q.answered = true;
             out.fail(q.id);
             if (previous == REPLAYING) {
-                over(q);
+                end(q);
             }
         } else {
             defer(q, 0, true);
         }
-        if (previous == RUNNING && q.harmless() && halt != Halt.OFF) {
-            out.stop(q.id);
+        if (previous == RUNNING && q.isHarmless() && cancellation != Halt.OFF) {
+            out.cancel(q.id);
         }
     }
 
     private void defer(Query q, long retryAfter, boolean finalRefusal) {
         q.answered = true;
-        out.defer(q.id, draining >= 0 ? keepOffMost : Math.min(retryAfter, keepOffMost), finalRefusal);
-        if (!q.begun()) {
-            over(q);
+        out.defer(q.id, drainStartedAt >= 0 ? maxRetryAfter : Math.min(retryAfter, maxRetryAfter), finalRefusal);
+        if (!q.isStarted()) {
+            end(q);
         }
     }
 
-    private void over(Query q) {
-        if (hold.remove(q)) {
-            freeHeld(q);
+    private void end(Query q) {
+        if (waitingQueue.remove(q)) {
+            releaseWaitingMemory(q);
         } else if (q.state == FOLLOWING || q.state == REPLAYING) {
-            memory.held -= q.size;
+            memoryUse.heldKb -= q.sizeKb;
         }
-        q.state = OVER;
-        live.remove(q.id);
-        if (q.kept && !q.ran) {
-            out.forget(q.id);
+        q.state = ENDED;
+        liveQueries.remove(q.id);
+        if (q.retained && !q.hasRun) {
+            out.discardRetained(q.id);
         }
         releaseFollowers(q);
     }
@@ -838,16 +838,16 @@
     private void releaseFollowers(Query q) {
         Query successor = null;
         for (Query follower : q.followers) {
-            if (follower.open() && q.ran) {
-                reuses.add(follower);
-            } else if (follower.open() && successor == null) {
+            if (follower.isPending() && q.hasRun) {
+                replayQueue.add(follower);
+            } else if (follower.isPending() && successor == null) {
                 successor = follower;
                 follower.leader = null;
-                toHold(follower);
+                enqueue(follower);
                 if (follower.workload.effect == Effect.STAMPED) {
-                    keep(follower, follower.workload.window);
+                    retain(follower, follower.workload.repeatWindow);
                 }
-            } else if (follower.open()) {
+            } else if (follower.isPending()) {
                 follower.leader = successor;
                 successor.followers.add(follower);
             }
@@ -855,54 +855,54 @@
         q.followers.clear();
     }
 
-    private void toHold(Query q) {
+    private void enqueue(Query q) {
         q.state = HELD;
-        hold.add(q);
+        waitingQueue.add(q);
     }
 
-    private void freeHeld(Query q) {
-        memory.held -= q.paused ? 0 : q.size;
-        memory.running -= q.paused ? q.size * memory.runFactor : 0;
+    private void releaseWaitingMemory(Query q) {
+        memoryUse.heldKb -= q.suspended ? 0 : q.sizeKb;
+        memoryUse.runningKb -= q.suspended ? q.sizeKb * memoryUse.runMemoryFactor : 0;
     }
 
-    private void reuse() {
-        Query q = reuses.poll();
-        if (q.open() && q.state == FOLLOWING) {
+    private void replayNext() {
+        Query q = replayQueue.poll();
+        if (q.isPending() && q.state == FOLLOWING) {
             q.state = REPLAYING;
-            out.reuse(q.id);
+            out.replay(q.id);
         }
     }
 
     // ---- the cores
 
-    private void begin() {
-        Query q = hold.poll();
-        freeHeld(q);
-        memory.running += q.size * memory.runFactor;
-        q.ran = true;
-        q.began = q.paused ? q.began : now;
-        q.onCores = q.paused ? q.onCores : 0;
-        q.paused = false;
+    private void startNext() {
+        Query q = waitingQueue.poll();
+        releaseWaitingMemory(q);
+        memoryUse.runningKb += q.sizeKb * memoryUse.runMemoryFactor;
+        q.hasRun = true;
+        q.startedAt = q.suspended ? q.startedAt : now;
+        q.coreTime = q.suspended ? q.coreTime : 0;
+        q.suspended = false;
         q.state = RUNNING;
-        crowd.all++;
-        q.workload.begun++;
-        crowd.onCores(now, q);
+        concurrency.started++;
+        q.workload.startedRuns++;
+        concurrency.enterCores(now, q);
         out.run(q.id);
         releaseFollowers(q);
     }
 
-    private boolean mayPause() {
-        return halt == Halt.SUSPEND && now >= pauseAgain && !coresFree() && fitsRun(hold.peek());
+    private boolean maySuspend() {
+        return cancellation == Halt.SUSPEND && now >= nextSuspendAt && !hasFreeCore() && fitsMemoryToRun(waitingQueue.peek());
     }
 
     /** The latest run of the lowest revenue, if below that of the first waiting query; else null. */
-    private Query pausable() {
+    private Query suspensionCandidate() {
         Query candidate = null;
-        for (Query q : live.values()) {
-            boolean canSuspend = q.state == RUNNING && q.harmless() && !q.answered;
+        for (Query q : liveQueries.values()) {
+            boolean canSuspend = q.state == RUNNING && q.isHarmless() && !q.answered;
             if (canSuspend
-                    && q.workload.revenue < hold.peek().workload.revenue
-                    && (candidate == null || DEARER.compare(q, candidate) > 0)) {
+                    && q.workload.revenue < waitingQueue.peek().workload.revenue
+                    && (candidate == null || BY_REVENUE_THEN_ORDER.compare(q, candidate) > 0)) {
                 candidate = q;
             }
         }
@@ -910,47 +910,47 @@
     }
 
     /** The kernel does not report a suspension that did not take place, so it is asked for again after a while. */
-    private void pause(Query q) {
-        pauseAgain = now + GAUGE_EVERY;
-        out.stop(q.id);
+    private void suspend(Query q) {
+        nextSuspendAt = now + GAUGE_INTERVAL_TENTHS_MS;
+        out.cancel(q.id);
     }
 
-    private void leaveCores(Query q, Outcome outcome, boolean suspended) {
+    private void endRun(Query q, Outcome outcome, boolean suspended) {
         if (q.state == RUNNING) {
-            crowd.offCores(now, q);
+            concurrency.leaveCores(now, q);
         } else if (q.state == CALLING) {
-            calls.ended(now, q, true);
+            callBudget.onCallEnded(now, q, true);
         }
-        crowd.all--;
-        q.workload.begun--;
+        concurrency.started--;
+        q.workload.startedRuns--;
         if (suspended) {
-            q.paused = true;
+            q.suspended = true;
             return;
         }
-        memory.running -= q.size * memory.runFactor;
+        memoryUse.runningKb -= q.sizeKb * memoryUse.runMemoryFactor;
         // A server whose runs fail at once is idle, answers fastest and so attracts queries. A failed run therefore
         // counts like a late one, and does not count for the duration of a run.
-        boolean failed = outcome == Outcome.ERRORED && !q.stood;
+        boolean failed = outcome == Outcome.ERRORED && !q.wasBlocked;
         if (outcome != Outcome.SUPERSEDED && !failed) {
-            runs.add(now, q.onCores);
-            q.workload.runs.add(now, now - q.began);
-            q.workload.predicted.add(now, q.predicted);
+            runDurations.add(now, q.coreTime);
+            q.workload.runDurations.add(now, now - q.startedAt);
+            q.workload.predictedRunTimes.add(now, q.predictedRunTime);
         }
         if (outcome != Outcome.SUPERSEDED) {
-            (q.stood ? lateBelow : late).add(now, failed || now - q.arrived > q.workload.expected ? 1 : 0);
+            (q.wasBlocked ? lateCallingRuns : lateRuns).add(now, failed || now - q.arrivedAt > q.workload.expectedTime ? 1 : 0);
         }
     }
 
-    private void backToHold(Query q) {
-        if (!q.harmless()) {
+    private void requeueCancelled(Query q) {
+        if (!q.isHarmless()) {
             q.answered = true;
             out.fail(q.id);
-            over(q);
+            end(q);
             return;
         }
-        memory.held += q.size;
-        toHold(q);
-        watch(q, q.useBy);
+        memoryUse.heldKb += q.sizeKb;
+        enqueue(q);
+        addDeadline(q, q.anyRevenueUntil);
     }
 
     // ---- calls to the store
@@ -958,52 +958,52 @@
     /**
      * A query that has an effect keeps running when it earns nothing any more, but it does not wait for a call then.
      */
-    private void stand(Query q) {
-        q.state = AT_CALL;
-        if (q.useBy <= now) {
-            watch(q, now);
+    private void blockOnCall(Query q) {
+        q.state = BLOCKED_ON_CALL;
+        if (q.anyRevenueUntil <= now) {
+            addDeadline(q, now);
         }
     }
 
-    private boolean callFails() {
-        Query q = atCall.peek();
+    private boolean isNextCallHopeless() {
+        Query q = callQueue.peek();
         return q != null
-                && (q.state != AT_CALL
+                && (q.state != BLOCKED_ON_CALL
                         || q.answered
-                        || q.calls >= CALL_TRIES
-                        || q.workload.poorerValue > 0 && (q.calls > 0 || callsAllowed < callsShare && !callFits()));
+                        || q.callAttempts >= MAX_CALL_ATTEMPTS
+                        || q.workload.degradedValue > 0 && (q.callAttempts > 0 || callLimit < callShare && !fitsNextCall()));
     }
 
-    private void giveUpCall() {
-        Query q = atCall.poll();
-        if (q.state != AT_CALL || q.answered) {
+    private void giveUpNextCall() {
+        Query q = callQueue.poll();
+        if (q.state != BLOCKED_ON_CALL || q.answered) {
             return;
         }
-        if (q.workload.poorerValue > 0) {
-            poorer(q);
+        if (q.workload.degradedValue > 0) {
+            degrade(q);
         } else {
             q.answered = true;
             out.fail(q.id);
         }
     }
 
-    private void poorer(Query q) {
+    private void degrade(Query q) {
         q.state = RUNNING;
-        crowd.onCores(now, q);
-        out.poorer(q.id);
+        concurrency.enterCores(now, q);
+        out.degrade(q.id);
     }
 
-    private long timeOut(Query q) {
+    private long callTimeout(Query q) {
         // A degraded answer needs time too, and is worth more than a late one.
-        return Math.max(1, q.workload.poorerValue > 0 ? (q.goodBy - now) / 2 : q.useBy - now);
+        return Math.max(1, q.workload.degradedValue > 0 ? (q.fullRevenueUntil - now) / 2 : q.anyRevenueUntil - now);
     }
 
     /**
      * A share of more than one call is cut by the limit on calls in flight; one below that by this factor on call
      * time.
      */
-    private double callPace() {
-        return Math.min(1, callsAllowed) / Math.min(1, callsShare);
+    private double callTimeFactor() {
+        return Math.min(1, callLimit) / Math.min(1, callShare);
     }
 
     /**
@@ -1011,10 +1011,10 @@
      * one used still counts at the store, and is not known here: it may have been all that is safe, spread evenly. So
      * a cold server's share grows over the window, starting with the safety margin that no server uses.
      */
-    private double callRoom() {
-        double passedShare = cold && callSpan > 0 ? (now - born) / (double) callSpan : 1;
-        double usableShare = Math.min(1, passedShare + (1 - BELOW_SAFE) / BELOW_SAFE);
-        return callTime * callPace() * usableShare - calls.taken(now) - calls.linger;
+    private double availableCallTime() {
+        double passedShare = cold && callWindow > 0 ? (now - startedAt) / (double) callWindow : 1;
+        double usableShare = Math.min(1, passedShare + (1 - MAX_CALL_SHARE) / MAX_CALL_SHARE);
+        return callTimeShare * callTimeFactor() * usableShare - callBudget.usedTime(now) - callBudget.linger;
     }
 
     /**
@@ -1022,32 +1022,32 @@
      * time of the whole window. Such a call would never be sent, nor any behind it, so none waits for more than a
      * part of that time.
      */
-    private boolean callFits() {
-        return !atCall.isEmpty()
-                && calls.inHand < Math.max(1, callsAllowed)
-                && Math.min(timeOut(atCall.peek()), callTime * callPace() * CALL_PART) <= callRoom();
+    private boolean fitsNextCall() {
+        return !callQueue.isEmpty()
+                && callBudget.inFlight < Math.max(1, callLimit)
+                && Math.min(callTimeout(callQueue.peek()), callTimeShare * callTimeFactor() * INITIAL_RESERVATION_SHARE) <= availableCallTime();
     }
 
     /**
      * A call that may be repeated reserves only a part, so that a lost reply can't block the share; others reserve
      * all of it.
      */
-    private void call() {
-        Query q = atCall.poll();
-        double available = q.harmless() ? Math.min(callPart, callRoom()) : callRoom();
-        long timeout = (long) Math.max(1, Math.min(timeOut(q), available));
-        q.calls++;
+    private void startNextCall() {
+        Query q = callQueue.poll();
+        double available = q.isHarmless() ? Math.min(callReservation, availableCallTime()) : availableCallTime();
+        long timeout = (long) Math.max(1, Math.min(callTimeout(q), available));
+        q.callAttempts++;
         q.state = CALLING;
-        q.called = now;
-        q.callUntil = now + timeout;
-        calls.begun(q);
+        q.calledAt = now;
+        q.callDeadline = now + timeout;
+        callBudget.onCallStarted(q);
         out.call(q.id, timeout);
     }
 
     // ---- timers
 
-    private void setTimer() {
-        wakeAt = Math.max(now + 1, dues.peek().at());
-        out.wake(wakeAt, DUES);
+    private void setDeadlineTimer() {
+        deadlineTimerAt = Math.max(now + 1, deadlines.peek().dueAt());
+        out.setTimer(deadlineTimerAt, DEADLINE_TIMER);
     }
 }
--- a/core/src/main/java/tallyweir/Memory.java
+++ b/core/src/main/java/tallyweir/Memory.java
@@ -4,31 +4,31 @@
 
 /** Counts the memory, in kilobytes, of held queries, runs and retained results. */
 final class Memory {
-    final double limit;
-    final double runFactor; // memory of a run over the size of its query
-    final double entry; // memory of one retained result
-    double held;
-    double running;
-    private final PriorityQueue<Long> entries = new PriorityQueue<>(); // times at which retained results expire
+    final double limitKb;
+    final double runMemoryFactor; // memory of a run over the size of its query
+    final double entryKb; // memory of one retained result
+    double heldKb;
+    double runningKb;
+    private final PriorityQueue<Long> retainedUntil = new PriorityQueue<>(); // times at which retained results expire
 
     Memory(double limitKb, double runMemoryFactor, double entryKb) {
-        this.limit = limitKb;
-        this.runFactor = runMemoryFactor;
-        this.entry = entryKb;
+        this.limitKb = limitKb;
+        this.runMemoryFactor = runMemoryFactor;
+        this.entryKb = entryKb;
     }
 
-    double used(long now) {
-        return held + running + kept(now);
+    double usedKb(long now) {
+        return heldKb + runningKb + retainedKb(now);
     }
 
-    double kept(long now) {
-        while (!entries.isEmpty() && entries.peek() < now) {
-            entries.poll();
+    double retainedKb(long now) {
+        while (!retainedUntil.isEmpty() && retainedUntil.peek() < now) {
+            retainedUntil.poll();
         }
-        return entries.size() * entry;
+        return retainedUntil.size() * entryKb;
     }
 
-    void keep(long now, long duration) {
-        entries.add(now + duration);
+    void retain(long now, long duration) {
+        retainedUntil.add(now + duration);
     }
 }
--- a/core/src/main/java/tallyweir/Outgoing.java
+++ b/core/src/main/java/tallyweir/Outgoing.java
@@ -10,7 +10,7 @@
  */
 public interface Outgoing {
     /** Returns an implementation that ignores every action, for decisions that are only compared. */
-    static Outgoing nowhere() {
+    static Outgoing ignoring() {
         return (Outgoing) Proxy.newProxyInstance(
                 Outgoing.class.getClassLoader(), new Class<?>[] {Outgoing.class}, (proxy, method, arguments) -> null);
     }
@@ -30,22 +30,22 @@
     void fail(QueryId query);
 
     /** Cancels or suspends a run, as {@link Halt} allows. */
-    void stop(QueryId query);
+    void cancel(QueryId query);
 
     /** Makes the query's call to the store, with this timeout. */
     void call(QueryId query, long timeout);
 
     /** Continues the run without its call, for a degraded answer. */
-    void poorer(QueryId query);
+    void degrade(QueryId query);
 
     /** Retains the query's key and result for this long, so that repeats can be recognized and answered from it. */
-    void keep(QueryId query, long duration);
+    void retain(QueryId query, long duration);
 
     /** Discards what was retained for a query that never ran. */
-    void forget(QueryId query);
+    void discardRetained(QueryId query);
 
     /** Answers the query with the result of the earlier query that it repeats. */
-    void reuse(QueryId query);
+    void replay(QueryId query);
 
     /**
      * Sets the answer to health checks.
@@ -53,14 +53,14 @@
      * @param healthy whether new connections are welcome
      * @param stored passed on as it is by the front; always true today
      */
-    void health(boolean healthy, boolean stored);
+    void setHealth(boolean healthy, boolean stored);
 
     /** Advertises the load to callers: 0 for none, 1 if queries of every revenue are refused. */
-    void say(double load);
+    void advertiseLoad(double load);
 
     /** Sets how long a connection may be idle before it is closed. */
-    void closeIdle(long timeout);
+    void setIdleTimeout(long timeout);
 
     /** Sets a timer; {@link Choice#onTimer} is to be called at that time. */
-    void wake(long at, TimerId timer);
+    void setTimer(long at, TimerId timer);
 }
--- a/core/src/main/java/tallyweir/Query.java
+++ b/core/src/main/java/tallyweir/Query.java
@@ -17,51 +17,51 @@
         /** On the cores. */
         RUNNING,
         /** Blocked until its call to the store can be made. */
-        AT_CALL,
+        BLOCKED_ON_CALL,
         /** Its call to the store is in flight. */
         CALLING,
         /** Ended and removed. */
-        OVER
+        ENDED
     }
 
     QueryId id;
-    long order; // increases with each query and deadline; breaks ties
+    long sequence; // increases with each query and deadline; breaks ties
     Workload workload;
     Tenant tenant;
     SubjectId subject;
-    long arrived; // earlier than the time of reading by the time the query lay unread
-    long answerBy; // the latest time at which an answer still counts
-    long goodBy; // an answer earns its full revenue until then
-    long useBy; // an answer earns nothing from then on
-    double size;
-    boolean again;
-    long predicted; // run time as predicted by the caller; 0 if there is no prediction
+    long arrivedAt; // earlier than the time of reading by the time the query lay unread
+    long answerDeadline; // the latest time at which an answer still counts
+    long fullRevenueUntil; // an answer earns its full revenue until then
+    long anyRevenueUntil; // an answer earns nothing from then on
+    double sizeKb;
+    boolean retry;
+    long predictedRunTime; // run time as predicted by the caller; 0 if there is no prediction
     State state = State.HELD;
     boolean answered; // answered, or its caller disconnected
-    boolean ran; // was started at least once
-    boolean kept; // its key and result are retained
-    boolean paused; // in the waiting queue with its progress and the memory of a run
-    boolean stood; // was blocked on a call at least once
-    long began;
-    long onSince; // when the query would have started, had it stayed on the cores without a break
-    long onCores; // time spent on the cores up to the last break
-    long called;
-    long callUntil;
-    int calls;
+    boolean hasRun; // was started at least once
+    boolean retained; // its key and result are retained
+    boolean suspended; // in the waiting queue with its progress and the memory of a run
+    boolean wasBlocked; // was blocked on a call at least once
+    long startedAt;
+    long coreStartAt; // when the query would have started, had it stayed on the cores without a break
+    long coreTime; // time spent on the cores up to the last break
+    long calledAt;
+    long callDeadline;
+    int callAttempts;
     Query leader; // the query that this one repeats; null if none
     final List<Query> followers = new ArrayList<>(0);
 
-    boolean harmless() {
+    boolean isHarmless() {
         return workload.effect == Effect.HARMLESS;
     }
 
     /** Whether the query is started and not ended, blocked on a call or not. */
-    boolean begun() {
-        return state == State.RUNNING || state == State.AT_CALL || state == State.CALLING;
+    boolean isStarted() {
+        return state == State.RUNNING || state == State.BLOCKED_ON_CALL || state == State.CALLING;
     }
 
     /** Whether the query's caller still waits for an answer. */
-    boolean open() {
-        return state != State.OVER && !answered;
+    boolean isPending() {
+        return state != State.ENDED && !answered;
     }
 }
--- a/core/src/main/java/tallyweir/Returns.java
+++ b/core/src/main/java/tallyweir/Returns.java
@@ -11,9 +11,9 @@
  * connections would have stayed open idle. Times are tenths of a millisecond.
  */
 final class Returns {
-    private final Map<CallerId, Long> last = new LinkedHashMap<>(); // time of the last query; least recent first
-    private final long born;
-    private final long[] spans;
+    private final Map<CallerId, Long> lastReadAt = new LinkedHashMap<>(); // time of the last query; least recent first
+    private final long startedAt;
+    private final long[] timeouts;
     private final Ring[] gains;
 
     /**
@@ -22,8 +22,8 @@
      * @param window over which the gains are summed
      */
     Returns(long startedAt, long[] timeouts, long window, int buckets) {
-        this.born = startedAt;
-        this.spans = timeouts;
+        this.startedAt = startedAt;
+        this.timeouts = timeouts;
         gains = new Ring[timeouts.length];
         for (int i = 0; i < timeouts.length; i++) {
             gains[i] = new Ring(window, buckets);
@@ -35,31 +35,31 @@
      *
      * @param idleCost cost of one idle tenth of a millisecond, in openings
      */
-    void read(long now, CallerId caller, double idleCost) {
-        Long before = last.remove(caller);
-        last.put(caller, now);
+    void onRead(long now, CallerId caller, double idleCost) {
+        Long before = lastReadAt.remove(caller);
+        lastReadAt.put(caller, now);
         // A caller away for longer than the longest timeout is forgotten and counts as never seen. Otherwise callers
         // that always come with new ids would fill the memory.
-        for (Iterator<Long> oldest = last.values().iterator(); now - oldest.next() > spans[0]; ) {
+        for (Iterator<Long> oldest = lastReadAt.values().iterator(); now - oldest.next() > timeouts[0]; ) {
             oldest.remove();
         }
-        long gap = now - (before == null ? born : before);
-        for (int i = 0; i < spans.length; i++) {
-            gains[i].add(now, (before != null && gap <= spans[i] ? 1 : 0) - idleCost * Math.min(gap, spans[i]));
+        long gap = now - (before == null ? startedAt : before);
+        for (int i = 0; i < timeouts.length; i++) {
+            gains[i].add(now, (before != null && gap <= timeouts[i] ? 1 : 0) - idleCost * Math.min(gap, timeouts[i]));
         }
     }
 
     /** Number of callers remembered. */
-    int known() {
-        return last.size();
+    int rememberedCallers() {
+        return lastReadAt.size();
     }
 
     /** Returns the timeout with the greatest gain, or the shortest if none gains anything. */
-    long best(long now) {
-        int best = spans.length - 1;
-        for (int i = spans.length - 2; i >= 0; i--) {
+    long bestTimeout(long now) {
+        int best = timeouts.length - 1;
+        for (int i = timeouts.length - 2; i >= 0; i--) {
             best = gains[i].sum(now) > Math.max(0, gains[best].sum(now)) ? i : best;
         }
-        return spans[best];
+        return timeouts[best];
     }
 }
--- a/core/src/main/java/tallyweir/Tenant.java
+++ b/core/src/main/java/tallyweir/Tenant.java
@@ -6,4 +6,4 @@
  * This server's part of a tenant's quota, in queries per second, and the tenant's queries read here, retries
  * excluded.
  */
-record Tenant(double perSecond, Ring reads) {}
+record Tenant(double quotaPerSecond, Ring reads) {}
--- a/core/src/main/java/tallyweir/Workload.java
+++ b/core/src/main/java/tallyweir/Workload.java
@@ -5,16 +5,16 @@
 /** The settings and measurements of one workload. Times are tenths of a millisecond. */
 final class Workload {
     final Effect effect;
-    final long expected;
-    final long hard;
+    final long expectedTime;
+    final long hardLimit;
     final double revenue;
     final double lateValue; // part of the revenue that an answer past its expected time earns
-    final long window; // in which a repeat of a stamped query must not run again
-    final boolean callsBelow;
-    final double poorerValue; // part of the revenue that a degraded answer earns; 0 if there is none
-    Ring runs;
-    Ring predicted;
-    int begun;
+    final long repeatWindow; // in which a repeat of a stamped query must not run again
+    final boolean callsStore;
+    final double degradedValue; // part of the revenue that a degraded answer earns; 0 if there is none
+    Ring runDurations;
+    Ring predictedRunTimes;
+    int startedRuns;
 
     Workload(
             Effect effect,
@@ -26,18 +26,18 @@
             boolean callsStore,
             double degradedValue) {
         this.effect = effect;
-        this.expected = expectedTime;
-        this.hard = hardLimit;
+        this.expectedTime = expectedTime;
+        this.hardLimit = hardLimit;
         this.revenue = revenue;
         this.lateValue = lateValue;
-        this.window = repeatWindow;
-        this.callsBelow = callsStore;
-        this.poorerValue = degradedValue;
+        this.repeatWindow = repeatWindow;
+        this.callsStore = callsStore;
+        this.degradedValue = degradedValue;
     }
 
     /** Sets the window over which the durations of runs are averaged, both measured and predicted. */
-    void measuredOver(long measurementWindow, int buckets) {
-        runs = new Ring(measurementWindow, buckets);
-        predicted = new Ring(measurementWindow, buckets);
+    void setMeasurementWindow(long measurementWindow, int buckets) {
+        runDurations = new Ring(measurementWindow, buckets);
+        predictedRunTimes = new Ring(measurementWindow, buckets);
     }
 }
--- a/core/src/main/java/tallyweir/ring/Ring.java
+++ b/core/src/main/java/tallyweir/ring/Ring.java
@@ -2,10 +2,10 @@
 
 /** Count and sum of values over a sliding time window, kept in a fixed number of reused buckets. Not thread-safe. */
 public final class Ring {
-    private final long width;
+    private final long bucketWidth;
     private final long[] counts;
     private final double[] sums;
-    private long head;
+    private long currentBucket;
     private long count;
     private double sum;
 
@@ -14,14 +14,14 @@
      * @param buckets into which the window is divided, its resolution
      */
     public Ring(long window, int buckets) {
-        width = Math.max(1, (window + buckets - 1) / buckets);
+        bucketWidth = Math.max(1, (window + buckets - 1) / buckets);
         counts = new long[buckets + 1];
         sums = new double[buckets + 1];
     }
 
     public void add(long now, double value) {
-        turn(now);
-        int index = (int) (head % counts.length);
+        advance(now);
+        int index = (int) (currentBucket % counts.length);
         counts[index]++;
         sums[index] += value;
         count++;
@@ -29,46 +29,46 @@
     }
 
     public long count(long now) {
-        turn(now);
+        advance(now);
         return count;
     }
 
     /** Number of values since a time within the window. The whole bucket that holds that time is counted. */
     public long countSince(long now, long from) {
-        turn(now);
+        advance(now);
         long total = 0;
-        for (long b = Math.max(Math.max(0, from / width), head - counts.length + 1); b <= head; b++) {
+        for (long b = Math.max(Math.max(0, from / bucketWidth), currentBucket - counts.length + 1); b <= currentBucket; b++) {
             total += counts[(int) (b % counts.length)];
         }
         return total;
     }
 
     public double sum(long now) {
-        turn(now);
+        advance(now);
         return sum;
     }
 
     /** Mean over the window; 0 when it is empty. */
     public double mean(long now) {
-        turn(now);
+        advance(now);
         return count > 0 ? sum / count : 0;
     }
 
-    private void turn(long now) {
-        long bucket = now / width;
-        if (bucket <= head) {
+    private void advance(long now) {
+        long bucket = now / bucketWidth;
+        if (bucket <= currentBucket) {
             return;
         }
-        if (bucket - head >= counts.length) {
+        if (bucket - currentBucket >= counts.length) {
             java.util.Arrays.fill(counts, 0);
             java.util.Arrays.fill(sums, 0);
         } else {
-            for (long b = head + 1; b <= bucket; b++) {
+            for (long b = currentBucket + 1; b <= bucket; b++) {
                 counts[(int) (b % counts.length)] = 0;
                 sums[(int) (b % counts.length)] = 0;
             }
         }
-        head = bucket;
+        currentBucket = bucket;
         count = 0;
         sum = 0;
         for (int i = 0; i < counts.length; i++) {
--- a/core/src/main/java/tallyweir/search/Search.java
+++ b/core/src/main/java/tallyweir/search/Search.java
@@ -21,7 +21,7 @@
      * @param quiescentStates in which the system was quiescent
      * @param violations each with the actions that lead to it; empty if there is none
      */
-    public record Seen(long states, long steps, long ends, List<String> wrong) {}
+    public record SearchResult(long states, long steps, long quiescentStates, List<String> violations) {}
 
     private Search() {}
 
@@ -31,7 +31,7 @@
      * @param initial creates the system in its initial state
      * @param maxStates after which the search ends with a violation that says so
      */
-    public static Seen explore(Supplier<? extends World> initial, long maxStates) {
+    public static SearchResult explore(Supplier<? extends World> initial, long maxStates) {
         Set<String> visited = new HashSet<>();
         ArrayDeque<List<String>> frontier = new ArrayDeque<>();
         List<String> violations = new ArrayList<>();
@@ -41,22 +41,22 @@
         long quiescentStates = 0;
         while (!frontier.isEmpty() && violations.isEmpty()) {
             List<String> path = frontier.poll();
-            World before = played(initial, path);
-            List<String> enabled = before.enabled();
-            if (before.rests(enabled)) {
+            World before = replay(initial, path);
+            List<String> enabled = before.enabledActions();
+            if (before.isQuiescent(enabled)) {
                 quiescentStates++;
-                String violation = before.wrongAtRest();
+                String violation = before.quiescentViolation();
                 if (violation != null) {
                     violations.add(violation + ": " + path);
                 }
             }
             for (String action : enabled) {
-                World after = played(initial, path);
-                after.act(action);
+                World after = replay(initial, path);
+                after.perform(action);
                 steps++;
                 List<String> extended = new ArrayList<>(path);
                 extended.add(action);
-                after.wrong().forEach(broken -> violations.add(broken + ": " + extended));
+                after.violations().forEach(broken -> violations.add(broken + ": " + extended));
                 if (visited.add(after.describe())) {
                     frontier.add(extended);
                 }
@@ -65,12 +65,12 @@
                 violations.add("given up after " + maxStates + " states");
             }
         }
-        return new Seen(visited.size(), steps, quiescentStates, violations);
+        return new SearchResult(visited.size(), steps, quiescentStates, violations);
     }
 
-    private static World played(Supplier<? extends World> initial, List<String> path) {
+    private static World replay(Supplier<? extends World> initial, List<String> path) {
         World system = initial.get();
-        path.forEach(system::act);
+        path.forEach(system::perform);
         return system;
     }
 }
--- a/core/src/main/java/tallyweir/search/World.java
+++ b/core/src/main/java/tallyweir/search/World.java
@@ -8,17 +8,17 @@
     String describe();
 
     /** Actions that can happen next. */
-    List<String> enabled();
+    List<String> enabledActions();
 
     /** Carries out one of the enabled actions. */
-    void act(String action);
+    void perform(String action);
 
     /** Whether nothing more would happen without an outside event, given these enabled actions. */
-    boolean rests(List<String> enabled);
+    boolean isQuiescent(List<String> enabled);
 
     /** Violation of a rule that holds only in quiescent states; null if there is none. */
-    String wrongAtRest();
+    String quiescentViolation();
 
     /** Rules violated so far. */
-    List<String> wrong();
+    List<String> violations();
 }
