--- a/core/src/test/java/tallyweir/ColdFleetTest.java
+++ b/core/src/test/java/tallyweir/ColdFleetTest.java
@@ -27,74 +27,74 @@
  */
 class ColdFleetTest {
     // All times are tenths of a millisecond.
-    private static final long TICK = 100;
-    private static final long SPAN = 50_000;
-    private static final long LINGER = 2_000;
+    private static final long TICK_TENTHS_MS = 100;
+    private static final long WINDOW_TENTHS_MS = 50_000;
+    private static final long LINGER_TENTHS_MS = 2_000;
     private static final int CORES = 4;
-    private static final double FALL = 8;
-    private static final double COLD_FROM = 0.25;
-    private static final long COLD_FOR = 100_000;
-    private static final long RUN = 300; // time on the cores before the call, and again after it
+    private static final double COLLAPSE_MULTIPLE = 8;
+    private static final double COLD_START_SHARE = 0.25;
+    private static final long COLD_DURATION_TENTHS_MS = 100_000;
+    private static final long RUN_TENTHS_MS = 300; // time on the cores before the call, and again after it
     private static final WorkloadId CALLS = new WorkloadId("calls");
 
     /** One server with simulated cores and calls in flight. */
-    private static final class Place implements Outgoing {
+    private static final class SimulatedServer implements Outgoing {
         final Choice choice;
-        final long born;
+        final long startedAt;
         final boolean cold;
-        final double callLength;
+        final double callDuration;
         final boolean calls; // else a run spends all its time on the cores
-        final double asked; // queries per tick
+        final double load; // queries per tick
         final Map<QueryId, Long> onCores = new HashMap<>(); // when the query leaves them
-        final Set<QueryId> called = new HashSet<>(); // queries whose call completed
-        final Map<QueryId, long[]> inHand = new HashMap<>(); // time of the reply, deadline
-        final SplittableRandom chance;
+        final Set<QueryId> callCompleted = new HashSet<>(); // queries whose call completed
+        final Map<QueryId, long[]> inFlight = new HashMap<>(); // time of the reply, deadline
+        final SplittableRandom random;
         long now;
-        long last;
+        long lastQueryId;
         int served;
 
-        Place(
+        SimulatedServer(
                 long now,
                 boolean cold,
                 double maxCallsInFlight,
-                double callLength,
+                double callDuration,
                 double load,
                 boolean calls,
-                SplittableRandom chance) {
+                SplittableRandom random) {
             this.calls = calls;
-            this.asked = load;
+            this.load = load;
             this.now = now;
             this.cold = cold;
-            this.callLength = callLength;
-            this.chance = chance;
-            born = cold ? now : now - 600_000;
-            choice = new Choice(this, chance.nextLong(), born);
-            choice.clock(now);
-            choice.machine(CORES, FALL, cold, COLD_FROM, COLD_FOR, Halt.ABORT);
-            choice.memory(1e6, 4, 30);
-            choice.below(maxCallsInFlight, SPAN, LINGER);
-            choice.workload(CALLS, Effect.HARMLESS, 18_000, 46_000, 1, 0, 0, true, 0);
-            choice.duties(50, 10_000, 1);
-            choice.callers(Said.OFF, 0, 10_000);
-            choice.connections(300_000);
+            this.callDuration = callDuration;
+            this.random = random;
+            startedAt = cold ? now : now - 600_000;
+            choice = new Choice(this, random.nextLong(), startedAt);
+            choice.setTime(now);
+            choice.configureMachine(CORES, COLLAPSE_MULTIPLE, cold, COLD_START_SHARE, COLD_DURATION_TENTHS_MS, Halt.ABORT);
+            choice.configureMemory(1e6, 4, 30);
+            choice.configureCalls(maxCallsInFlight, WINDOW_TENTHS_MS, LINGER_TENTHS_MS);
+            choice.addWorkload(CALLS, Effect.HARMLESS, 18_000, 46_000, 1, 0, 0, true, 0);
+            choice.configureAnswers(50, 10_000, 1);
+            choice.configureCallers(Said.OFF, 0, 10_000);
+            choice.configureConnections(300_000);
             choice.start();
         }
 
-        double allowed() {
+        double allowedConcurrency() {
             return CORES
                     * (1
-                            + (FALL - 1)
-                                    * (cold ? Math.min(1, COLD_FROM + (1 - COLD_FROM) * (now - born) / COLD_FOR) : 1));
+                            + (COLLAPSE_MULTIPLE - 1)
+                                    * (cold ? Math.min(1, COLD_START_SHARE + (1 - COLD_START_SHARE) * (now - startedAt) / COLD_DURATION_TENTHS_MS) : 1));
         }
 
         @Override
         public void run(QueryId query) {
-            onCores.put(query, now + (calls ? RUN : (long) (4 * callLength)));
+            onCores.put(query, now + (calls ? RUN_TENTHS_MS : (long) (4 * callDuration)));
         }
 
         @Override
         public void call(QueryId query, long timeOut) {
-            inHand.put(query, new long[] {now + (long) (callLength * (0.5 + chance.nextDouble())), now + timeOut});
+            inFlight.put(query, new long[] {now + (long) (callDuration * (0.5 + random.nextDouble())), now + timeOut});
         }
 
         @Override
@@ -104,89 +104,89 @@
         public void fail(QueryId query) {}
 
         @Override
-        public void stop(QueryId query) {}
+        public void cancel(QueryId query) {}
 
         @Override
-        public void poorer(QueryId query) {}
+        public void degrade(QueryId query) {}
 
         @Override
-        public void keep(QueryId query, long span) {}
+        public void retain(QueryId query, long span) {}
 
         @Override
-        public void forget(QueryId query) {}
+        public void discardRetained(QueryId query) {}
 
         @Override
-        public void reuse(QueryId query) {}
+        public void replay(QueryId query) {}
 
         @Override
-        public void health(boolean good, boolean stored) {}
+        public void setHealth(boolean good, boolean stored) {}
 
         @Override
-        public void say(double value) {}
+        public void advertiseLoad(double value) {}
 
         @Override
-        public void closeIdle(long span) {}
+        public void setIdleTimeout(long span) {}
 
         @Override
-        public void wake(long at, TimerId timer) {}
+        public void setTimer(long at, TimerId timer) {}
 
         void tick(long time, ArrayDeque<Long> lingering) {
             now = time;
-            choice.clock(now);
-            for (double i = chance.nextDouble(); i < asked; i++) {
-                choice.read(new QueryId(++last), null, new CallerId(1), null, CALLS, 1, 0, 0.5, 20_000, false, null, 0);
+            choice.setTime(now);
+            for (double i = random.nextDouble(); i < load; i++) {
+                choice.onQueryRead(new QueryId(++lastQueryId), null, new CallerId(1), null, CALLS, 1, 0, 0.5, 20_000, false, null, 0);
             }
             for (QueryId q : List.copyOf(onCores.keySet())) {
                 if (onCores.get(q) <= now) {
                     onCores.remove(q);
-                    if (!calls || called.remove(q)) {
+                    if (!calls || callCompleted.remove(q)) {
                         served++;
-                        choice.ended(q, Outcome.COMPLETED);
+                        choice.onRunEnded(q, Outcome.COMPLETED);
                     } else {
-                        choice.standsAtCall(q);
+                        choice.onBlockedOnCall(q);
                     }
                 }
             }
-            for (QueryId q : List.copyOf(inHand.keySet())) {
-                long[] call = inHand.get(q);
+            for (QueryId q : List.copyOf(inFlight.keySet())) {
+                long[] call = inFlight.get(q);
                 if (call[0] <= now && call[0] <= call[1]) {
-                    inHand.remove(q);
-                    called.add(q);
-                    onCores.put(q, now + RUN);
-                    choice.callEnded(q, Outcome.COMPLETED, (long) callLength);
+                    inFlight.remove(q);
+                    callCompleted.add(q);
+                    onCores.put(q, now + RUN_TENTHS_MS);
+                    choice.onCallEnded(q, Outcome.COMPLETED, (long) callDuration);
                 } else if (call[1] <= now) {
-                    inHand.remove(q);
-                    lingering.add(now + LINGER);
-                    choice.callEnded(q, Outcome.OVERDUE, call[1] - call[0]);
-                    choice.ended(q, Outcome.RECALLED);
+                    inFlight.remove(q);
+                    lingering.add(now + LINGER_TENTHS_MS);
+                    choice.onCallEnded(q, Outcome.OVERDUE, call[1] - call[0]);
+                    choice.onRunEnded(q, Outcome.RECALLED);
                 }
             }
-            if (now / TICK % 10 == 0) {
+            if (now / TICK_TENTHS_MS % 10 == 0) {
                 // The cores seem free, so as many queries run as the limit allows.
-                choice.gauges(0.5, calls ? onCores.size() : 0);
-                choice.timer(Choice.GAUGES);
+                choice.setGauges(0.5, calls ? onCores.size() : 0);
+                choice.onTimer(Choice.GAUGES_TIMER);
             }
-            choice.timer(new TimerId(2));
+            choice.onTimer(new TimerId(2));
         }
     }
 
     @Property(tries = 24, seed = "20261202", shrinking = ShrinkingMode.OFF)
-    void aFleetThatStartsAnewStaysWithinWhatTheStoreAndEachColdServerSurvive(
+    void restartedFleetStaysWithinLimitsOfStoreAndColdServers(
             @ForAll @IntRange(min = 20, max = 30) int servers,
             @ForAll long seed,
             @ForAll boolean calls,
             @ForAll @LongRange(min = 20, max = 250) long downTicks) {
-        SplittableRandom chance = new SplittableRandom(seed);
-        double callsOut = 0.8 + 4 * chance.nextDouble();
-        double length = 1_000 + 4_000 * chance.nextDouble();
+        SplittableRandom random = new SplittableRandom(seed);
+        double callsOut = 0.8 + 4 * random.nextDouble();
+        double callDuration = 1_000 + 4_000 * random.nextDouble();
         double load = callsOut
-                * TICK
-                / length
-                * (0.8 + 2 * chance.nextDouble()); // from somewhat less to far more than the store may be called for
+                * TICK_TENTHS_MS
+                / callDuration
+                * (0.8 + 2 * random.nextDouble()); // from somewhat less to far more than the store may be called for
         long start = 1_000_000;
-        List<Place> fleet = new ArrayList<>();
+        List<SimulatedServer> fleet = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
-            fleet.add(new Place(start, false, callsOut, length, load, calls, chance.split()));
+            fleet.add(new SimulatedServer(start, false, callsOut, callDuration, load, calls, random.split()));
         }
         ArrayDeque<Long> lingering = new ArrayDeque<>();
         ArrayDeque<Integer> window = new ArrayDeque<>();
@@ -196,47 +196,47 @@
         int served = 0;
         int servedBefore = 0;
         for (int t = 1; t < 2_500; t++) {
-            long now = start + t * TICK;
+            long now = start + t * TICK_TENTHS_MS;
             if (t == 1_000) { // all servers stop; their calls linger at the store
-                fleet.forEach(p -> p.inHand.keySet().forEach(q -> lingering.add(now + LINGER)));
+                fleet.forEach(p -> p.inFlight.keySet().forEach(q -> lingering.add(now + LINGER_TENTHS_MS)));
                 servedBefore = fleet.stream().mapToInt(p -> p.served).sum();
                 fleet.clear();
             }
             if (t == 1_000 + downTicks) {
                 for (int i = 0; i < servers; i++) {
-                    fleet.add(new Place(now, true, callsOut, length, load, calls, chance.split()));
+                    fleet.add(new SimulatedServer(now, true, callsOut, callDuration, load, calls, random.split()));
                 }
             }
-            int inHand = 0;
-            for (Place p : fleet) {
+            int inFlight = 0;
+            for (SimulatedServer p : fleet) {
                 p.tick(now, lingering);
-                inHand += p.inHand.size();
-                maxConcurrencyRatio = Math.max(maxConcurrencyRatio, p.onCores.size() / p.allowed());
+                inFlight += p.inFlight.size();
+                maxConcurrencyRatio = Math.max(maxConcurrencyRatio, p.onCores.size() / p.allowedConcurrency());
             }
             lingering.removeIf(until -> until <= now);
-            inHand += lingering.size();
-            window.add(inHand);
-            callsInWindow += inHand;
-            if (window.size() > SPAN / TICK) {
+            inFlight += lingering.size();
+            window.add(inFlight);
+            callsInWindow += inFlight;
+            if (window.size() > WINDOW_TENTHS_MS / TICK_TENTHS_MS) {
                 callsInWindow -= window.poll();
             }
-            maxCalls = Math.max(maxCalls, callsInWindow * TICK / length);
+            maxCalls = Math.max(maxCalls, callsInWindow * TICK_TENTHS_MS / callDuration);
         }
-        for (Place p : fleet) {
+        for (SimulatedServer p : fleet) {
             served += p.served;
         }
-        double budget = servers * callsOut * SPAN / length;
+        double budget = servers * callsOut * WINDOW_TENTHS_MS / callDuration;
         System.out.printf(
                 "cold fleet: %d servers, down %d ticks, calls in flight %.2f of duration %.0f: max %.0f of %.0f (%.2f), concurrency ratio %.2f, load %.2f, served %d before and %d after%n",
                 servers,
                 downTicks,
                 callsOut,
-                length,
+                callDuration,
                 maxCalls,
                 budget,
                 maxCalls / budget,
                 maxConcurrencyRatio,
-                load * length / TICK / callsOut,
+                load * callDuration / TICK_TENTHS_MS / callsOut,
                 servedBefore,
                 served);
         assertTrue(maxConcurrencyRatio <= 1, "concurrent runs relative to the allowed number: " + maxConcurrencyRatio);
--- a/core/src/test/java/tallyweir/Model.java
+++ b/core/src/test/java/tallyweir/Model.java
@@ -19,98 +19,98 @@
  */
 final class Model implements Outgoing {
     static final int CORES = 4;
-    static final double FALL = 6;
-    static final double COLD_FROM = 0.25;
-    static final long COLD_FOR = 100_000;
+    static final double COLLAPSE_MULTIPLE = 6;
+    static final double COLD_START_SHARE = 0.25;
+    static final long COLD_DURATION_TENTHS_MS = 100_000;
     static final double LIMIT_KB = 4_000;
-    static final double FACTOR = 8;
+    static final double RUN_MEMORY_FACTOR = 8;
     static final double ENTRY_KB = 40;
-    static final long SPAN = 50_000;
-    static final long LINGER = 2_000;
-    static final long ROUND = 50;
-    static final long SLACK = 600;
-    static final long GRACE = 20_000;
-    static final long WINDOW = 60_000;
-    static final long HARD = 40_000;
-    static final String[] NAMES = {"look", "stamp", "once", "top"};
-
-    static final class Seen {
+    static final long CALL_WINDOW_TENTHS_MS = 50_000;
+    static final long LINGER_TENTHS_MS = 2_000;
+    static final long POLL_INTERVAL_TENTHS_MS = 50;
+    static final long ANSWER_SLACK_TENTHS_MS = 600;
+    static final long DRAIN_GRACE_TENTHS_MS = 20_000;
+    static final long REPEAT_WINDOW_TENTHS_MS = 60_000;
+    static final long HARD_LIMIT_TENTHS_MS = 40_000;
+    static final String[] WORKLOADS = {"look", "stamp", "once", "top"};
+
+    static final class ModelQuery {
         long id;
         String workload;
-        long arrived;
-        long due;
-        double size;
-        Seen earlier;
-        String place = "held";
+        long arrivedAt;
+        long deadline;
+        double sizeKb;
+        ModelQuery earlier;
+        String state = "held";
         boolean answered;
-        boolean ran;
-        boolean paused;
+        boolean hasRun;
+        boolean suspended;
         boolean mayCall = true;
-        long callUntil;
+        long callDeadline;
     }
 
-    final Map<Long, Seen> seen = new LinkedHashMap<>();
-    final List<String> wrong = new ArrayList<>();
+    final Map<Long, ModelQuery> queries = new LinkedHashMap<>();
+    final List<String> violations = new ArrayList<>();
     final List<String> log = new ArrayList<>();
     final TreeMap<Long, List<Long>> timers = new TreeMap<>();
-    final Map<Long, Long> entries = new HashMap<>();
+    final Map<Long, Long> retainedUntil = new HashMap<>();
     // Start, end, query id; the end is MAX_VALUE while the call is in flight.
     final List<long[]> calls = new ArrayList<>();
     final Choice choice;
     final boolean cold;
-    final Halt halt;
-    final Said said;
-    final double callsOut;
+    final Halt cancellation;
+    final Said loadAdvice;
+    final double maxCallsInFlight;
     long now = 1_000_000;
-    long born = now;
-    long drainAt = -1;
-    long stopAt = Long.MAX_VALUE;
-    long ids = 100;
-    long lastKeepOff = -1;
-    boolean lastNowhereElse;
+    long startedAt = now;
+    long drainStartedAt = -1;
+    long stopDeadline = Long.MAX_VALUE;
+    long nextId = 100;
+    long lastRetryAfter = -1;
+    boolean lastFinalRefusal;
     long caller = 1;
 
-    Model(long seed, boolean cold, Halt halt, Said said, double callsOut, long shareFor) {
+    Model(long seed, boolean cold, Halt cancellation, Said loadAdvice, double maxCallsInFlight, long resultShareDuration) {
         this.cold = cold;
-        this.halt = halt;
-        this.said = said;
-        this.callsOut = callsOut;
+        this.cancellation = cancellation;
+        this.loadAdvice = loadAdvice;
+        this.maxCallsInFlight = maxCallsInFlight;
         choice = new Choice(this, seed, now);
-        choice.machine(CORES, FALL, cold, COLD_FROM, COLD_FOR, halt);
-        choice.memory(LIMIT_KB, FACTOR, ENTRY_KB);
-        choice.below(callsOut, SPAN, LINGER);
+        choice.configureMachine(CORES, COLLAPSE_MULTIPLE, cold, COLD_START_SHARE, COLD_DURATION_TENTHS_MS, cancellation);
+        choice.configureMemory(LIMIT_KB, RUN_MEMORY_FACTOR, ENTRY_KB);
+        choice.configureCalls(maxCallsInFlight, CALL_WINDOW_TENTHS_MS, LINGER_TENTHS_MS);
         Effect[] effects = {Effect.HARMLESS, Effect.STAMPED, Effect.ONE_SHOT, Effect.HARMLESS};
-        for (int i = 0; i < NAMES.length; i++) {
-            choice.workload(
-                    new WorkloadId(NAMES[i]),
+        for (int i = 0; i < WORKLOADS.length; i++) {
+            choice.addWorkload(
+                    new WorkloadId(WORKLOADS[i]),
                     effects[i],
                     18_000,
-                    HARD,
+                    HARD_LIMIT_TENTHS_MS,
                     i == 3 ? 10 : 1,
                     i == 2 ? 0.2 : 0,
-                    WINDOW,
+                    REPEAT_WINDOW_TENTHS_MS,
                     i < 3,
                     i == 0 ? 0.5 : 0);
         }
-        choice.tenant(new TenantId("a"), 40, 4);
-        choice.duties(ROUND, GRACE, 0.05);
-        choice.callers(said, shareFor, 10_000);
-        choice.connections(300_000);
+        choice.addTenant(new TenantId("a"), 40, 4);
+        choice.configureAnswers(POLL_INTERVAL_TENTHS_MS, DRAIN_GRACE_TENTHS_MS, 0.05);
+        choice.configureCallers(loadAdvice, resultShareDuration, 10_000);
+        choice.configureConnections(300_000);
         choice.start();
     }
 
     // ---- events
 
-    Seen read(int workload, long age, long timeout, double size, boolean retry, Seen earlier) {
-        Seen q = new Seen();
-        q.id = ids++;
-        q.workload = NAMES[workload];
-        q.arrived = now - age;
-        q.due = timeout > 0 ? now + timeout : Math.max(now, q.arrived + HARD);
-        q.size = size;
+    ModelQuery read(int workload, long age, long timeout, double size, boolean retry, ModelQuery earlier) {
+        ModelQuery q = new ModelQuery();
+        q.id = nextId++;
+        q.workload = WORKLOADS[workload];
+        q.arrivedAt = now - age;
+        q.deadline = timeout > 0 ? now + timeout : Math.max(now, q.arrivedAt + HARD_LIMIT_TENTHS_MS);
+        q.sizeKb = size;
         q.earlier = earlier;
-        seen.put(q.id, q);
-        choice.read(
+        queries.put(q.id, q);
+        choice.onQueryRead(
                 new QueryId(q.id),
                 earlier == null ? null : new QueryId(earlier.id),
                 new CallerId(caller),
@@ -127,236 +127,236 @@
         return q;
     }
 
-    void settled(Seen q, Outcome outcome) {
-        leave(q, true);
-        q.paused = outcome == Outcome.RECALLED && !q.answered && halt == Halt.SUSPEND;
-        q.place = outcome == Outcome.RECALLED && !q.answered ? "held" : "over";
+    void runEnded(ModelQuery q, Outcome outcome) {
+        endCall(q, true);
+        q.suspended = outcome == Outcome.RECALLED && !q.answered && cancellation == Halt.SUSPEND;
+        q.state = outcome == Outcome.RECALLED && !q.answered ? "held" : "over";
         q.answered |= outcome != Outcome.RECALLED;
-        choice.ended(new QueryId(q.id), outcome);
+        choice.onRunEnded(new QueryId(q.id), outcome);
         check();
     }
 
-    private void leave(Seen q, boolean lingers) {
+    private void endCall(ModelQuery q, boolean lingers) {
         for (long[] c : calls) {
             if (c[2] == q.id && c[1] == Long.MAX_VALUE) {
-                c[1] = now + (lingers ? LINGER : 0);
+                c[1] = now + (lingers ? LINGER_TENTHS_MS : 0);
             }
         }
     }
 
-    void needs(Seen q) {
-        q.place = "blocked";
+    void blockOnCall(ModelQuery q) {
+        q.state = "blocked";
         q.mayCall = true;
-        choice.standsAtCall(new QueryId(q.id));
+        choice.onBlockedOnCall(new QueryId(q.id));
         check();
     }
 
-    void called(Seen q, Outcome outcome) {
-        called(q, outcome, 100);
+    void callEnded(ModelQuery q, Outcome outcome) {
+        callEnded(q, outcome, 100);
     }
 
-    void called(Seen q, Outcome outcome, long duration) {
-        leave(q, outcome == Outcome.OVERDUE || outcome == Outcome.SEVERED);
-        q.place = outcome == Outcome.COMPLETED ? "running" : "blocked";
-        q.mayCall = q.mayCall && (harmless(q) || outcome == Outcome.SATURATED || outcome == Outcome.REFUSED_CONN);
-        choice.callEnded(new QueryId(q.id), outcome, duration);
+    void callEnded(ModelQuery q, Outcome outcome, long duration) {
+        endCall(q, outcome == Outcome.OVERDUE || outcome == Outcome.SEVERED);
+        q.state = outcome == Outcome.COMPLETED ? "running" : "blocked";
+        q.mayCall = q.mayCall && (isHarmless(q) || outcome == Outcome.SATURATED || outcome == Outcome.REFUSED_CONN);
+        choice.onCallEnded(new QueryId(q.id), outcome, duration);
         check();
     }
 
-    void gone(Seen q) {
+    void disconnect(ModelQuery q) {
         q.answered = true;
-        if (q.place.equals("held") || q.place.equals("waiting for replay")) {
-            q.place = "over";
+        if (q.state.equals("held") || q.state.equals("waiting for replay")) {
+            q.state = "over";
         }
-        choice.gone(new QueryId(q.id));
+        choice.onCallerDisconnected(new QueryId(q.id));
         check();
     }
 
     void drain(long timeLeft) {
-        drainAt = now;
-        stopAt = now + timeLeft;
+        drainStartedAt = now;
+        stopDeadline = now + timeLeft;
         choice.drain(timeLeft);
         check();
     }
 
     /** Lets time pass in steps of a round and fires the timers that are due, with these gauges. */
     void pass(long duration, double coresBusy, double runQueue) {
-        for (long end = now + duration; now < end && now < stopAt - ROUND; ) {
-            now = Math.min(end, now + ROUND);
-            choice.clock(now);
+        for (long end = now + duration; now < end && now < stopDeadline - POLL_INTERVAL_TENTHS_MS; ) {
+            now = Math.min(end, now + POLL_INTERVAL_TENTHS_MS);
+            choice.setTime(now);
             while (!timers.isEmpty() && timers.firstKey() <= now) {
                 for (long token : timers.pollFirstEntry().getValue()) {
-                    choice.gauges(coresBusy, runQueue);
-                    choice.timer(new TimerId(token));
+                    choice.setGauges(coresBusy, runQueue);
+                    choice.onTimer(new TimerId(token));
                 }
             }
-            at("calling").stream().filter(q -> q.callUntil <= now).forEach(q -> called(q, Outcome.OVERDUE));
+            inState("calling").stream().filter(q -> q.callDeadline <= now).forEach(q -> callEnded(q, Outcome.OVERDUE));
             check();
         }
     }
 
-    List<Seen> at(String... places) {
-        return seen.values().stream()
-                .filter(q -> List.of(places).contains(q.place))
+    List<ModelQuery> inState(String... states) {
+        return queries.values().stream()
+                .filter(q -> List.of(states).contains(q.state))
                 .toList();
     }
 
-    private static Seen first(Seen q) {
-        return q.earlier == null ? q : first(q.earlier);
+    private static ModelQuery original(ModelQuery q) {
+        return q.earlier == null ? q : original(q.earlier);
     }
 
-    boolean harmless(Seen q) {
+    boolean isHarmless(ModelQuery q) {
         return q.workload.equals("look") || q.workload.equals("top");
     }
 
     // ---- the rules
 
     void check() {
-        double kb = 0;
-        int on = 0;
-        for (Seen q : seen.values()) {
-            boolean started = List.of("running", "blocked", "calling").contains(q.place);
-            kb += started || q.paused && q.place.equals("held") ? q.size * FACTOR : q.place.equals("over") ? 0 : q.size;
-            on += q.place.equals("running") ? 1 : 0;
-            deny(!q.answered && !q.place.equals("over") && now > Math.min(q.due + SLACK, stopAt), "unanswered " + q.id);
+        double usedKb = 0;
+        int running = 0;
+        for (ModelQuery q : queries.values()) {
+            boolean started = List.of("running", "blocked", "calling").contains(q.state);
+            usedKb += started || q.suspended && q.state.equals("held") ? q.sizeKb * RUN_MEMORY_FACTOR : q.state.equals("over") ? 0 : q.sizeKb;
+            running += q.state.equals("running") ? 1 : 0;
+            deny(!q.answered && !q.state.equals("over") && now > Math.min(q.deadline + ANSWER_SLACK_TENTHS_MS, stopDeadline), "unanswered " + q.id);
         }
-        entries.values().removeIf(until -> until < now);
-        deny(kb + entries.size() * ENTRY_KB > LIMIT_KB, "memory limit exceeded");
-        double warm = cold ? COLD_FROM + (1 - COLD_FROM) * Math.min(1, (now - born) / (double) COLD_FOR) : 1;
-        deny(on > CORES * (1 + (FALL - 1) * warm), "too many concurrent runs");
-        double inHand = 0;
+        retainedUntil.values().removeIf(until -> until < now);
+        deny(usedKb + retainedUntil.size() * ENTRY_KB > LIMIT_KB, "memory limit exceeded");
+        double warm = cold ? COLD_START_SHARE + (1 - COLD_START_SHARE) * Math.min(1, (now - startedAt) / (double) COLD_DURATION_TENTHS_MS) : 1;
+        deny(running > CORES * (1 + (COLLAPSE_MULTIPLE - 1) * warm), "too many concurrent runs");
+        double callTime = 0;
         for (long[] c : calls) {
-            inHand += Math.max(0, Math.min(c[1], now) - Math.max(c[0], now - SPAN));
+            callTime += Math.max(0, Math.min(c[1], now) - Math.max(c[0], now - CALL_WINDOW_TENTHS_MS));
         }
-        deny(callsOut > 0 && inHand / SPAN > callsOut, "too many calls in flight");
+        deny(maxCallsInFlight > 0 && callTime / CALL_WINDOW_TENTHS_MS > maxCallsInFlight, "too many calls in flight");
     }
 
     private void deny(boolean violated, String rule) {
         if (violated) {
-            wrong.add(rule + " at " + now);
+            violations.add(rule + " at " + now);
         }
     }
 
-    private Seen known(QueryId id, String action) {
-        Seen q = seen.get(id.value());
+    private ModelQuery logAction(QueryId id, String action) {
+        ModelQuery q = queries.get(id.value());
         log.add(action + " " + id.value());
         deny(q == null, action + " of an unknown query");
         return q;
     }
 
-    private void answer(Seen q, String action) {
+    private void answer(ModelQuery q, String action) {
         deny(q.answered, "second answer by " + action + " for " + q.id);
         q.answered = true;
-        if (q.place.equals("held") || q.place.equals("waiting for replay")) {
-            q.place = "over";
+        if (q.state.equals("held") || q.state.equals("waiting for replay")) {
+            q.state = "over";
         }
     }
 
     @Override
     public void run(QueryId id) {
-        Seen q = known(id, "run");
-        deny(!q.place.equals("held") || q.answered, "run of a query that is not held " + q.id);
-        deny(q.ran && !harmless(q), "second run of a query with an effect " + q.id);
+        ModelQuery q = logAction(id, "run");
+        deny(!q.state.equals("held") || q.answered, "run of a query that is not held " + q.id);
+        deny(q.hasRun && !isHarmless(q), "second run of a query with an effect " + q.id);
         deny(
                 q.workload.equals("stamp")
-                        && seen.values().stream()
+                        && queries.values().stream()
                                 .anyMatch(o ->
-                                        o != q && o.ran && first(o) == first(q) && q.arrived <= o.arrived + WINDOW),
+                                        o != q && o.hasRun && original(o) == original(q) && q.arrivedAt <= o.arrivedAt + REPEAT_WINDOW_TENTHS_MS),
                 "second run within the repeat window " + q.id);
         deny(
-                q.workload.equals("stamp") && entries.getOrDefault(q.id, 0L) < q.arrived + WINDOW,
+                q.workload.equals("stamp") && retainedUntil.getOrDefault(q.id, 0L) < q.arrivedAt + REPEAT_WINDOW_TENTHS_MS,
                 "run of a stamped query that is not retained for its window " + q.id);
-        deny(drainAt >= 0 && q.arrived > drainAt + GRACE, "run after the drain grace " + q.id);
-        q.place = "running";
-        q.ran = true;
+        deny(drainStartedAt >= 0 && q.arrivedAt > drainStartedAt + DRAIN_GRACE_TENTHS_MS, "run after the drain grace " + q.id);
+        q.state = "running";
+        q.hasRun = true;
     }
 
     @Override
     public void defer(QueryId id, long retryAfter, boolean finalRefusal) {
-        Seen q = known(id, "defer");
-        deny(q.ran && !harmless(q), "deferred after it ran " + q.id);
-        lastKeepOff = retryAfter;
-        lastNowhereElse = finalRefusal;
+        ModelQuery q = logAction(id, "defer");
+        deny(q.hasRun && !isHarmless(q), "deferred after it ran " + q.id);
+        lastRetryAfter = retryAfter;
+        lastFinalRefusal = finalRefusal;
         answer(q, "defer");
     }
 
     @Override
     public void fail(QueryId id) {
-        answer(known(id, "fail"), "fail");
+        answer(logAction(id, "fail"), "fail");
     }
 
     @Override
-    public void stop(QueryId id) {
-        Seen q = known(id, "cancel");
-        deny(halt == Halt.OFF, "cancellation on a machine without it");
-        deny(!harmless(q), "cancellation of a query with an effect " + q.id);
+    public void cancel(QueryId id) {
+        ModelQuery q = logAction(id, "cancel");
+        deny(cancellation == Halt.OFF, "cancellation on a machine without it");
+        deny(!isHarmless(q), "cancellation of a query with an effect " + q.id);
     }
 
     @Override
     public void call(QueryId id, long timeout) {
-        Seen q = known(id, "call");
-        deny(!q.place.equals("blocked") || q.answered, "call of a query that is not blocked on one " + q.id);
+        ModelQuery q = logAction(id, "call");
+        deny(!q.state.equals("blocked") || q.answered, "call of a query that is not blocked on one " + q.id);
         deny(!q.mayCall, "repeated call " + q.id);
         q.mayCall = true;
-        q.place = "calling";
-        q.callUntil = now + timeout;
+        q.state = "calling";
+        q.callDeadline = now + timeout;
         calls.add(new long[] {now, Long.MAX_VALUE, q.id});
     }
 
     @Override
-    public void poorer(QueryId id) {
-        Seen q = known(id, "degrade");
+    public void degrade(QueryId id) {
+        ModelQuery q = logAction(id, "degrade");
         deny(
-                !q.workload.equals("look") || !q.place.equals("blocked"),
+                !q.workload.equals("look") || !q.state.equals("blocked"),
                 "degraded answer of a workload or state without one " + q.id);
-        q.place = "running";
+        q.state = "running";
     }
 
     @Override
-    public void keep(QueryId id, long duration) {
-        known(id, "retain");
-        entries.put(id.value(), now + duration);
+    public void retain(QueryId id, long duration) {
+        logAction(id, "retain");
+        retainedUntil.put(id.value(), now + duration);
     }
 
     @Override
-    public void forget(QueryId id) {
-        Seen q = known(id, "forget");
-        deny(q.ran && !harmless(q), "discarded the record of a query that ran " + q.id);
-        entries.remove(id.value());
+    public void discardRetained(QueryId id) {
+        ModelQuery q = logAction(id, "forget");
+        deny(q.hasRun && !isHarmless(q), "discarded the record of a query that ran " + q.id);
+        retainedUntil.remove(id.value());
     }
 
     @Override
-    public void reuse(QueryId id) {
-        Seen q = known(id, "replay");
-        deny(q.earlier == null || q.answered || !q.place.equals("held"), "replay without an earlier query " + q.id);
-        q.place = "waiting for replay";
+    public void replay(QueryId id) {
+        ModelQuery q = logAction(id, "replay");
+        deny(q.earlier == null || q.answered || !q.state.equals("held"), "replay without an earlier query " + q.id);
+        q.state = "waiting for replay";
     }
 
     @Override
-    public void health(boolean healthy, boolean stored) {
+    public void setHealth(boolean healthy, boolean stored) {
         log.add("health " + healthy);
     }
 
     @Override
-    public void say(double load) {
+    public void advertiseLoad(double load) {
         log.add("load " + load);
-        deny(load < 0 || said == Said.OFF, "advertised " + load);
+        deny(load < 0 || loadAdvice == Said.OFF, "advertised " + load);
     }
 
     @Override
-    public void closeIdle(long timeout) {
+    public void setIdleTimeout(long timeout) {
         log.add("idleTimeout " + timeout);
     }
 
     @Override
-    public void wake(long at, TimerId timer) {
+    public void setTimer(long at, TimerId timer) {
         deny(at <= now, "timer that is not in the future");
         timers.computeIfAbsent(at, t -> new ArrayList<>()).add(timer.value());
     }
 
     // ---- FastCGI as a sidecar writes and reads it, after the specification
 
-    record Answered(int id, int end, int status, String headers, String body) {}
+    record FcgiAnswer(int id, int protocolStatus, int status, String headers, String body) {}
 
     static byte[] record(int type, int id, int padding, byte[] content) {
         byte[] r = new byte[8 + content.length + padding];
@@ -415,8 +415,8 @@
                 record(5, id, 0, new byte[0]));
     }
 
-    static List<Answered> answers(byte[] bytes) {
-        List<Answered> all = new ArrayList<>();
+    static List<FcgiAnswer> answers(byte[] bytes) {
+        List<FcgiAnswer> all = new ArrayList<>();
         Map<Integer, String> out = new HashMap<>();
         for (int at = 0; at < bytes.length; ) {
             int id = (bytes[at + 2] & 0xff) << 8 | bytes[at + 3] & 0xff;
@@ -427,7 +427,7 @@
             } else if (bytes[at + 1] == 3) {
                 String text = out.containsKey(id) ? out.remove(id) : "Status: 0\r\n\r\n";
                 int end = text.indexOf("\r\n\r\n");
-                all.add(new Answered(
+                all.add(new FcgiAnswer(
                         id,
                         content.charAt(4),
                         Integer.parseInt(text.substring(8, text.indexOf('\r'))),
--- a/core/src/test/java/tallyweir/RulesTest.java
+++ b/core/src/test/java/tallyweir/RulesTest.java
@@ -11,11 +11,11 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 import net.jqwik.api.ShrinkingMode;
-import tallyweir.Model.Seen;
+import tallyweir.Model.ModelQuery;
 
 /** Generated sequences of events: {@link Choice} must do nothing that the plain model of the rules forbids. */
 class RulesTest {
-    record Step(int kind, int pick, long span, double size) {}
+    record Step(int kind, int index, long duration, double size) {}
 
     @Provide
     Arbitrary<List<Step>> steps() {
@@ -34,65 +34,65 @@
     void keepsTheRules(
             @ForAll("steps") List<Step> steps,
             @ForAll boolean cold,
-            @ForAll Halt halt,
-            @ForAll Said said,
-            @ForAll boolean tightBelow,
-            @ForAll boolean shares,
+            @ForAll Halt cancellation,
+            @ForAll Said loadAdvice,
+            @ForAll boolean smallCallShare,
+            @ForAll boolean sharesResults,
             @ForAll long seed) {
-        Model m = new Model(seed, cold, halt, said, tightBelow ? 0.4 : 6, shares ? 10_000 : 0);
+        Model m = new Model(seed, cold, cancellation, loadAdvice, smallCallShare ? 0.4 : 6, sharesResults ? 10_000 : 0);
         for (Step s : steps) {
             step(m, s);
         }
         m.pass(50_000, 0.5, 2);
-        assertEquals(List.of(), m.wrong);
-        assertTrue(m.seen.values().stream().allMatch(q -> q.answered || q.place.equals("over")));
+        assertEquals(List.of(), m.violations);
+        assertTrue(m.queries.values().stream().allMatch(q -> q.answered || q.state.equals("over")));
     }
 
     private void step(Model m, Step s) {
-        if (m.now >= m.stopAt - Model.ROUND) {
+        if (m.now >= m.stopDeadline - Model.POLL_INTERVAL_TENTHS_MS) {
             return;
         }
         if (s.kind < 35) {
-            Seen earlier = s.pick % 3 == 0 ? forerunner(m, s.pick) : null;
-            int workload = earlier == null ? s.pick % 4 : List.of(Model.NAMES).indexOf(earlier.workload);
-            m.read(workload, s.span, s.pick % 5 == 0 ? 0 : s.span * 12 + 1, s.size, s.pick % 7 == 0, earlier);
+            ModelQuery earlier = s.index % 3 == 0 ? repeatable(m, s.index) : null;
+            int workload = earlier == null ? s.index % 4 : List.of(Model.WORKLOADS).indexOf(earlier.workload);
+            m.read(workload, s.duration, s.index % 5 == 0 ? 0 : s.duration * 12 + 1, s.size, s.index % 7 == 0, earlier);
         } else if (s.kind < 50) {
-            pick(m.at("running"), s)
-                    .ifPresent(q -> m.settled(q, s.pick % 9 == 0 ? Outcome.ERRORED : Outcome.COMPLETED));
+            pick(m.inState("running"), s)
+                    .ifPresent(q -> m.runEnded(q, s.index % 9 == 0 ? Outcome.ERRORED : Outcome.COMPLETED));
         } else if (s.kind < 58) {
-            pick(m.at("running"), s).ifPresent(m::needs);
+            pick(m.inState("running"), s).ifPresent(m::blockOnCall);
         } else if (s.kind < 68) {
-            pick(m.at("calling"), s).ifPresent(q -> m.called(q, Outcome.values()[s.pick % 6]));
+            pick(m.inState("calling"), s).ifPresent(q -> m.callEnded(q, Outcome.values()[s.index % 6]));
         } else if (s.kind < 72) {
-            pick(m.at("blocked", "calling"), s).filter(q -> q.answered).ifPresent(q -> m.settled(q, Outcome.RECALLED));
+            pick(m.inState("blocked", "calling"), s).filter(q -> q.answered).ifPresent(q -> m.runEnded(q, Outcome.RECALLED));
         } else if (s.kind < 75) {
-            pick(m.at("waiting for replay"), s).ifPresent(q -> m.settled(q, Outcome.COMPLETED));
+            pick(m.inState("waiting for replay"), s).ifPresent(q -> m.runEnded(q, Outcome.COMPLETED));
         } else if (s.kind < 78) {
-            pick(m.at("held", "running", "blocked", "calling", "waiting for replay"), s)
+            pick(m.inState("held", "running", "blocked", "calling", "waiting for replay"), s)
                     .filter(q -> !q.answered)
-                    .ifPresent(m::gone);
+                    .ifPresent(m::disconnect);
         } else if (s.kind < 80) {
-            pick(m.at("running"), s)
-                    .filter(q -> m.halt != Halt.OFF && (q.answered || m.harmless(q)))
-                    .ifPresent(q -> m.settled(q, Outcome.RECALLED));
-        } else if (s.kind == 80 && s.pick < 100 && m.drainAt < 0) {
-            m.drain(30_000 + s.span);
+            pick(m.inState("running"), s)
+                    .filter(q -> m.cancellation != Halt.OFF && (q.answered || m.isHarmless(q)))
+                    .ifPresent(q -> m.runEnded(q, Outcome.RECALLED));
+        } else if (s.kind == 80 && s.index < 100 && m.drainStartedAt < 0) {
+            m.drain(30_000 + s.duration);
         } else {
-            m.pass(s.span, s.pick / 999.0, s.pick % 9);
+            m.pass(s.duration, s.index / 999.0, s.index % 9);
         }
     }
 
     /** Only a query that the wire would name as the earlier one: a retained one that is held or has run. */
-    private Seen forerunner(Model m, int pick) {
-        List<Seen> all = m.seen.values().stream()
-                .filter(q -> m.entries.containsKey(q.id) && (q.ran || q.place.equals("held")))
+    private ModelQuery repeatable(Model m, int pick) {
+        List<ModelQuery> all = m.queries.values().stream()
+                .filter(q -> m.retainedUntil.containsKey(q.id) && (q.hasRun || q.state.equals("held")))
                 .toList();
         return all.isEmpty() ? null : all.get(pick % all.size());
     }
 
-    private java.util.Optional<Seen> pick(List<Seen> candidates, Step s) {
+    private java.util.Optional<ModelQuery> pick(List<ModelQuery> candidates, Step s) {
         return candidates.isEmpty()
                 ? java.util.Optional.empty()
-                : java.util.Optional.of(candidates.get(s.pick % candidates.size()));
+                : java.util.Optional.of(candidates.get(s.index % candidates.size()));
     }
 }
--- a/daemon/src/main/java/tallyweir/announce/Report.java
+++ b/daemon/src/main/java/tallyweir/announce/Report.java
@@ -12,7 +12,7 @@
      * @param name this server's name
      * @param accepting whether callers are to be sent to this server
      */
-    public static byte[] of(String name, boolean accepting) {
+    public static byte[] encode(String name, boolean accepting) {
         return ("announce " + name + " " + accepting).getBytes(UTF_8);
     }
 }
--- a/daemon/src/main/java/tallyweir/backend/Answer.java
+++ b/daemon/src/main/java/tallyweir/backend/Answer.java
@@ -15,5 +15,5 @@
     void errored();
 
     /** Answers that the idempotency key belongs to a query with another body. */
-    void otherBody();
+    void bodyMismatch();
 }
--- a/daemon/src/main/java/tallyweir/backend/Backend.java
+++ b/daemon/src/main/java/tallyweir/backend/Backend.java
@@ -24,20 +24,20 @@
     private static final Logger LOG = LoggerFactory.getLogger(Backend.class);
     // The announce service drops a server that is silent for three seconds. At this interval a dozen reports in a row
     // have to be lost for that.
-    private static final long REPORT_EVERY = 2_500;
-    private static final int SOCKETS_STORE = 8; // one in eight sockets is reserved for links to the store
+    private static final long REPORT_INTERVAL_TENTHS_MS = 2_500;
+    private static final int STORE_SOCKETS_DIVISOR = 8; // one in eight sockets is reserved for links to the store
     // Descriptors of the process itself: sixteen for its files, selectors and listener, two for links to the kernel,
     // one
     // each for the reports and the configuration file, and some for connections that are being closed.
-    private static final int SOCKETS_OWN = 24;
-    private static final int SOCKETS_APART =
+    private static final int RESERVED_SOCKETS = 24;
+    private static final int OVERFLOW_CONNECTIONS_DIVISOR =
             8; // one in eight caller connections is accepted only until idle ones have been closed
 
     private final Deadlines deadlines = new Deadlines();
     private final Counters counters = new Counters();
     private final Links links;
     private final String name;
-    private final long stopAfter;
+    private final long stopTimeout;
     private final Queries queries;
     private long now;
 
@@ -57,24 +57,24 @@
         this.links = links;
         this.now = now;
         name = config.name;
-        stopAfter = config.stopAfter;
+        stopTimeout = config.shutdownTimeoutTenthsMs;
         queries = new Queries(
                 links,
                 deadlines,
                 counters,
                 config.settings,
-                connectionLimits(config.sockets),
-                config.sockets / SOCKETS_STORE,
+                connectionLimits(config.maxSockets),
+                config.maxSockets / STORE_SOCKETS_DIVISOR,
                 config.seed,
                 now,
                 resultStore);
-        queries.clock(now, wall);
+        queries.updateClock(now, wall);
     }
 
     /** Connects to the kernel and starts reporting to the announce service. */
     public void start() {
-        guard(() -> queries.kernel().connect());
-        guard(this::report);
+        runGuarded(() -> queries.kernel().connect());
+        runGuarded(this::sendReport);
     }
 
     public Counters counters() {
@@ -87,76 +87,76 @@
      * @param now monotonic time in tenths of a millisecond; an earlier time than before is ignored
      * @param wall Unix time in tenths of a millisecond, rounded up
      */
-    public void clock(long now, long wall) {
+    public void updateClock(long now, long wall) {
         this.now = Math.max(this.now, now);
-        queries.clock(this.now, wall);
+        queries.updateClock(this.now, wall);
         if (queries.fleet() != null) {
-            guard(() -> queries.fleet().clock(this.now));
+            runGuarded(() -> queries.fleet().clock(this.now));
         }
     }
 
     /** When {@link #pass} next has something to do, Long.MAX_VALUE for never. */
-    public long next() {
-        return deadlines.next();
+    public long nextDeadline() {
+        return deadlines.nextAt();
     }
 
     /** Runs all actions whose deadline has passed. */
-    public void pass() {
-        for (Runnable action = deadlines.due(now); action != null; action = deadlines.due(now)) {
-            guard(action);
+    public void runDue() {
+        for (Runnable action = deadlines.pollDue(now); action != null; action = deadlines.pollDue(now)) {
+            runGuarded(action);
         }
     }
 
     /** Maximum number of simultaneous caller connections for a process with this many sockets. */
-    public static int callersMost(int sockets) {
-        return sockets - sockets / SOCKETS_STORE - SOCKETS_OWN;
+    public static int maxCallerConnections(int sockets) {
+        return sockets - sockets / STORE_SOCKETS_DIVISOR - RESERVED_SOCKETS;
     }
 
     private static ConnectionLimits connectionLimits(int sockets) {
-        int max = callersMost(sockets);
-        return new ConnectionLimits(max - max / SOCKETS_APART, max);
+        int max = maxCallerConnections(sockets);
+        return new ConnectionLimits(max - max / OVERFLOW_CONNECTIONS_DIVISOR, max);
     }
 
     /** Registers a new caller connection and returns its slot, or null if there is none left. */
     public ConnectionId accepted() {
-        return queries.connections().accepted();
+        return queries.connections().onAccepted();
     }
 
     /** No more connections can be accepted: callers wait until others have been closed. */
-    public void full() {
-        guard(() -> queries.connections().full());
+    public void connectionLimitReached() {
+        runGuarded(() -> queries.connections().onTableFull());
     }
 
     /** The listener is closed: nobody can connect any more. */
     public void listenerClosed() {
-        guard(() -> queries.connections().leave());
+        runGuarded(() -> queries.connections().closeAllForShutdown());
     }
 
     /** Counts a connection that its peer has reset, or that failed on a read or a write. */
-    public void reset() {
+    public void connectionReset() {
         counters.add(Count.CONNECTIONS_RESET);
     }
 
     /** Counts a connection that was closed because answers its caller didn't read took too much memory. */
-    public void unread() {
+    public void closedWithUnreadAnswers() {
         counters.add(Count.CONNECTIONS_CLOSED_UNREAD);
     }
 
     /** Handles bytes from a caller. */
     public void read(ConnectionId caller, ByteBuffer bytes) {
-        guard(() -> queries.connections().read(caller, bytes));
+        runGuarded(() -> queries.connections().read(caller, bytes));
     }
 
     /** A caller's connection is closed. */
     public void closed(ConnectionId caller) {
-        guard(() -> queries.connections().closed(caller));
+        runGuarded(() -> queries.connections().onClosed(caller));
     }
 
     /** A link to the kernel or the store is open. */
-    public void up(LinkId link) {
-        guard(() -> {
+    public void linkUp(LinkId link) {
+        runGuarded(() -> {
             if (!queries.kernel().up(link)) {
-                queries.store().up(link);
+                queries.store().onLinkUp(link);
             }
         });
     }
@@ -166,17 +166,17 @@
      *
      * @param unwritten whether nothing of the last write to it has left this process
      */
-    public void down(LinkId link, boolean unwritten) {
-        guard(() -> {
+    public void linkDown(LinkId link, boolean unwritten) {
+        runGuarded(() -> {
             if (!queries.kernel().down(link)) {
-                queries.store().down(link, unwritten);
+                queries.store().onLinkDown(link, unwritten);
             }
         });
     }
 
     /** Handles bytes from the kernel or the store. */
     public void read(LinkId link, ByteBuffer bytes) {
-        guard(() -> {
+        runGuarded(() -> {
             if (!queries.kernel().read(link, bytes)) {
                 queries.store().read(link, bytes);
             }
@@ -184,11 +184,11 @@
     }
 
     /** The peers' addresses have changed; links opened from now on use the new ones. */
-    public void moved() {
-        guard(() -> queries.kernel().moved());
-        guard(() -> queries.store().moved());
-        if (queries.announced()) {
-            guard(() -> links.report(Report.of(name, !queries.draining())));
+    public void addressesChanged() {
+        runGuarded(() -> queries.kernel().addressChanged());
+        runGuarded(() -> queries.store().onAddressChanged());
+        if (queries.isAnnounced()) {
+            runGuarded(() -> links.sendReport(Report.encode(name, !queries.isDraining())));
         }
     }
 
@@ -242,25 +242,25 @@
     }
 
     /** Sets the shadow settings, compared beside those in force; null for none. */
-    public void watch(Settings watched) {
-        guard(() -> queries.watch(watched));
+    public void setShadowSettings(Settings watched) {
+        runGuarded(() -> queries.setShadowSettings(watched));
     }
 
     /** Starts the shutdown: pending queries are answered, callers disconnected and the listener closed. */
     public void drain() {
-        guard(() -> queries.drain(stopAfter));
+        runGuarded(() -> queries.drain(stopTimeout));
     }
 
-    private void report() {
-        deadlines.set(now + REPORT_EVERY, this::report);
-        if (queries.announced()) { // a withdrawn server lets its entry at the announce service expire
-            links.report(Report.of(name, !queries.draining()));
+    private void sendReport() {
+        deadlines.set(now + REPORT_INTERVAL_TENTHS_MS, this::sendReport);
+        if (queries.isAnnounced()) { // a withdrawn server lets its entry at the announce service expire
+            links.sendReport(Report.encode(name, !queries.isDraining()));
             counters.add(Count.REPORTS_SENT);
         }
     }
 
     /** Runs one piece of work; an exception in it is logged and counted and doesn't affect the rest. */
-    private void guard(Runnable work) {
+    private void runGuarded(Runnable work) {
         try {
             work.run();
         } catch (RuntimeException | Error e) {
--- a/daemon/src/main/java/tallyweir/backend/ConnectionLimits.java
+++ b/daemon/src/main/java/tallyweir/backend/ConnectionLimits.java
@@ -6,4 +6,4 @@
  * @param usual above this number, each new connection closes another one without a pending answer
  * @param most at this number, no more are accepted and further callers wait in the listener's queue
  */
-record ConnectionLimits(int usual, int most) {}
+record ConnectionLimits(int softLimit, int max) {}
--- a/daemon/src/main/java/tallyweir/backend/Connections.java
+++ b/daemon/src/main/java/tallyweir/backend/Connections.java
@@ -31,36 +31,36 @@
     private static final String RUN_PATH = "/do/";
     private static final String CHECK_PATH = "/check";
     private static final String COUNTERS_PATH = "/counters";
-    private static final double SIZE_MOST = 2_000; // limit of the protocol
-    private static final long HALF_MOST =
+    private static final double MAX_SIZE_KB = 2_000; // limit of the protocol
+    private static final long MAX_HALF_READ_TENTHS_MS =
             20_000; // a silent connection or incomplete request is ended within three seconds
-    private static final int HALVES_MOST = 1_024;
-    private static final long END_AGAIN = 100; // pending input and output are handled before the close
-    private static final long NEWCOMER = 1_000; // 0.1 s, in which the first request may be on its way
-    private static final long LINGER = 10_000; // 1 s: a peer that heeds the half-close does so sooner
-    private static final int LINGERS_APART = 8; // one in so many connections may be draining
-    private static final byte[] NONE = {};
+    private static final int MAX_HALF_READ_REQUESTS = 1_024;
+    private static final long CLOSE_RETRY_INTERVAL_TENTHS_MS = 100; // pending input and output are handled before the close
+    private static final long FIRST_REQUEST_WINDOW_TENTHS_MS = 1_000; // 0.1 s, in which the first request may be on its way
+    private static final long MAX_DRAIN_TENTHS_MS = 10_000; // 1 s: a peer that heeds the half-close does so sooner
+    private static final int DRAINING_DIVISOR = 8; // one in so many connections may be draining
+    private static final byte[] EMPTY_BODY = {};
 
     private final Links links;
     private final Deadlines deadlines;
     private final Counters counters;
     private final Queries queries;
     private final RateLimitedLog warnings;
-    private final RateLimitedLog endings;
+    private final RateLimitedLog unansweredLog;
     private final Slots<Connection> slots = new Slots<>();
     private final ConnectionLimits limits;
-    private final long halfFor;
-    private final long idleMost;
-    private final long longestHard;
+    private final long halfReadTimeout;
+    private final long maxIdleTimeout;
+    private final long maxHardLimit;
     private final Set<String> tenants;
-    private final boolean tellsPatience;
-    private long idleFor;
-    private int halves;
-    private boolean good = true;
-    private boolean back; // the server is withdrawn: new queries are deferred
-    private boolean leaving; // the server shuts down soon: idle connections are closed
-    private Deadlines.Deadline makeRoomAgain; // null while no retry is scheduled
-    private final ArrayDeque<Connection> lingering =
+    private final boolean callersPassTimeout;
+    private long requestedIdleTimeout;
+    private int halfReadCount;
+    private boolean healthy = true;
+    private boolean withdrawn; // the server is withdrawn: new queries are deferred
+    private boolean shuttingDown; // the server shuts down soon: idle connections are closed
+    private Deadlines.Deadline makeRoomRetry; // null while no retry is scheduled
+    private final ArrayDeque<Connection> drainingConnections =
             new ArrayDeque<>(); // half-closed by us and not yet closed by the peer, oldest first
 
     Connections(
@@ -76,28 +76,28 @@
         this.queries = queries;
         this.limits = limits;
         warnings = new RateLimitedLog(Connections.class, queries::now);
-        endings = new RateLimitedLog(Connections.class, queries::now);
-        longestHard = settings.longestHard();
-        halfFor = Math.min(HALF_MOST, Math.max(HALF_MOST / 2, longestHard));
-        idleMost = Math.max(10_000, settings.idleMost());
-        idleFor = idleMost;
+        unansweredLog = new RateLimitedLog(Connections.class, queries::now);
+        maxHardLimit = settings.maxHardLimit();
+        halfReadTimeout = Math.min(MAX_HALF_READ_TENTHS_MS, Math.max(MAX_HALF_READ_TENTHS_MS / 2, maxHardLimit));
+        maxIdleTimeout = Math.max(10_000, settings.maxIdleDuration());
+        requestedIdleTimeout = maxIdleTimeout;
         tenants = settings.tenants();
-        tellsPatience = settings.tellsPatience();
+        callersPassTimeout = settings.passesTimeout();
     }
 
     /** Registers an accepted connection and returns its slot. Above the soft limit, another one is closed to make room. */
-    ConnectionId accepted() {
-        if (slots.size() >= limits.usual()) {
+    ConnectionId onAccepted() {
+        if (slots.size() >= limits.softLimit()) {
             makeRoom();
         }
         counters.add(Count.CONNECTIONS_ACCEPTED);
         Connection c = new Connection();
         c.slot = new ConnectionId(slots.add(c));
-        c.accepted = queries.now();
-        c.idleSince = queries.now();
-        c.rest(halfFor); // the first request is expected within this timeout
-        if (leaving) {
-            deadlines.set(queries.now() + NEWCOMER, c::leave);
+        c.acceptedAt = queries.now();
+        c.idleStartedAt = queries.now();
+        c.setIdleDeadline(halfReadTimeout); // the first request is expected within this timeout
+        if (shuttingDown) {
+            deadlines.set(queries.now() + FIRST_REQUEST_WINDOW_TENTHS_MS, c::closeForShutdown);
         }
         return c.slot;
     }
@@ -108,25 +108,25 @@
      * the maximum number of connections is draining, each further one drops the oldest of them: otherwise a flood of clients
      * that ignore the half-close would keep all others out for the whole drain timeout.
      */
-    void full() {
+    void onTableFull() {
         boolean room = makeRoom();
-        while (room && lingering.size() <= lingersMost()) {
+        while (room && drainingConnections.size() <= maxDraining()) {
             room = makeRoom();
         }
-        if (lingering.size() > lingersMost()) {
-            lingering.peek().drop();
-        } else if (lingering.isEmpty() && slots.all().stream().noneMatch(Connection::owesNothing)) {
+        if (drainingConnections.size() > maxDraining()) {
+            drainingConnections.peek().drop();
+        } else if (drainingConnections.isEmpty() && slots.all().stream().noneMatch(Connection::isOpenWithoutPendingAnswer)) {
             counters.add(Count.CONNECTIONS_WAITED);
-        } else if (lingering.isEmpty() && makeRoomAgain == null) {
-            makeRoomAgain = deadlines.set(queries.now() + END_AGAIN, this::fullAgain);
+        } else if (drainingConnections.isEmpty() && makeRoomRetry == null) {
+            makeRoomRetry = deadlines.set(queries.now() + CLOSE_RETRY_INTERVAL_TENTHS_MS, this::retryMakeRoom);
         }
     }
 
     /** Retries after unwritten answers or unread requests prevented all connections from being closed. */
-    private void fullAgain() {
-        makeRoomAgain = null;
-        if (links.callersWait()) {
-            full();
+    private void retryMakeRoom() {
+        makeRoomRetry = null;
+        if (links.areCallersWaiting()) {
+            onTableFull();
         }
     }
 
@@ -142,10 +142,10 @@
      * Closes each connection as soon as no answer is pending on it; called once the listener is closed. A request that arrives
      * later would be left unread when the process is killed, while a caller that sees the close before sends it elsewhere.
      */
-    void leave() {
-        if (!leaving) {
-            leaving = true;
-            slots.all().forEach(Connection::leave);
+    void closeAllForShutdown() {
+        if (!shuttingDown) {
+            shuttingDown = true;
+            slots.all().forEach(Connection::closeForShutdown);
         }
     }
 
@@ -155,39 +155,39 @@
         if (c == null) {
             return;
         }
-        if (c.closing || c.ending) {
-            c.passOver(bytes);
+        if (c.draining || c.closingWhenAnswered) {
+            c.discard(bytes);
         } else {
             c.read(bytes);
         }
     }
 
     /** A connection is closed on both sides or broken; its slot is free again. */
-    void closed(ConnectionId slot) {
+    void onClosed(ConnectionId slot) {
         Connection c = slots.get(slot.value());
         if (c != null) {
             counters.add(Count.CONNECTIONS_ENDED);
             slots.free(slot.value());
-            c.closed();
+            c.onClosed();
         }
     }
 
     /** Sets the result of health checks, as the decisions ask for it. */
-    void health(boolean good) {
-        this.good = good;
+    void setHealthy(boolean healthy) {
+        this.healthy = healthy;
     }
 
     /** Sets whether the server is withdrawn: while it is, new queries are deferred at once and the health check fails. */
-    void standBack(boolean back) {
-        this.back = back;
+    void setWithdrawn(boolean withdrawn) {
+        this.withdrawn = withdrawn;
     }
 
     /** Sets the idle timeout that the decisions ask for, and applies it to connections that are idle already. */
-    void closeIdle(long timeout) {
-        idleFor = timeout;
+    void setIdleTimeout(long timeout) {
+        requestedIdleTimeout = timeout;
         for (Connection c : slots.all()) {
-            if (c.idle != null && c.used && c.reader.betweenRecords()) {
-                c.idleOver();
+            if (c.idleDeadline != null && c.receivedBytes && c.reader.betweenRecords()) {
+                c.onIdleDeadline();
             }
         }
     }
@@ -197,8 +197,8 @@
      * timeouts that the decisions ask for are less than the duration of a round on a busy core. So no connection is closed
      * within the longest time that a caller waits, nor before the maximum idle timeout while the table is at most half full.
      */
-    private long idleFor() {
-        return slots.size() > limits.usual() / 2 ? Math.max(idleFor, longestHard) : idleMost;
+    private long idleTimeout() {
+        return slots.size() > limits.softLimit() / 2 ? Math.max(requestedIdleTimeout, maxHardLimit) : maxIdleTimeout;
     }
 
     int size() {
@@ -206,21 +206,21 @@
     }
 
     /** The number of connections in each state, by the name of the state. */
-    Map<String, Long> states() {
+    Map<String, Long> countsByState() {
         Map<String, Long> byState = new TreeMap<>();
         slots.all().forEach(c -> byState.merge(c.state(), 1L, Long::sum));
         return byState;
     }
 
-    private int lingersMost() {
-        return limits.usual() / LINGERS_APART;
+    private int maxDraining() {
+        return limits.softLimit() / DRAINING_DIVISOR;
     }
 
     /** Whether a query on this connection would leave none that can be closed to make room, as each has a pending answer. */
-    private boolean isLastWithNothingOwed(Connection c) {
-        return slots.size() >= limits.most()
-                && c.owed.isEmpty()
-                && slots.all().stream().allMatch(other -> other == c || !other.owed.isEmpty());
+    private boolean isLastWithoutPendingAnswer(Connection c) {
+        return slots.size() >= limits.max()
+                && c.pendingAnswers.isEmpty()
+                && slots.all().stream().allMatch(other -> other == c || !other.pendingAnswers.isEmpty());
     }
 
     /**
@@ -232,261 +232,261 @@
      * connections of active callers.
      */
     private boolean makeRoom() {
-        if (lingering.size() > lingersMost()) {
-            lingering.peek().drop();
+        if (drainingConnections.size() > maxDraining()) {
+            drainingConnections.peek().drop();
             return true;
         }
-        List<Connection> quiet = slots.all().stream()
-                .filter(Connection::owesNothing)
-                .sorted((a, b) -> a.before(b) ? -1 : b.before(a) ? 1 : 0)
+        List<Connection> candidates = slots.all().stream()
+                .filter(Connection::isOpenWithoutPendingAnswer)
+                .sorted((a, b) -> a.closesBefore(b) ? -1 : b.closesBefore(a) ? 1 : 0)
                 .toList();
-        boolean newcomers = false;
-        for (Connection c : quiet) {
-            if (c.isNewcomer()) {
-                newcomers = true; // whether it stays silent is known when its window ends
-            } else if (newcomers && c.asked) {
+        boolean newConnections = false;
+        for (Connection c : candidates) {
+            if (c.isNew()) {
+                newConnections = true; // whether it stays silent is known when its window ends
+            } else if (newConnections && c.receivedRequest) {
                 break;
-            } else if (c.closeIdle()) {
+            } else if (c.tryCloseIdle()) {
                 return true;
             }
         }
-        boolean stuck = links.dropStuck();
-        counters.add(Count.CONNECTIONS_CLOSED_STUCK, stuck ? 1 : 0);
-        return stuck;
+        boolean dropped = links.closeStuckCaller();
+        counters.add(Count.CONNECTIONS_CLOSED_STUCK, dropped ? 1 : 0);
+        return dropped;
     }
 
     private final class Connection implements Reader.Sink {
         private final Reader reader = new Reader(this);
-        private final Map<RequestId, Responder> owed = new HashMap<>();
-        private final Map<RequestId, Deadlines.Deadline> half = new HashMap<>();
-        private Deadlines.Deadline idle;
-        private long accepted;
-        private long idleSince;
-        private boolean used; // any bytes
-        private boolean asked; // a complete request
-        private boolean ending; // no longer read; closed once the pending answers are written
-        private boolean closing; // our side is half-closed
-        private boolean passedOver; // bytes arrived after the half-close
-        private Deadlines.Deadline lingers;
+        private final Map<RequestId, Responder> pendingAnswers = new HashMap<>();
+        private final Map<RequestId, Deadlines.Deadline> halfReadDeadlines = new HashMap<>();
+        private Deadlines.Deadline idleDeadline;
+        private long acceptedAt;
+        private long idleStartedAt;
+        private boolean receivedBytes; // any bytes
+        private boolean receivedRequest; // a complete request
+        private boolean closingWhenAnswered; // no longer read; closed once the pending answers are written
+        private boolean draining; // our side is half-closed
+        private boolean discardedBytes; // bytes arrived after the half-close
+        private Deadlines.Deadline drainDeadline;
         private ConnectionId slot;
 
         private String state() {
-            if (closing) {
+            if (draining) {
                 return "lingering";
-            } else if (ending) {
+            } else if (closingWhenAnswered) {
                 return "ending";
-            } else if (!owed.isEmpty()) {
+            } else if (!pendingAnswers.isEmpty()) {
                 return "owed";
-            } else if (reader.open() > 0 || !reader.betweenRecords()) {
+            } else if (reader.openCount() > 0 || !reader.betweenRecords()) {
                 return "half_read";
             }
-            return used ? "resting" : "unused";
+            return receivedBytes ? "resting" : "unused";
         }
 
-        private boolean owesNothing() {
-            return !closing && !ending && owed.isEmpty();
+        private boolean isOpenWithoutPendingAnswer() {
+            return !draining && !closingWhenAnswered && pendingAnswers.isEmpty();
         }
 
-        private boolean isNewcomer() {
-            return !asked && queries.now() - accepted < NEWCOMER;
+        private boolean isNew() {
+            return !receivedRequest && queries.now() - acceptedAt < FIRST_REQUEST_WINDOW_TENTHS_MS;
         }
 
-        private boolean before(Connection o) {
-            return asked != o.asked
-                    ? !asked
-                    : (idle != null) != (o.idle != null) ? idle != null : idleSince < o.idleSince;
+        private boolean closesBefore(Connection other) {
+            return receivedRequest != other.receivedRequest
+                    ? !receivedRequest
+                    : (idleDeadline != null) != (other.idleDeadline != null) ? idleDeadline != null : idleStartedAt < other.idleStartedAt;
         }
 
-        private void rest(long timeout) {
-            deadlines.cancel(idle);
-            idle = deadlines.set(queries.now() + Math.max(0, timeout), this::idleOver);
+        private void setIdleDeadline(long timeout) {
+            deadlines.cancel(idleDeadline);
+            idleDeadline = deadlines.set(queries.now() + Math.max(0, timeout), this::onIdleDeadline);
         }
 
-        private void stir() {
-            deadlines.cancel(idle);
-            idle = null;
+        private void cancelIdleDeadline() {
+            deadlines.cancel(idleDeadline);
+            idleDeadline = null;
         }
 
-        private void restIfIdle() {
-            if (closing || reader.open() > 0) {
+        private void startIdlingIfNoRequestOpen() {
+            if (draining || reader.openCount() > 0) {
                 return;
             }
-            idleSince = queries.now();
+            idleStartedAt = queries.now();
             // An incomplete record gets the timeout of an incomplete request.
-            rest(reader.betweenRecords() ? idleFor() : halfFor);
-            if (links.callersWait()) {
-                full();
+            setIdleDeadline(reader.betweenRecords() ? idleTimeout() : halfReadTimeout);
+            if (links.areCallersWaiting()) {
+                onTableFull();
             }
         }
 
-        private void idleOver() {
-            long left = used && reader.betweenRecords() ? idleSince + idleFor() - queries.now() : 0;
-            if (left > 0) {
-                rest(left);
-            } else if (!closeIdle()) {
-                rest(halfFor); // bytes are waiting to be read or written
+        private void onIdleDeadline() {
+            long remaining = receivedBytes && reader.betweenRecords() ? idleStartedAt + idleTimeout() - queries.now() : 0;
+            if (remaining > 0) {
+                setIdleDeadline(remaining);
+            } else if (!tryCloseIdle()) {
+                setIdleDeadline(halfReadTimeout); // bytes are waiting to be read or written
             }
         }
 
         /** Returns false without closing where bytes are unread or unwritten, which a close now would lose. */
-        private boolean closeIdle() {
-            boolean closed = links.endQuiet(slot);
+        private boolean tryCloseIdle() {
+            boolean closed = links.halfCloseIfQuiet(slot);
             if (closed) {
                 counters.add(Count.CONNECTIONS_CLOSED_IDLE);
-                closes();
+                startDraining();
             }
             return closed;
         }
 
         /** Stops reading, and closes the connection once all pending answers are written. */
-        private void end(Count reason) {
-            if (!ending && !closing) {
-                ending = true;
+        private void closeWhenAnswered(Count reason) {
+            if (!closingWhenAnswered && !draining) {
+                closingWhenAnswered = true;
                 reader.stop();
                 counters.add(reason);
-                closeIfOver();
+                closeIfAnswered();
             }
         }
 
-        private void closeIfOver() {
-            if (ending && !closing && owed.isEmpty()) {
-                closes();
-                links.endCaller(slot);
+        private void closeIfAnswered() {
+            if (closingWhenAnswered && !draining && pendingAnswers.isEmpty()) {
+                startDraining();
+                links.halfCloseCaller(slot);
             }
         }
 
-        private void closes() {
-            closing = true;
-            stir();
-            lingering.add(this);
-            lingers = deadlines.set(queries.now() + LINGER, this::drop);
+        private void startDraining() {
+            draining = true;
+            cancelIdleDeadline();
+            drainingConnections.add(this);
+            drainDeadline = deadlines.set(queries.now() + MAX_DRAIN_TENTHS_MS, this::drop);
         }
 
         /** Closes without waiting for the peer. What it sends is discarded anyway, so the close loses nothing. */
         private void drop() {
-            lingering.remove(this);
-            deadlines.cancel(lingers);
+            drainingConnections.remove(this);
+            deadlines.cancel(drainDeadline);
             counters.add(Count.CONNECTIONS_DROPPED);
-            links.dropCaller(slot);
+            links.closeCaller(slot);
         }
 
         /** Closes an idle connection now; one with a pending answer is closed after that answer. */
-        private void leave() {
-            if (!closing && !ending && owed.isEmpty() && !links.endQuiet(slot)) {
-                deadlines.set(queries.now() + END_AGAIN, this::leave);
-            } else if (!closing && !ending && owed.isEmpty()) {
+        private void closeForShutdown() {
+            if (!draining && !closingWhenAnswered && pendingAnswers.isEmpty() && !links.halfCloseIfQuiet(slot)) {
+                deadlines.set(queries.now() + CLOSE_RETRY_INTERVAL_TENTHS_MS, this::closeForShutdown);
+            } else if (!draining && !closingWhenAnswered && pendingAnswers.isEmpty()) {
                 counters.add(Count.CONNECTIONS_CLOSED_LEAVING);
-                closes();
+                startDraining();
             }
         }
 
         /** Discards bytes that arrive after the half-close; their sender sees the end of the stream. */
-        private void passOver(ByteBuffer bytes) {
-            counters.add(Count.CONNECTIONS_WRITTEN_TO_AFTER_END, passedOver ? 0 : 1);
+        private void discard(ByteBuffer bytes) {
+            counters.add(Count.CONNECTIONS_WRITTEN_TO_AFTER_END, discardedBytes ? 0 : 1);
             counters.add(Count.BYTES_READ_AFTER_END, bytes.remaining());
-            passedOver = true;
+            discardedBytes = true;
         }
 
         private void read(ByteBuffer bytes) {
-            used = true;
-            stir();
+            receivedBytes = true;
+            cancelIdleDeadline();
             reader.read(bytes);
-            restIfIdle();
+            startIdlingIfNoRequestOpen();
         }
 
         /** Cancels everything that waits for this connection: its answers can no longer be delivered. */
-        private void closed() {
-            closing = true;
-            stir();
-            lingering.remove(this);
-            deadlines.cancel(lingers);
-            half.values().forEach(deadlines::cancel);
-            halves -= half.size();
-            half.clear();
-            List<Responder> undeliverable = List.copyOf(owed.values());
-            owed.clear();
-            undeliverable.forEach(responder -> gone(responder, "the connection was closed"));
+        private void onClosed() {
+            draining = true;
+            cancelIdleDeadline();
+            drainingConnections.remove(this);
+            deadlines.cancel(drainDeadline);
+            halfReadDeadlines.values().forEach(deadlines::cancel);
+            halfReadCount -= halfReadDeadlines.size();
+            halfReadDeadlines.clear();
+            List<Responder> undeliverable = List.copyOf(pendingAnswers.values());
+            pendingAnswers.clear();
+            undeliverable.forEach(responder -> onCallerDisconnected(responder, "the connection was closed"));
             if (queries.fleet() != null) {
-                queries.fleet().closed(slot);
+                queries.fleet().onConnectionClosed(slot);
             }
         }
 
         /** Invalidates a responder: the request id may belong to another request by the time the query is done. */
-        private void gone(Responder responder, String reason) {
-            responder.over = true;
-            responder.counted();
-            if (responder.taken != null) {
-                endings.query(responder.taken.job, reason, "a query ends without an answer");
-                queries.gone(responder.taken);
+        private void onCallerDisconnected(Responder responder, String reason) {
+            responder.finished = true;
+            responder.releaseCap();
+            if (responder.query != null) {
+                unansweredLog.query(responder.query.job, reason, "a query ends without an answer");
+                queries.disconnected(responder.query);
             }
         }
 
         private void write(RequestId id, byte[] records, boolean keep) {
-            if (closing) {
+            if (draining) {
                 counters.add(Count.ANSWERS_UNDELIVERABLE);
                 return;
             }
-            owed.remove(id);
-            reader.done(id);
-            links.toCaller(slot, records);
+            pendingAnswers.remove(id);
+            reader.release(id);
+            links.sendToCaller(slot, records);
             if (!keep) {
-                end(Count.CONNECTIONS_CLOSED_ASKED);
-            } else if (ending) {
-                closeIfOver();
-            } else if (leaving && owed.isEmpty()) {
-                deadlines.set(queries.now(), this::leave);
+                closeWhenAnswered(Count.CONNECTIONS_CLOSED_ASKED);
+            } else if (closingWhenAnswered) {
+                closeIfAnswered();
+            } else if (shuttingDown && pendingAnswers.isEmpty()) {
+                deadlines.set(queries.now(), this::closeForShutdown);
             } else {
-                restIfIdle();
+                startIdlingIfNoRequestOpen();
             }
         }
 
-        private void whole(RequestId id) {
-            Deadlines.Deadline timeout = half.remove(id);
+        private void cancelHalfReadDeadline(RequestId id) {
+            Deadlines.Deadline timeout = halfReadDeadlines.remove(id);
             if (timeout != null) {
                 deadlines.cancel(timeout);
-                halves--;
+                halfReadCount--;
             }
         }
 
         @Override
-        public boolean begun(RequestId id) {
-            half.put(id, deadlines.set(queries.now() + halfFor, () -> halfTooLong(id)));
-            halves++;
-            idleSince = queries.now();
-            return halves <= HALVES_MOST;
+        public boolean onBegin(RequestId id) {
+            halfReadDeadlines.put(id, deadlines.set(queries.now() + halfReadTimeout, () -> onHalfReadTimeout(id)));
+            halfReadCount++;
+            idleStartedAt = queries.now();
+            return halfReadCount <= MAX_HALF_READ_REQUESTS;
         }
 
-        private void halfTooLong(RequestId id) {
-            whole(id);
+        private void onHalfReadTimeout(RequestId id) {
+            cancelHalfReadDeadline(id);
             counters.add(Count.QUERIES_HALF);
-            write(id, Records.answer(id, 408, "", NONE), true);
+            write(id, Records.answer(id, 408, "", EMPTY_BODY), true);
         }
 
         @Override
-        public void request(RequestId id, Fields fields, byte[] body, boolean keep) {
-            whole(id);
-            asked = true;
-            String path = fields.text(Fields.PATH);
+        public void onRequest(RequestId id, Fields fields, byte[] body, boolean keep) {
+            cancelHalfReadDeadline(id);
+            receivedRequest = true;
+            String path = fields.string(Fields.PATH);
             if (CHECK_PATH.equals(path)) {
                 counters.add(Count.CHECKS);
-                write(id, Records.answer(id, good && !back && !queries.draining() ? 200 : 503, "", NONE), keep);
+                write(id, Records.answer(id, healthy && !withdrawn && !queries.isDraining() ? 200 : 503, "", EMPTY_BODY), keep);
             } else if (COUNTERS_PATH.equals(path)) {
                 byte[] text = counters.text().getBytes(UTF_8);
                 write(id, Records.answer(id, 200, "Content-Type: text/plain\r\n", text), keep);
             } else {
-                query(id, fields, path == null ? "" : path, body, keep);
+                handleQuery(id, fields, path == null ? "" : path, body, keep);
             }
         }
 
         /** Turns a valid request for a known workload into a query; any other request is answered at once and nothing runs. */
-        private void query(RequestId id, Fields fields, String path, byte[] body, boolean keep) {
+        private void handleQuery(RequestId id, Fields fields, String path, byte[] body, boolean keep) {
             WorkloadId workload = new WorkloadId(path.startsWith(RUN_PATH) ? path.substring(RUN_PATH.length()) : "");
-            if (!queries.knows(workload)) {
-                malformed(id, 404, "no workload at '" + path + "'", keep);
+            if (!queries.isKnownWorkload(workload)) {
+                rejectMalformed(id, 404, "no workload at '" + path + "'", keep);
                 return;
             }
-            if (!"POST".equals(fields.text(Fields.METHOD))) {
-                malformed(id, 405, "the method is not POST", keep);
+            if (!"POST".equals(fields.string(Fields.METHOD))) {
+                rejectMalformed(id, 405, "the method is not POST", keep);
                 return;
             }
             Effect effect = queries.effect(workload);
@@ -500,28 +500,28 @@
             long timeout;
             CallerId caller;
             try {
-                job = new JobId(fields.text(fields.needed(Fields.ID)));
-                tenant = !tenants.isEmpty() ? fields.text(fields.needed(Fields.TENANT)) : null;
-                subject = fields.text(Fields.SUBJECT);
-                key = effect == Effect.STAMPED ? fields.text(fields.needed(Fields.STAMP)) : subject;
-                size = fields.number(Fields.SIZE);
+                job = new JobId(fields.string(fields.requirePresent(Fields.ID)));
+                tenant = !tenants.isEmpty() ? fields.string(fields.requirePresent(Fields.TENANT)) : null;
+                subject = fields.string(Fields.SUBJECT);
+                key = effect == Effect.STAMPED ? fields.string(fields.requirePresent(Fields.IDEMPOTENCY_KEY)) : subject;
+                size = fields.number(Fields.SIZE_KB);
                 rank = fields.number(Fields.RANK);
-                receivedAt = fields.whole(Fields.RECEIVED) * 10;
-                timeout = tellsPatience ? fields.whole(Fields.PATIENCE) * 10 : -1;
-                caller = new CallerId(fields.whole(Fields.CALLER));
-                inRange(Fields.ID, job.value().matches("[0-9a-fA-F]{16}"));
-                inRange(Fields.SIZE, size > 0 && size < SIZE_MOST);
-                inRange(Fields.RANK, rank < 1);
-                inRange(Fields.PATIENCE, timeout <= longestHard);
-                inRange(Fields.RECEIVED, !queries.farAhead(receivedAt));
-                inRange(Fields.TENANT, tenant == null || tenants.contains(tenant));
+                receivedAt = fields.integer(Fields.RECEIVED_AT) * 10;
+                timeout = callersPassTimeout ? fields.integer(Fields.TIMEOUT_MS) * 10 : -1;
+                caller = new CallerId(fields.integer(Fields.CALLER));
+                requireInRange(Fields.ID, job.value().matches("[0-9a-fA-F]{16}"));
+                requireInRange(Fields.SIZE_KB, size > 0 && size < MAX_SIZE_KB);
+                requireInRange(Fields.RANK, rank < 1);
+                requireInRange(Fields.TIMEOUT_MS, timeout <= maxHardLimit);
+                requireInRange(Fields.RECEIVED_AT, !queries.isFarAhead(receivedAt));
+                requireInRange(Fields.TENANT, tenant == null || tenants.contains(tenant));
             } catch (IllegalArgumentException e) {
-                malformed(id, 400, e.getMessage(), keep);
+                rejectMalformed(id, 400, e.getMessage(), keep);
                 return;
             }
             Responder responder = new Responder(this, id, keep);
             FleetMembership fleet = queries.fleet();
-            if (back) {
+            if (withdrawn) {
                 counters.add(Count.STOOD_BACK);
                 responder.deferred(fleet.backOff(), false);
                 return;
@@ -529,15 +529,15 @@
             if (fleet != null && tenant != null) {
                 if (!fleet.enter(slot, new TenantId(tenant))) {
                     counters.add(Count.CAPPED);
-                    responder.deferred(fleet.backOff(), fleet.full(new TenantId(tenant)));
+                    responder.deferred(fleet.backOff(), fleet.isFleetFull(new TenantId(tenant)));
                     return;
                 }
-                responder.counts = new TenantId(tenant);
+                responder.chargedTenant = new TenantId(tenant);
             }
-            boolean last = isLastWithNothingOwed(this);
-            counters.add(Count.QUERIES_ON_LAST_CONNECTION, last ? 1 : 0);
-            owed.put(id, responder);
-            responder.taken = queries.read(
+            boolean isLast = isLastWithoutPendingAnswer(this);
+            counters.add(Count.QUERIES_ON_LAST_CONNECTION, isLast ? 1 : 0);
+            pendingAnswers.put(id, responder);
+            responder.query = queries.accept(
                     responder,
                     job,
                     workload,
@@ -550,69 +550,69 @@
                     size,
                     rank,
                     timeout,
-                    "1".equals(fields.text(Fields.AGAIN)),
-                    last);
+                    "1".equals(fields.string(Fields.RETRY)),
+                    isLast);
         }
 
-        private static void inRange(String field, boolean inRange) {
+        private static void requireInRange(String field, boolean inRange) {
             if (!inRange) {
                 throw new IllegalArgumentException(field + " is out of range");
             }
         }
 
-        private void malformed(RequestId id, int status, String reason, boolean keep) {
+        private void rejectMalformed(RequestId id, int status, String reason, boolean keep) {
             counters.add(Count.QUERIES_MALFORMED);
             warnings.warn("a query was not taken, " + status + ": " + reason);
-            write(id, Records.answer(id, status, "", NONE), keep);
+            write(id, Records.answer(id, status, "", EMPTY_BODY), keep);
         }
 
         @Override
-        public void refused(RequestId id, Reader.Refusal reason, boolean keep) {
-            whole(id);
+        public void onRefused(RequestId id, Reader.Refusal reason, boolean keep) {
+            cancelHalfReadDeadline(id);
             switch (reason) {
                 case OVERLOADED -> write(id, Records.overloaded(id), keep);
                 case ROLE -> write(id, Records.unknownRole(id), keep);
-                case TOO_BIG -> malformed(id, 413, "the request is too big", keep);
-                default -> malformed(id, 400, "the parameters cannot be parsed", keep);
+                case TOO_BIG -> rejectMalformed(id, 413, "the request is too big", keep);
+                default -> rejectMalformed(id, 400, "the parameters cannot be parsed", keep);
             }
         }
 
         @Override
-        public void aborted(RequestId id) {
-            whole(id);
-            Responder responder = owed.remove(id);
+        public void onAbort(RequestId id) {
+            cancelHalfReadDeadline(id);
+            Responder responder = pendingAnswers.remove(id);
             if (responder != null) {
                 counters.add(Count.QUERIES_ABORTED);
-                gone(responder, "the caller aborted the request");
+                onCallerDisconnected(responder, "the caller aborted the request");
             }
-            write(id, Records.ended(id), true);
+            write(id, Records.endWithoutAnswer(id), true);
         }
 
         @Override
-        public void reply(byte[] record) {
-            if (!closing) {
-                links.toCaller(slot, record);
+        public void onManagementReply(byte[] record) {
+            if (!draining) {
+                links.sendToCaller(slot, record);
             }
         }
 
         @Override
-        public void bad(String reason) {
+        public void onInvalidStream(String reason) {
             warnings.warn("a connection is closed: " + reason);
-            end(Count.CONNECTIONS_CLOSED_BAD);
+            closeWhenAnswered(Count.CONNECTIONS_CLOSED_BAD);
         }
     }
 
     /** Sends the one answer to a request of a connection. */
     private final class Responder implements Answer {
-        private final Connection caller;
+        private final Connection connection;
         private final RequestId id;
         private final boolean keep;
-        private InFlight taken;
-        private boolean over;
-        private TenantId counts; // the tenant whose cap is charged until the query ends, or null
+        private InFlight query;
+        private boolean finished;
+        private TenantId chargedTenant; // the tenant whose cap is charged until the query ends, or null
 
-        private Responder(Connection caller, RequestId id, boolean keep) {
-            this.caller = caller;
+        private Responder(Connection connection, RequestId id, boolean keep) {
+            this.connection = connection;
             this.id = id;
             this.keep = keep;
         }
@@ -628,32 +628,32 @@
                     503,
                     (backOff >= 10 ? "Back-Off-Ms: " + backOff / 10 + "\r\n" : "")
                             + (isFinal ? "Final-Refusal: 1\r\n" : ""),
-                    NONE);
+                    EMPTY_BODY);
         }
 
         @Override
         public void errored() {
-            send(500, "", NONE);
+            send(500, "", EMPTY_BODY);
         }
 
         @Override
-        public void otherBody() {
-            send(409, "", NONE);
+        public void bodyMismatch() {
+            send(409, "", EMPTY_BODY);
         }
 
         /** Releases the tenant's cap, as the query is no longer open. */
-        private void counted() {
-            if (counts != null) {
-                queries.fleet().over(caller.slot, counts);
-                counts = null;
+        private void releaseCap() {
+            if (chargedTenant != null) {
+                queries.fleet().onQueryEnded(connection.slot, chargedTenant);
+                chargedTenant = null;
             }
         }
 
         private void send(int status, String headers, byte[] body) {
-            if (!over) {
-                over = true;
-                counted();
-                caller.write(id, Records.answer(id, status, headers, body), keep);
+            if (!finished) {
+                finished = true;
+                releaseCap();
+                connection.write(id, Records.answer(id, status, headers, body), keep);
             }
         }
     }
--- a/daemon/src/main/java/tallyweir/backend/Counters.java
+++ b/daemon/src/main/java/tallyweir/backend/Counters.java
@@ -78,8 +78,8 @@
     }
 
     private final long[] counts = new long[Count.values().length];
-    private final Map<String, IntSupplier> now = new LinkedHashMap<>();
-    private final Map<String, Supplier<Map<String, Long>>> more = new LinkedHashMap<>();
+    private final Map<String, IntSupplier> gauges = new LinkedHashMap<>();
+    private final Map<String, Supplier<Map<String, Long>>> sources = new LinkedHashMap<>();
 
     void add(Count counter) {
         add(counter, 1);
@@ -90,13 +90,13 @@
     }
 
     /** Adds a gauge, which is read whenever the counters are printed; its name gets the prefix "now_". */
-    void now(String name, IntSupplier value) {
-        now.put(name, value);
+    void addGauge(String name, IntSupplier value) {
+        gauges.put(name, value);
     }
 
     /** Adds figures counted elsewhere, on any thread, to be printed after these; their names get the prefix. */
-    public void also(String prefix, Supplier<Map<String, Long>> figures) {
-        more.put(prefix, figures);
+    public void addSource(String prefix, Supplier<Map<String, Long>> figures) {
+        sources.put(prefix, figures);
     }
 
     /** All counters, gauges and added figures, by name, in the order in which they are printed. */
@@ -105,8 +105,8 @@
         for (Count c : Count.values()) {
             all.put(c.name().toLowerCase(Locale.ROOT), counts[c.ordinal()]);
         }
-        now.forEach((name, size) -> all.put("now_" + name, (long) size.getAsInt()));
-        more.forEach((prefix, figures) -> figures.get().forEach((name, number) -> all.put(prefix + name, number)));
+        gauges.forEach((name, size) -> all.put("now_" + name, (long) size.getAsInt()));
+        sources.forEach((prefix, figures) -> figures.get().forEach((name, number) -> all.put(prefix + name, number)));
         return all;
     }
 
--- a/daemon/src/main/java/tallyweir/backend/Deadlines.java
+++ b/daemon/src/main/java/tallyweir/backend/Deadlines.java
@@ -10,49 +10,49 @@
     /** Handle of one scheduled action, for cancelling it. */
     static final class Deadline implements Comparable<Deadline> {
         private final long at;
-        private final long order;
-        private final Runnable then;
+        private final long sequence;
+        private final Runnable action;
 
         private Deadline(long at, long order, Runnable action) {
             this.at = at;
-            this.order = order;
-            this.then = action;
+            this.sequence = order;
+            this.action = action;
         }
 
         @Override
         public int compareTo(Deadline o) {
-            return at != o.at ? Long.compare(at, o.at) : Long.compare(order, o.order);
+            return at != o.at ? Long.compare(at, o.at) : Long.compare(sequence, o.sequence);
         }
     }
 
-    private final TreeSet<Deadline> all = new TreeSet<>();
-    private long order;
+    private final TreeSet<Deadline> deadlines = new TreeSet<>();
+    private long nextSequence;
 
     /** Schedules an action. */
     Deadline set(long at, Runnable action) {
-        Deadline d = new Deadline(at, order++, action);
-        all.add(d);
+        Deadline d = new Deadline(at, nextSequence++, action);
+        deadlines.add(d);
         return d;
     }
 
     /** Cancels a deadline; does nothing if it is null, has been cancelled or has passed. */
     void cancel(Deadline d) {
         if (d != null) {
-            all.remove(d);
+            deadlines.remove(d);
         }
     }
 
     /** Time of the earliest deadline, MAX_VALUE if there is none. */
-    long next() {
-        return all.isEmpty() ? Long.MAX_VALUE : all.first().at;
+    long nextAt() {
+        return deadlines.isEmpty() ? Long.MAX_VALUE : deadlines.first().at;
     }
 
     /** Removes the earliest deadline that has passed and returns its action; null if none has passed. */
-    Runnable due(long now) {
-        return next() <= now ? all.pollFirst().then : null;
+    Runnable pollDue(long now) {
+        return nextAt() <= now ? deadlines.pollFirst().action : null;
     }
 
     int size() {
-        return all.size();
+        return deadlines.size();
     }
 }
--- a/daemon/src/main/java/tallyweir/backend/FleetMembership.java
+++ b/daemon/src/main/java/tallyweir/backend/FleetMembership.java
@@ -27,38 +27,38 @@
  */
 final class FleetMembership implements MemberActions {
     private static final Logger LOG = LoggerFactory.getLogger(FleetMembership.class);
-    private static final long PRESSED = 500; // a tenant that was turned away is reported within this time
-    private static final long BACK_OFF = 2_500; // for callers turned away; leaves time for the answer to that report
-    private static final long BEGUN_SPAN = 600_000;
-    private static final int BEGUN_BUCKETS = 600;
-    private static final int FETCHES_MOST =
+    private static final long URGENT_REPORT_DELAY_TENTHS_MS = 500; // a tenant that was turned away is reported within this time
+    private static final long BACK_OFF_TENTHS_MS = 2_500; // for callers turned away; leaves time for the answer to that report
+    private static final long QUERIES_READ_WINDOW_TENTHS_MS = 600_000;
+    private static final int QUERIES_READ_BUCKETS = 600;
+    private static final int MAX_FETCH_ATTEMPTS =
             5; // of a proposed revision, before this server reports that it cannot use it
-    private static final long FETCH_AGAIN = 2_000;
+    private static final long FETCH_RETRY_INTERVAL_TENTHS_MS = 2_000;
 
     private final Queries queries;
     private final Deadlines deadlines;
     private final FleetClient client;
-    private final String fleet;
-    private final Executor deciding;
+    private final String fleetName;
+    private final Executor decidingExecutor;
     private final Gate gate;
     private final Member member;
-    private final String name;
+    private final String serverName;
     private final RevisionPreparer preparer;
     private final RevisionParts parts;
-    private final Ring begun = new Ring(BEGUN_SPAN, BEGUN_BUCKETS);
-    private final long life; // by the wall clock, so that it is higher for each later process of this server
-    private final boolean whole;
-    private RevisionId checking = RevisionId.NONE; // the proposed revision that is being checked
-    private PreparedRevision checked; // the last one that was checked, null once it is in use
-    private boolean backByFleet;
+    private final Ring queriesRead = new Ring(QUERIES_READ_WINDOW_TENTHS_MS, QUERIES_READ_BUCKETS);
+    private final long processStartedAt; // by the wall clock, so that it is higher for each later process of this server
+    private final boolean pinsRoutes;
+    private RevisionId proposedRevision = RevisionId.NONE; // the proposed revision that is being checked
+    private PreparedRevision checkedRevision; // the last one that was checked, null once it is in use
+    private boolean withdrawnByFleet;
     private boolean leaving;
-    private long newerSince; // when the newer revision came into force, by this server's clock; 0 if there is none
-    private Deadlines.Deadline next;
+    private long newerRevisionAt; // when the newer revision came into force, by this server's clock; 0 if there is none
+    private Deadlines.Deadline nextDeadline;
 
     /**
      * Creates the membership; the server joins the fleet once the clock is set.
      *
-     * @param fleet the name of the fleet
+     * @param fleetName the name of the fleet
      * @param decidingExecutor runs callbacks on the deciding thread
      * @param name the name of this server
      * @param listen the address that this server listens on
@@ -73,30 +73,30 @@
             Links links,
             Deadlines deadlines,
             FleetClient client,
-            String fleet,
+            String fleetName,
             Executor decidingExecutor,
-            String name,
+            String serverName,
             String listen,
             long linger,
             long minRetryInterval,
             boolean withdrawWhenOut,
             long seed,
             long now,
-            long life,
+            long processStartedAt,
             Set<Guard> disabledGuards) {
-        this.life = life;
+        this.processStartedAt = processStartedAt;
         this.queries = queries;
         this.deadlines = deadlines;
         this.client = client;
-        this.fleet = fleet;
-        this.deciding = decidingExecutor;
-        this.name = name;
-        whole = !disabledGuards.contains(Guard.WHOLE);
+        this.fleetName = fleetName;
+        this.decidingExecutor = decidingExecutor;
+        this.serverName = serverName;
+        pinsRoutes = !disabledGuards.contains(Guard.WHOLE);
         gate = new Gate(linger);
         parts = new RevisionParts(queries, links, gate);
-        preparer = new RevisionPreparer(client, this::decide, name, queries.workloads());
+        preparer = new RevisionPreparer(client, this::runOnDecidingThread, serverName, queries.workloads());
         member = new Member(
-                this, gate, new ServerId(name), listen, minRetryInterval, withdrawWhenOut, seed, now, disabledGuards);
+                this, gate, new ServerId(serverName), listen, minRetryInterval, withdrawWhenOut, seed, now, disabledGuards);
     }
 
     /**
@@ -105,20 +105,20 @@
      */
     void clock(long now) {
         member.clock(now);
-        rearm();
+        resetDeadline();
     }
 
-    private void rearm() {
-        deadlines.cancel(next);
-        long at = Math.min(member.next(), gate.next());
-        next = at == Long.MAX_VALUE ? null : deadlines.set(at, () -> clock(queries.now()));
+    private void resetDeadline() {
+        deadlines.cancel(nextDeadline);
+        long dueAt = Math.min(member.nextDeadline(), gate.nextReleaseAt());
+        nextDeadline = dueAt == Long.MAX_VALUE ? null : deadlines.set(dueAt, () -> clock(queries.now()));
     }
 
-    private void decide(Runnable callback) {
-        deciding.execute(() -> {
+    private void runOnDecidingThread(Runnable callback) {
+        decidingExecutor.execute(() -> {
             if (!leaving) {
                 callback.run();
-                rearm();
+                resetDeadline();
             }
         });
     }
@@ -130,58 +130,58 @@
      * fleet soon.
      */
     boolean enter(ConnectionId connection, TenantId tenant) {
-        boolean admitted = gate.enter(connection, tenant);
+        boolean admitted = gate.admit(connection, tenant);
         if (!admitted) {
-            member.stir(PRESSED);
-            rearm();
+            member.requestReportWithin(URGENT_REPORT_DELAY_TENTHS_MS);
+            resetDeadline();
         }
         return admitted;
     }
 
     /** A query that was admitted is answered, or its caller disconnected. */
-    void over(ConnectionId connection, TenantId tenant) {
-        gate.over(connection, tenant);
+    void onQueryEnded(ConnectionId connection, TenantId tenant) {
+        gate.onQueryEnd(connection, tenant);
     }
 
-    void closed(ConnectionId connection) {
-        gate.closed(connection);
+    void onConnectionClosed(ConnectionId connection) {
+        gate.onConnectionClosed(connection);
     }
 
     /** The back-off for callers whose queries are deferred by a cap or a withdrawal. */
     long backOff() {
-        return BACK_OFF;
+        return BACK_OFF_TENTHS_MS;
     }
 
     /** Whether the fleet as a whole has no connections left for a tenant, as far as this server knows. */
-    boolean full(TenantId tenant) {
-        return gate.fleetFull(tenant);
+    boolean isFleetFull(TenantId tenant) {
+        return gate.isFleetFull(tenant);
     }
 
     /** A query was read. Counts those that were still read under the older revision after a newer one came into force. */
-    void begun(long now) {
-        begun.add(now, 1);
+    void onQueryRead(long now) {
+        queriesRead.add(now, 1);
     }
 
     /** Whether a query keeps the store that it was assigned when it was read; false only in checks. */
-    boolean whole() {
-        return whole;
+    boolean pinsRoutes() {
+        return pinsRoutes;
     }
 
     /** Whether this server is withdrawn: it defers new queries and is no longer announced. */
-    boolean standsBack() {
-        return parts.standsBack() || backByFleet;
+    boolean isWithdrawn() {
+        return parts.isWithdrawn() || withdrawnByFleet;
     }
 
     /** The revision in use and whether this server is a member, for the counters. */
     Map<String, Long> counts() {
-        return Map.of("revision", member.acting().value(), "member", member.member() ? 1L : 0L);
+        return Map.of("revision", member.applied().value(), "member", member.isMember() ? 1L : 0L);
     }
 
     /** Leaves the fleet in an orderly way and closes the client; callbacks that arrive later are ignored. */
     void leave() {
         leaving = true;
-        if (member.as() != null) {
-            client.leave(new ServerId(name), member.as());
+        if (member.incarnation() != null) {
+            client.leave(new ServerId(serverName), member.incarnation());
         }
         client.close();
     }
@@ -189,13 +189,13 @@
     // ---- actions of the member
 
     @Override
-    public Ended ended() {
-        return new Ended(queries.ended(), queries.bad());
+    public QueryCounts endedQueries() {
+        return new QueryCounts(queries.finishedCount(), queries.erroredOrLateCount());
     }
 
     @Override
     public void join(ServerId server, String listen) {
-        send(new Command.Join(fleet, server, listen, life));
+        send(new Command.Join(fleetName, server, listen, processStartedAt));
     }
 
     @Override
@@ -204,14 +204,14 @@
     }
 
     private void send(Command command) {
-        client.send(command, this::decide, this::hear, member::failed);
+        client.send(command, this::runOnDecidingThread, this::onAnswer, member::requestFailed);
     }
 
     @Override
     public void check(RevisionRoot revision) {
-        checking = revision.id();
-        checked = null;
-        check(revision, FETCHES_MOST);
+        proposedRevision = revision.id();
+        checkedRevision = null;
+        check(revision, MAX_FETCH_ATTEMPTS);
     }
 
     private void check(RevisionRoot revision, int attemptsLeft) {
@@ -219,16 +219,16 @@
                 queries.routes(),
                 revision,
                 prepared -> {
-                    if (checking.equals(revision.id())) {
-                        checked = prepared;
-                        member.checked(revision.id(), prepared.routes().cannot());
+                    if (proposedRevision.equals(revision.id())) {
+                        checkedRevision = prepared;
+                        member.checked(revision.id(), prepared.routes().unusableReason());
                     }
                 },
-                reason -> checkFailed(revision, attemptsLeft - 1, reason));
+                reason -> onCheckFailed(revision, attemptsLeft - 1, reason));
     }
 
-    private void checkFailed(RevisionRoot revision, int attemptsLeft, String reason) {
-        if (!checking.equals(revision.id())) {
+    private void onCheckFailed(RevisionRoot revision, int attemptsLeft, String reason) {
+        if (!proposedRevision.equals(revision.id())) {
             return; // another one is being checked by now
         }
         LOG.atWarn()
@@ -236,18 +236,18 @@
                 .addKeyValue("why", reason)
                 .log("a proposed revision could not be fetched or prepared");
         if (attemptsLeft > 0) {
-            deadlines.set(queries.now() + FETCH_AGAIN, () -> check(revision, attemptsLeft));
+            deadlines.set(queries.now() + FETCH_RETRY_INTERVAL_TENTHS_MS, () -> check(revision, attemptsLeft));
         } else {
             member.checked(revision.id(), "it could not be had: " + reason);
         }
     }
 
     @Override
-    public void act(RevisionRoot revision) {
-        if (checked != null && checked.revision().equals(revision)) {
-            use(checked);
+    public void apply(RevisionRoot revision) {
+        if (checkedRevision != null && checkedRevision.revision().equals(revision)) {
+            applyRevision(checkedRevision);
         } else {
-            preparer.prepare(queries.routes(), revision, this::use, reason -> cannotAct(revision, reason));
+            preparer.prepare(queries.routes(), revision, this::applyRevision, reason -> cannotAct(revision, reason));
         }
     }
 
@@ -256,61 +256,61 @@
                 .addKeyValue("revision", revision.id().value())
                 .addKeyValue("why", reason)
                 .log("cannot act on a revision");
-        member.cannotAct(revision.id());
+        member.applyFailed(revision.id());
     }
 
-    private void use(PreparedRevision next) {
-        String reason = next.routes().cannot();
+    private void applyRevision(PreparedRevision next) {
+        String reason = next.routes().unusableReason();
         if (!reason.isEmpty()) {
             cannotAct(next.revision(), reason);
             return;
         }
-        checked = null;
+        checkedRevision = null;
         RevisionId revision = next.revision().id();
-        long outdated = newerSince == 0 ? 0 : begun.countSince(queries.now(), newerSince);
-        newerSince = 0;
-        parts.use(next);
-        queries.standsBack();
+        long outdated = newerRevisionAt == 0 ? 0 : queriesRead.countSince(queries.now(), newerRevisionAt);
+        newerRevisionAt = 0;
+        parts.apply(next);
+        queries.withdrawalChanged();
         LOG.atInfo()
                 .addKeyValue("revision", revision.value())
                 .addKeyValue("outdated", outdated)
                 .log("acts on a revision");
         // Deferred, since the member may be calling this and its actions must not call back before they return.
-        decide(() -> member.acting(revision, parts.digest(), outdated));
+        runOnDecidingThread(() -> member.applied(revision, parts.digest(), outdated));
     }
 
     @Override
-    public void standBack(boolean withdrawn) {
-        backByFleet = withdrawn;
+    public void setWithdrawn(boolean withdrawn) {
+        withdrawnByFleet = withdrawn;
         LOG.atWarn().log(withdrawn ? "out of the fleet: new queries are deferred" : "in the fleet again");
-        queries.standsBack();
+        queries.withdrawalChanged();
     }
 
     // ---- answers of the fleet
 
-    private void hear(Answer answer) {
+    private void onAnswer(Answer answer) {
         if (answer instanceof Answer.Joined joined) {
-            LOG.atInfo().addKeyValue("incarnation", joined.as().value()).log("joined the fleet");
-        } else if (answer instanceof Answer.Told told) {
-            noteAge(told);
+            LOG.atInfo().addKeyValue("incarnation", joined.incarnation().value()).log("joined the fleet");
+        } else if (answer instanceof Answer.ReportAccepted told) {
+            noteNewerRevision(told);
         } else if (answer instanceof Answer.Refused refused) {
-            warn(refused.why());
+            logRefusal(refused.fault());
         } else {
-            member.failed(); // not an answer to any command of a server
+            member.requestFailed(); // not an answer to any command of a server
             return;
         }
-        member.hear(answer);
+        member.onAnswer(answer);
     }
 
-    private void noteAge(Answer.Told told) {
-        if (member.acting().before(told.inForce().id()) && newerSince == 0) {
-            newerSince = Math.max(1, queries.now() - told.age());
+    private void noteNewerRevision(Answer.ReportAccepted told) {
+        if (member.applied().isBefore(told.inForce().id()) && newerRevisionAt == 0) {
+            newerRevisionAt = Math.max(1, queries.now() - told.inForceDuration());
         }
     }
 
-    private static void warn(Fault fault) {
+    private static void logRefusal(Fault fault) {
         LOG.atWarn()
-                .addKeyValue("why", fault.what())
+                .addKeyValue("why", fault.description())
                 .addKeyValue("advice", fault.advice())
                 .log("the fleet refused a command of this server");
     }
--- a/daemon/src/main/java/tallyweir/backend/InFlight.java
+++ b/daemon/src/main/java/tallyweir/backend/InFlight.java
@@ -16,32 +16,32 @@
     final JobId job; // its id on the links, as the caller sent it
     final WorkloadId workload;
     final byte[] body; // as the caller sent it
-    final Answer way;
+    final Answer responder;
     QueryId id;
     int slot;
     boolean answered; // answered here, or its caller has disconnected
     boolean running; // handed to the kernel, or waiting for its intent to be written first
     boolean released;
-    int sentOn; // generation of the kernel link on which its run was requested
-    byte[] call; // body of the call to the store that its run is blocked on
-    byte[] reply; // reply to its last call, until the kernel shows that it has received it
-    int replyOn; // generation of the kernel link on which the reply was sent
-    long replyAt; // when the reply was sent
-    int stopOn; // generation of the kernel link on which its stop was sent, 0 for none
-    long stopAt; // when the stop was sent
-    final List<LinkId> calledOn = new ArrayList<>(0); // store links that have carried its calls
-    Deadlines.Deadline due;
-    long expected; // end of its expected time; counted as late after that. Set only in a fleet
-    InetSocketAddress store; // where it calls, by the revision it was read under; null for the configured address
-    Repeats.Entry entry; // shared by all queries with the same key; null for none
-    Mark mark; // key of its retained result; null if none is retained
-    boolean recording; // its run has ended and its answer waits until the result is on the disk
+    int runLinkGeneration; // generation of the kernel link on which its run was requested
+    byte[] pendingCall; // body of the call to the store that its run is blocked on
+    byte[] lastReply; // reply to its last call, until the kernel shows that it has received it
+    int replyLinkGeneration; // generation of the kernel link on which the reply was sent
+    long replySentAt; // when the reply was sent
+    int stopLinkGeneration; // generation of the kernel link on which its stop was sent, 0 for none
+    long stopSentAt; // when the stop was sent
+    final List<LinkId> callLinks = new ArrayList<>(0); // store links that have carried its calls
+    Deadlines.Deadline deadline;
+    long expectedDeadline; // end of its expected time; counted as late after that. Set only in a fleet
+    InetSocketAddress storeAddress; // where it calls, by the revision it was read under; null for the configured address
+    Repeats.Entry repeatEntry; // shared by all queries with the same key; null for none
+    Mark resultKey; // key of its retained result; null if none is retained
+    boolean recordingResult; // its run has ended and its answer waits until the result is on the disk
 
     InFlight(JobId job, WorkloadId workload, byte[] body, Answer responder) {
         this.job = job;
         this.workload = workload;
         this.body = body;
-        this.way = responder;
+        this.responder = responder;
     }
 
     /** Digest by which two bodies under the same key are told apart. */
--- a/daemon/src/main/java/tallyweir/backend/KeptResults.java
+++ b/daemon/src/main/java/tallyweir/backend/KeptResults.java
@@ -21,34 +21,34 @@
  * Runs on the backend's thread; wall-clock times are tenths of a millisecond since 1970.
  */
 final class KeptResults implements Keeping {
-    private static final int MARKS_MOST = 1 << 16;
+    private static final int MAX_KEYS = 1 << 16;
 
     private final Queries queries;
     private final ResultStore resultStore;
-    private final Marks marks;
+    private final Marks keys;
     // Job ids of the runs in progress.
-    private final Map<RunId, JobId> jobs = new HashMap<>();
+    private final Map<RunId, JobId> jobsByRun = new HashMap<>();
     // Runs of the previous process, until they are settled.
-    private final Map<JobId, RunId> before = new HashMap<>();
-    private final Map<RunId, Long> writtenAt = new HashMap<>();
+    private final Map<JobId, RunId> previousRuns = new HashMap<>();
+    private final Map<RunId, Long> intentWrittenAt = new HashMap<>();
     private final Set<RunId> admitted = new HashSet<>();
-    private boolean trying; // whether a retry of refused writes is scheduled
+    private boolean retryScheduled; // whether a retry of refused writes is scheduled
 
     KeptResults(Queries queries, ResultStore resultStore) {
         this.queries = queries;
         this.resultStore = resultStore;
-        marks = new Marks(this, MARKS_MOST, resultStore.without());
+        keys = new Marks(this, MAX_KEYS, resultStore.disabledGuards());
         long number = 0;
-        for (ResultStore.Kept k : resultStore.intents()) {
+        for (ResultStore.StoredResult k : resultStore.intentsAtStart()) {
             RunId run = new RunId(--number);
-            jobs.put(run, k.job());
-            before.put(k.job(), run);
-            writtenAt.put(run, k.written());
-            marks.found(run, k.mark(), k.body(), k.until());
+            jobsByRun.put(run, k.job());
+            previousRuns.put(k.job(), run);
+            intentWrittenAt.put(run, k.writtenAt());
+            keys.restoreIntent(run, k.key(), k.body(), k.expiresAt());
         }
     }
 
-    private static RunId run(InFlight inFlight) {
+    private static RunId runId(InFlight inFlight) {
         return new RunId(inFlight.id.value());
     }
 
@@ -57,27 +57,27 @@
      *
      * @param wall tenths of a millisecond since 1970
      */
-    void tryAgain(long wall) {
-        trying = false;
-        marks.tryAgain(wall);
+    void retryWrites(long wall) {
+        retryScheduled = false;
+        keys.retryRecording(wall);
     }
 
     /** How many results are only in memory because the disk refused them. */
-    int lost() {
-        return marks.lost();
+    int unwrittenCount() {
+        return keys.unrecordedOutcomes();
     }
 
     /** How many runs of the previous process are not settled yet. */
-    int unsettled() {
-        return before.size();
+    int unsettledCount() {
+        return previousRuns.size();
     }
 
     /** Looks up the key of an incoming query: whether it is new, a repeat, or in conflict with an earlier body. */
-    Verdict read(InFlight inFlight, SubjectId key) {
-        inFlight.mark = new Mark(inFlight.workload, key);
+    Verdict lookUp(InFlight inFlight, SubjectId key) {
+        inFlight.resultKey = new Mark(inFlight.workload, key);
         Verdict verdict =
-                marks.read(run(inFlight), inFlight.mark, inFlight.bodyDigest(), resultStore.knows(inFlight.mark));
-        return verdict == Verdict.NEW && !resultStore.hasRoom(jobs.size()) ? Verdict.NO_ROOM : verdict;
+                keys.onCopyRead(runId(inFlight), inFlight.resultKey, inFlight.bodyDigest(), resultStore.contains(inFlight.resultKey));
+        return verdict == Verdict.NEW && !resultStore.hasRoom(jobsByRun.size()) ? Verdict.NO_ROOM : verdict;
     }
 
     /**
@@ -86,43 +86,43 @@
      * @param until when the key may be forgotten, tenths of a millisecond since 1970
      */
     void admit(InFlight inFlight, long until) {
-        if (admitted.add(run(inFlight))) {
-            jobs.put(run(inFlight), inFlight.job);
-            marks.admit(run(inFlight), inFlight.mark, inFlight.bodyDigest(), until);
+        if (admitted.add(runId(inFlight))) {
+            jobsByRun.put(runId(inFlight), inFlight.job);
+            keys.admit(runId(inFlight), inFlight.resultKey, inFlight.bodyDigest(), until);
         }
     }
 
     /** Requests the run; it starts once its intent is on the disk. */
-    void want(InFlight inFlight) {
-        marks.want(run(inFlight));
+    void requestRun(InFlight inFlight) {
+        keys.requestStart(runId(inFlight));
     }
 
     /** The decisions no longer want the query to run; has no effect on a run that may have started. */
-    void giveUp(InFlight inFlight) {
-        marks.giveUp(run(inFlight));
+    void cancel(InFlight inFlight) {
+        keys.giveUp(runId(inFlight));
     }
 
     /** The query's caller needs no further answer; its run, if any, goes on. */
-    void leave(InFlight inFlight) {
-        marks.leave(run(inFlight));
+    void detach(InFlight inFlight) {
+        keys.onDisconnected(runId(inFlight));
     }
 
     /** Answers the query with the outcome recorded under its key, once that is known. */
-    void await(InFlight inFlight) {
-        marks.await(run(inFlight), inFlight.mark, inFlight.bodyDigest());
+    void awaitOutcome(InFlight inFlight) {
+        keys.awaitOutcome(runId(inFlight), inFlight.resultKey, inFlight.bodyDigest());
     }
 
-    void ended(InFlight inFlight, Known known, byte[] result) {
-        marks.ended(run(inFlight), known, result);
+    void runEnded(InFlight inFlight, Known known, byte[] result) {
+        keys.onRunEnded(runId(inFlight), known, result);
     }
 
     /** Settles a run of the previous process; returns false if the job isn't one. */
-    boolean endedBefore(JobId job, Known known, byte[] result) {
-        RunId run = before.remove(job);
+    boolean previousRunEnded(JobId job, Known known, byte[] result) {
+        RunId run = previousRuns.remove(job);
         if (run == null) {
             return false;
         }
-        marks.ended(run, known, result);
+        keys.onRunEnded(run, known, result);
         return true;
     }
 
@@ -132,81 +132,81 @@
      *
      * @param wall when the kernel started, tenths of a millisecond since 1970
      */
-    void kernelBegan(long wall) {
-        Map.copyOf(before).forEach((job, run) -> {
-            if (writtenAt.get(run) < wall) {
-                endedBefore(job, Known.UNKNOWN, null);
+    void kernelStarted(long wall) {
+        Map.copyOf(previousRuns).forEach((job, run) -> {
+            if (intentWrittenAt.get(run) < wall) {
+                previousRunEnded(job, Known.UNKNOWN, null);
             }
         });
     }
 
     /** Settles all remaining runs of the previous process as unknown: the kernel has had time to report them. */
-    void nobodyKnows() {
-        Map.copyOf(before).forEach((job, run) -> endedBefore(job, Known.UNKNOWN, null));
+    void settleRemainingAsUnknown() {
+        Map.copyOf(previousRuns).forEach((job, run) -> previousRunEnded(job, Known.UNKNOWN, null));
     }
 
     // ---- requests of the key rules
 
     @Override
-    public void intend(RunId run, Mark mark, long body, long until) {
-        resultStore.intend(mark, jobs.get(run), body, until, good -> {
-            marks.intended(run, good);
+    public void recordIntent(RunId run, Mark mark, long body, long until) {
+        resultStore.recordIntent(mark, jobsByRun.get(run), body, until, good -> {
+            keys.onIntentRecorded(run, good);
         });
     }
 
     @Override
     public void record(RunId run, Mark mark, long body, Known known, byte[] result, long until) {
-        resultStore.record(mark, jobs.get(run), body, known, result, until, good -> {
-            marks.recorded(run, good);
-            if (!good && !trying) {
-                trying = true;
-                queries.tryKeptAgainLater();
+        resultStore.record(mark, jobsByRun.get(run), body, known, result, until, good -> {
+            keys.onOutcomeRecorded(run, good);
+            if (!good && !retryScheduled) {
+                retryScheduled = true;
+                queries.scheduleDiskRetry();
             }
         });
     }
 
     @Override
-    public void withdraw(RunId run, Mark mark) {
-        resultStore.withdraw(mark, good -> {
-            marks.withdrawn(run);
+    public void deleteIntent(RunId run, Mark mark) {
+        resultStore.deleteIntent(mark, good -> {
+            keys.onIntentDeleted(run);
         });
     }
 
     @Override
-    public void look(Mark mark) {
-        resultStore.look(mark, kept -> {
+    public void readRecord(Mark mark) {
+        resultStore.read(mark, kept -> {
             if (kept == null) {
-                marks.lookFailed(mark);
+                keys.onReadFailed(mark);
             } else {
-                marks.looked(mark, kept.body(), kept.known() == null ? Known.UNKNOWN : kept.known(), kept.result());
+                keys.onRecordRead(mark, kept.body(), kept.known() == null ? Known.UNKNOWN : kept.known(), kept.result());
             }
         });
     }
 
     @Override
-    public void begin(RunId run) {
-        queries.beginKept(new QueryId(run.value()));
+    public void startRun(RunId run) {
+        queries.intentWritten(new QueryId(run.value()));
     }
 
     @Override
     public void answer(RunId copy, Known known, byte[] result) {
-        queries.answerKept(new QueryId(copy.value()), known == Known.GOOD ? result : null);
+        queries.answerRecorded(new QueryId(copy.value()), known == Known.GOOD ? result : null);
     }
 
     @Override
-    public void otherBody(RunId copy) {
-        queries.answerOtherBody(new QueryId(copy.value()));
+    public void refuseOtherBody(RunId copy) {
+        queries.answerBodyMismatch(new QueryId(copy.value()));
     }
 
     @Override
-    public void notBegun(RunId copy) {
-        queries.notBegun(new QueryId(copy.value()));
+    public void deferNotStarted(RunId copy) {
+        queries.runNeverStarted(new QueryId(copy.value()));
     }
 
     @Override
-    public void over(RunId run) {
-        jobs.remove(run);
-        writtenAt.remove(run);
+    public void release(RunId run) {
+        jobsByRun.remove(run);
+        intentWrittenAt.remove(run);
         admitted.remove(run);
     }
 }
--- a/daemon/src/main/java/tallyweir/backend/Kernel.java
+++ b/daemon/src/main/java/tallyweir/backend/Kernel.java
@@ -17,38 +17,38 @@
  */
 final class Kernel implements Notices.Sink {
     private static final Logger LOG = LoggerFactory.getLogger(Kernel.class);
-    private static final int WAITING_MOST = 4_000;
-    private static final long AGAIN_AFTER = 1_000; // a tenth of a second
+    private static final int MAX_WAITING_COMMANDS = 4_000;
+    private static final long RECONNECT_DELAY_TENTHS_MS = 1_000; // a tenth of a second
     // Requests in a row; a time would also run down while this process is paused.
-    private static final int UNHEARD_MOST = 20;
+    private static final int MAX_UNANSWERED_GAUGE_REQUESTS = 20;
     // Commands sent within this time before a break may not have arrived.
-    private static final long MAYBE_LOST = 2_000;
+    private static final long MAYBE_LOST_WINDOW_TENTHS_MS = 2_000;
     // A second: reports of the same start differ by less than this.
-    private static final long STARTS_APART = 10_000;
-    private static final String RESUMED = "resumed";
+    private static final long START_TOLERANCE_TENTHS_MS = 10_000;
+    private static final String RESUMED_REF = "resumed";
 
     private final Links links;
-    private final LongSupplier numbers;
+    private final LongSupplier linkNumbers;
     private final Deadlines deadlines;
     private final Counters counters;
     private final Queries queries;
-    private final ArrayDeque<byte[]> waiting = new ArrayDeque<>();
+    private final ArrayDeque<byte[]> waitingCommands = new ArrayDeque<>();
     private final RateLimitedLog warnings;
     private final PeerMonitor monitor;
     private Notices notices;
     private LinkId link; // the link that is up, or null
-    private LinkId opening; // the link that is to replace it, or null
+    private LinkId openingLink; // the link that is to replace it, or null
     private boolean booted; // whether the kernel has reported its boot on the link that is up
-    private int turn; // number of links that have been up so far
-    private long lastUp; // when the previous link was last seen up
-    private long started = Long.MAX_VALUE / 2; // start time reported by the kernel
-    private long last;
-    private long tag;
-    private int unheard;
+    private int linkGeneration; // number of links that have been up so far
+    private long lastUpAt; // when the previous link was last seen up
+    private long kernelStartedAt = Long.MAX_VALUE / 2; // start time reported by the kernel
+    private long lastNoticeNumber;
+    private long lastGaugesTag;
+    private int unansweredGaugeRequests;
 
     Kernel(Links links, LongSupplier numbers, Deadlines deadlines, Counters counters, Queries queries) {
         this.links = links;
-        this.numbers = numbers;
+        this.linkNumbers = numbers;
         this.deadlines = deadlines;
         this.counters = counters;
         this.queries = queries;
@@ -57,49 +57,49 @@
     }
 
     void connect() {
-        if (opening == null) {
-            opening = new LinkId(numbers.getAsLong());
-            links.connect(opening, Peer.KERNEL, null);
+        if (openingLink == null) {
+            openingLink = new LinkId(linkNumbers.getAsLong());
+            links.connect(openingLink, Peer.KERNEL, null);
         }
     }
 
     /** The kernel has another address: the present link stays in use until the new one is up. */
-    void moved() {
-        if (opening != null) {
-            links.drop(opening);
-            opening = null;
+    void addressChanged() {
+        if (openingLink != null) {
+            links.closeLink(openingLink);
+            openingLink = null;
         }
         connect();
     }
 
     /** A link is up. Returns false if it isn't a kernel link, like {@link #down} and {@link #read}. */
     boolean up(LinkId id) {
-        if (!id.equals(opening)) {
+        if (!id.equals(openingLink)) {
             return false;
         }
         if (link != null) {
-            links.drop(link);
-            lastUp = queries.now();
+            links.closeLink(link);
+            lastUpAt = queries.now();
         }
-        link = opening;
-        opening = null;
-        turn++;
-        unheard = 0;
+        link = openingLink;
+        openingLink = null;
+        linkGeneration++;
+        unansweredGaugeRequests = 0;
         booted = false;
         notices = new Notices(this);
-        monitor.there(queries.now());
+        monitor.reachable(queries.now());
         counters.add(Count.KERNEL_LINKS);
-        links.to(link, Commands.open(last));
+        links.sendToPeer(link, Commands.open(lastNoticeNumber));
         return true;
     }
 
     boolean down(LinkId id) {
-        if (id.equals(opening)) {
-            opening = null;
-            monitor.gone(queries.now());
-            deadlines.set(queries.now() + AGAIN_AFTER, this::connect);
+        if (id.equals(openingLink)) {
+            openingLink = null;
+            monitor.unreachable(queries.now());
+            deadlines.set(queries.now() + RECONNECT_DELAY_TENTHS_MS, this::connect);
         } else if (id.equals(link)) {
-            lost();
+            linkLost();
         } else {
             return false;
         }
@@ -107,15 +107,15 @@
     }
 
     /** Reconnects, at once if the link was in use: a broken link doesn't mean that the kernel or its runs have ended. */
-    private void lost() {
+    private void linkLost() {
         boolean reconnectNow = booted;
         link = null;
         booted = false;
-        lastUp = queries.now();
+        lastUpAt = queries.now();
         if (reconnectNow) {
             connect();
         } else {
-            deadlines.set(queries.now() + AGAIN_AFTER, this::connect);
+            deadlines.set(queries.now() + RECONNECT_DELAY_TENTHS_MS, this::connect);
         }
     }
 
@@ -123,7 +123,7 @@
         if (!id.equals(link)) {
             return false;
         }
-        unheard = 0;
+        unansweredGaugeRequests = 0;
         notices.read(bytes);
         return true;
     }
@@ -131,44 +131,44 @@
     // ---- commands
 
     void run(InFlight inFlight) {
-        inFlight.sentOn = next();
+        inFlight.runLinkGeneration = nextLinkGeneration();
         send(Commands.run(inFlight.job, inFlight.workload.value(), inFlight.body));
     }
 
     void stop(InFlight inFlight) {
-        inFlight.stopAt = queries.now();
-        inFlight.stopOn = next();
+        inFlight.stopSentAt = queries.now();
+        inFlight.stopLinkGeneration = nextLinkGeneration();
         send(Commands.stop(inFlight.job));
     }
 
     void reply(InFlight inFlight, byte[] body) {
-        inFlight.reply = body;
-        inFlight.replyAt = queries.now();
-        inFlight.replyOn = next();
+        inFlight.lastReply = body;
+        inFlight.replySentAt = queries.now();
+        inFlight.replyLinkGeneration = nextLinkGeneration();
         send(Commands.reply(inFlight.job, body));
     }
 
     /** Generation of the link on which the next command is sent. */
-    private int next() {
-        return booted ? turn : turn + 1;
+    private int nextLinkGeneration() {
+        return booted ? linkGeneration : linkGeneration + 1;
     }
 
     /** Requests the gauges if a link is up. */
-    void askGauges() {
+    void requestGauges() {
         // Detects a link whose other end has silently gone. No notice is lost: the kernel repeats them on the new link.
-        if (link != null && ++unheard > UNHEARD_MOST) {
-            bad("nothing received after " + UNHEARD_MOST + " gauge requests");
+        if (link != null && ++unansweredGaugeRequests > MAX_UNANSWERED_GAUGE_REQUESTS) {
+            onInvalidStream("nothing received after " + MAX_UNANSWERED_GAUGE_REQUESTS + " gauge requests");
         }
         if (booted) {
-            links.to(link, Commands.gauges("g" + ++tag));
+            links.sendToPeer(link, Commands.gauges("g" + ++lastGaugesTag));
         }
     }
 
     private void send(byte[] command) {
         if (booted) {
-            links.to(link, command);
-        } else if (waiting.size() < WAITING_MOST) {
-            waiting.add(command);
+            links.sendToPeer(link, command);
+        } else if (waitingCommands.size() < MAX_WAITING_COMMANDS) {
+            waitingCommands.add(command);
         } else {
             warnings.warn("no link to the kernel and too many commands are waiting; one was dropped");
         }
@@ -177,24 +177,24 @@
     // ---- notices
 
     @Override
-    public void booted(boolean fresh, long before) {
+    public void onBooted(boolean fresh, long before) {
         booted = true;
         LOG.atInfo()
                 .addKeyValue("since_ms", before / 10)
                 .addKeyValue("at_start", fresh ? "cold" : "warm")
                 .log("the kernel is up");
-        if (queries.now() - before > started + STARTS_APART) {
+        if (queries.now() - before > kernelStartedAt + START_TOLERANCE_TENTHS_MS) {
             // The kernel has restarted: its notice numbers start again and none of the earlier runs is left.
-            last = 0;
-            waiting.clear();
+            lastNoticeNumber = 0;
+            waitingCommands.clear();
             queries.kernelLost();
         }
-        started = queries.now() - before;
-        if (turn > 1) {
-            links.to(link, Commands.gauges(RESUMED)); // its reply comes after all repeated notices
+        kernelStartedAt = queries.now() - before;
+        if (linkGeneration > 1) {
+            links.sendToPeer(link, Commands.gauges(RESUMED_REF)); // its reply comes after all repeated notices
         }
-        while (!waiting.isEmpty()) {
-            links.to(link, waiting.poll());
+        while (!waitingCommands.isEmpty()) {
+            links.sendToPeer(link, waitingCommands.poll());
         }
         queries.kernelBooted(fresh, before);
     }
@@ -204,82 +204,82 @@
      * which has no effect on one that already runs; and stops and replies to calls, without which a run would stay
      * blocked for ever.
      */
-    private void resumed() {
-        for (InFlight inFlight : queries.running()) {
-            if (inFlight.call == null && inFlight.sentOn < turn && queries.harmless(inFlight)) {
+    private void resendAfterReconnect() {
+        for (InFlight inFlight : queries.runningQueries()) {
+            if (inFlight.pendingCall == null && inFlight.runLinkGeneration < linkGeneration && queries.isHarmless(inFlight)) {
                 run(inFlight);
             }
-            if (inFlight.reply != null && inFlight.replyOn < turn && inFlight.replyAt >= lastUp - MAYBE_LOST) {
-                reply(inFlight, inFlight.reply);
+            if (inFlight.lastReply != null && inFlight.replyLinkGeneration < linkGeneration && inFlight.replySentAt >= lastUpAt - MAYBE_LOST_WINDOW_TENTHS_MS) {
+                reply(inFlight, inFlight.lastReply);
             }
-            if (inFlight.stopOn > 0 && inFlight.stopOn < turn && inFlight.stopAt >= lastUp - MAYBE_LOST) {
+            if (inFlight.stopLinkGeneration > 0 && inFlight.stopLinkGeneration < linkGeneration && inFlight.stopSentAt >= lastUpAt - MAYBE_LOST_WINDOW_TENTHS_MS) {
                 stop(inFlight);
             }
         }
     }
 
     /** Counts a notice; returns false if it has been received before. */
-    private boolean isNew(long n) {
-        if (n <= last) {
+    private boolean countNotice(long n) {
+        if (n <= lastNoticeNumber) {
             counters.add(Count.KERNEL_NOTICES_REPEATED);
             return false;
         }
-        if (n > last + 1) {
+        if (n > lastNoticeNumber + 1) {
             counters.add(Count.KERNEL_NOTICES_MISSED);
         }
-        last = n;
+        lastNoticeNumber = n;
         counters.add(Count.KERNEL_NOTICES);
         return true;
     }
 
     @Override
-    public void ended(long n, JobId job, String state, byte[] result) {
-        if (isNew(n)) {
+    public void onRunEnded(long n, JobId job, String state, byte[] result) {
+        if (countNotice(n)) {
             queries.runEnded(job, state, result);
         }
     }
 
     @Override
-    public void needs(long n, JobId job, byte[] body) {
-        if (isNew(n)) {
-            queries.standsAtCall(job, body);
+    public void onCall(long n, JobId job, byte[] body) {
+        if (countNotice(n)) {
+            queries.runBlockedOnCall(job, body);
         }
     }
 
     @Override
-    public void gauges(String ref, double[] values) {
-        if (ref.equals(RESUMED)) {
-            resumed();
-        } else if (ref.equals("g" + tag)) {
+    public void onGauges(String ref, double[] values) {
+        if (ref.equals(RESUMED_REF)) {
+            resendAfterReconnect();
+        } else if (ref.equals("g" + lastGaugesTag)) {
             counters.add(Count.GAUGES_READ);
-            queries.gauges(values);
+            queries.gaugesReceived(values);
         }
     }
 
     @Override
-    public void notDone(String command, JobId job) {
+    public void onCommandFailed(String command, JobId job) {
         counters.add(Count.RUNS_NOT_DONE);
         warnings.warn("kernel: " + command + " of " + job.value() + " was not carried out");
         if (command.equals("SCHED")) {
-            queries.runNotDone(job);
+            queries.runRejected(job);
         }
     }
 
     @Override
-    public void remark(long n, String text) {
-        isNew(n);
+    public void onMessage(long n, String text) {
+        countNotice(n);
     }
 
     @Override
-    public void unknown(String reason) {
+    public void onUnknownNotice(String reason) {
         counters.add(Count.KERNEL_NOTICES_UNKNOWN);
         warnings.warn("kernel: a line was passed over: " + reason);
     }
 
     @Override
-    public void bad(String reason) {
+    public void onInvalidStream(String reason) {
         warnings.warn("kernel: " + reason + "; reopening the link");
-        links.drop(link);
-        lost();
+        links.closeLink(link);
+        linkLost();
     }
 }
--- a/daemon/src/main/java/tallyweir/backend/Links.java
+++ b/daemon/src/main/java/tallyweir/backend/Links.java
@@ -10,28 +10,28 @@
  */
 public interface Links {
     /** Queues bytes for a caller. */
-    void toCaller(ConnectionId caller, byte[] bytes);
+    void sendToCaller(ConnectionId caller, byte[] bytes);
 
     /**
      * Half-closes a caller's connection once all queued bytes have been written. Bytes that still arrive are read and
      * discarded. {@link Backend#closed} is called as for any other connection.
      */
-    void endCaller(ConnectionId caller);
+    void halfCloseCaller(ConnectionId caller);
 
     /**
      * Half-closes a caller's connection at once, but only if no bytes of the caller are unread, here or in the socket,
      * and none for it are unwritten. Returns whether it did.
      */
-    boolean endQuiet(ConnectionId caller);
+    boolean halfCloseIfQuiet(ConnectionId caller);
 
     /** Closes a caller's connection at once. */
-    void dropCaller(ConnectionId caller);
+    void closeCaller(ConnectionId caller);
 
     /**
      * Closes the connection of the caller that has read nothing of its answers for the longest time, if that time is
      * long enough. Returns whether it closed one.
      */
-    boolean dropStuck();
+    boolean closeStuckCaller();
 
     /**
      * Closes the listener. Callers that try to connect are refused, which proves to them that nothing of their queries
@@ -40,7 +40,7 @@
     void stopListening();
 
     /** Whether callers may be waiting to be accepted because no descriptor is left. */
-    boolean callersWait();
+    boolean areCallersWaiting();
 
     /**
      * Opens a link to a peer. {@link Backend#up} or {@link Backend#down} is called later.
@@ -50,17 +50,17 @@
     void connect(LinkId link, Peer peer, InetSocketAddress at);
 
     /** Sets the addresses that a revision of the fleet gives to these peers; null for the configured address. */
-    void route(InetSocketAddress kernel, InetSocketAddress announce);
+    void setPeerAddresses(InetSocketAddress kernel, InetSocketAddress announce);
 
     /** Queues bytes on a link. */
-    void to(LinkId link, byte[] bytes);
+    void sendToPeer(LinkId link, byte[] bytes);
 
     /** Closes a link, also one that is still opening; nothing more is reported about it. */
-    void drop(LinkId link);
+    void closeLink(LinkId link);
 
     /** Sends a datagram to the announce service. */
-    void report(byte[] datagram);
+    void sendReport(byte[] datagram);
 
     /** Reads the configuration again, in case peers have moved; {@link Backend#moved} is called if so. */
-    void lookAgain();
+    void recheckConfig();
 }
--- a/daemon/src/main/java/tallyweir/backend/PeerMonitor.java
+++ b/daemon/src/main/java/tallyweir/backend/PeerMonitor.java
@@ -12,17 +12,17 @@
 final class PeerMonitor {
     private static final Logger LOG = LoggerFactory.getLogger(PeerMonitor.class);
     // A second: a kernel that restarts is reachable again by then.
-    private static final long FIRST_AFTER = 10_000;
-    private static final int DOUBLED_MOST = 5; // after which the delay is about half a minute
+    private static final long FIRST_CHECK_DELAY_TENTHS_MS = 10_000;
+    private static final int MAX_DOUBLINGS = 5; // after which the delay is about half a minute
 
     private final Links links;
     private final Deadlines deadlines;
     private final Counters counters;
     private final Peer peer;
     // Since when the peer has been unreachable, -1 while it is reachable.
-    private long since = -1;
-    private int looks;
-    private Deadlines.Deadline next;
+    private long unreachableSince = -1;
+    private int checks;
+    private Deadlines.Deadline nextCheck;
 
     PeerMonitor(Links links, Deadlines deadlines, Counters counters, Peer peer) {
         this.links = links;
@@ -32,40 +32,40 @@
     }
 
     /** The peer was found to be unreachable. */
-    void gone(long now) {
-        if (since < 0) {
-            since = now;
-            later(now);
+    void unreachable(long now) {
+        if (unreachableSince < 0) {
+            unreachableSince = now;
+            scheduleCheck(now);
         }
     }
 
     /** The peer is reachable. */
-    void there(long now) {
-        if (looks > 0) {
+    void reachable(long now) {
+        if (checks > 0) {
             LOG.atInfo()
                     .addKeyValue("peer", peer)
-                    .addKeyValue("after_ms", (now - since) / 10)
+                    .addKeyValue("after_ms", (now - unreachableSince) / 10)
                     .log("a peer is there again");
         }
-        since = -1;
-        looks = 0;
-        deadlines.cancel(next);
-        next = null;
+        unreachableSince = -1;
+        checks = 0;
+        deadlines.cancel(nextCheck);
+        nextCheck = null;
     }
 
-    private void later(long now) {
-        long at = now + (FIRST_AFTER << Math.min(DOUBLED_MOST, looks));
-        next = deadlines.set(at, () -> look(at));
+    private void scheduleCheck(long now) {
+        long at = now + (FIRST_CHECK_DELAY_TENTHS_MS << Math.min(MAX_DOUBLINGS, checks));
+        nextCheck = deadlines.set(at, () -> check(at));
     }
 
-    private void look(long now) {
-        looks++;
+    private void check(long now) {
+        checks++;
         counters.add(Count.PEERS_MISSED);
         LOG.atWarn()
                 .addKeyValue("peer", peer)
-                .addKeyValue("for_ms", (now - since) / 10)
+                .addKeyValue("for_ms", (now - unreachableSince) / 10)
                 .log("a peer cannot be reached; retrying and reading the configuration again");
-        later(now);
-        links.lookAgain();
+        scheduleCheck(now);
+        links.recheckConfig();
     }
 }
--- a/daemon/src/main/java/tallyweir/backend/Queries.java
+++ b/daemon/src/main/java/tallyweir/backend/Queries.java
@@ -31,12 +31,12 @@
 final class Queries implements Outgoing {
     private static final int SLOT_BITS = 20;
     // Stands for a query of the previous process.
-    private static final QueryId BEFORE = new QueryId(0);
+    private static final QueryId PREVIOUS_PROCESS = new QueryId(0);
     // Separate random stream: routing must not shift the decisions' stream.
-    private static final long ROUTING = 0x726f757465L;
+    private static final long ROUTING_SEED_MASK = 0x726f757465L;
     // Half a second, in which callers see the listener close and go to another server.
-    private static final long LEAVE_BEFORE_STOP = 5_000;
-    private static final long DAY = 24 * 3_600 * 10_000L;
+    private static final long LISTENER_CLOSE_LEAD_TENTHS_MS = 5_000;
+    private static final long DAY_TENTHS_MS = 24 * 3_600 * 10_000L;
 
     private final Deadlines deadlines;
     private final Counters counters;
@@ -46,27 +46,27 @@
     private final Kernel kernel;
     private final Store store;
     private final Connections connections;
-    private final KeptResults kept; // null if results are not retained over restarts
+    private final KeptResults retainedResults; // null if results are not retained over restarts
     private final long seed;
-    private final int coresBusyAt;
-    private final int runQueueAt;
+    private final int coreUseGaugeIndex;
+    private final int runQueueGaugeIndex;
     private final RateLimitedLog warnings = new RateLimitedLog(Queries.class, this::now);
     private final Slots<InFlight> slots = new Slots<>();
-    private final Map<JobId, InFlight> jobs = new HashMap<>();
+    private final Map<JobId, InFlight> queriesByJob = new HashMap<>();
     // Null until the kernel first reports that it has booted.
     private Watch choice;
     // Shadow settings, compared beside those in force; null for none.
-    private Settings watched;
-    private long serial;
+    private Settings shadowSettings;
+    private long lastSerial;
     private long now;
     private long wall;
     private long stopAt = Long.MAX_VALUE;
-    private Deadlines.Deadline gaugesDue;
-    private long gaugesAsked;
-    private long ended;
-    private long bad;
-    private final Map<WorkloadId, Long> expected;
-    private final SplittableRandom routing;
+    private Deadlines.Deadline gaugesDeadline;
+    private long gaugesRequestedAt;
+    private long finishedCount;
+    private long erroredOrLateCount;
+    private final Map<WorkloadId, Long> expectedTimes;
+    private final SplittableRandom routingRandom;
     private Routes routes; // null if this server is in no fleet
     private FleetMembership fleet; // null if this server is in no fleet
 
@@ -85,28 +85,28 @@
         this.settings = settings;
         this.seed = seed;
         this.now = now;
-        workloads = settings.workloads();
-        expected = settings.expected();
-        routing = new SplittableRandom(seed ^ ROUTING);
-        coresBusyAt = settings.gauge("core_use");
-        runQueueAt = settings.gauge("on_cores");
-        repeats = new Repeats(deadlines, settings.shareFor());
+        workloads = settings.effects();
+        expectedTimes = settings.expectedTimes();
+        routingRandom = new SplittableRandom(seed ^ ROUTING_SEED_MASK);
+        coreUseGaugeIndex = settings.gaugeIndex("core_use");
+        runQueueGaugeIndex = settings.gaugeIndex("on_cores");
+        repeats = new Repeats(deadlines, settings.resultCacheDuration());
         LongSupplier linkNumbers = new AtomicLong()::incrementAndGet;
         kernel = new Kernel(links, linkNumbers, deadlines, counters, this);
         store = new Store(links, linkNumbers, deadlines, counters, this, storeLinks);
         connections = new Connections(links, deadlines, counters, this, settings, connectionLimits);
-        kept = resultStore == null ? null : new KeptResults(this, resultStore);
-        if (kept != null) {
-            counters.now("unsettled", kept::unsettled);
-            counters.now("results_refused_by_disk", kept::lost);
+        retainedResults = resultStore == null ? null : new KeptResults(this, resultStore);
+        if (retainedResults != null) {
+            counters.addGauge("unsettled", retainedResults::unsettledCount);
+            counters.addGauge("results_refused_by_disk", retainedResults::unwrittenCount);
         }
-        counters.also("watch_", () -> choice == null ? Map.of() : choice.counts());
-        counters.now("connections", connections::size);
-        counters.also("connections_now_", connections::states);
-        counters.now("queries", slots::size);
-        counters.now("entries", repeats::size);
-        counters.now("deadlines", deadlines::size);
-        counters.now("store_links", store::size);
+        counters.addSource("watch_", () -> choice == null ? Map.of() : choice.counts());
+        counters.addGauge("connections", connections::size);
+        counters.addSource("connections_now_", connections::countsByState);
+        counters.addGauge("queries", slots::size);
+        counters.addGauge("entries", repeats::size);
+        counters.addGauge("deadlines", deadlines::size);
+        counters.addGauge("store_links", store::linkCount);
     }
 
     Kernel kernel() {
@@ -122,29 +122,29 @@
     }
 
     /** Sets the shadow settings; null for none. Settings equal to the present ones keep running with their state. */
-    void watch(Settings shadow) {
-        if (watched == shadow || shadow != null && shadow.sameAs(watched)) {
+    void setShadowSettings(Settings shadow) {
+        if (shadowSettings == shadow || shadow != null && shadow.sameAs(shadowSettings)) {
             return;
         }
-        watched = shadow;
+        shadowSettings = shadow;
         if (choice != null) {
-            choice.watch(shadow, seed, now, false);
+            choice.setShadow(shadow, seed, now, false);
         }
     }
 
-    void clock(long now, long wall) {
+    void updateClock(long now, long wall) {
         this.now = now;
         this.wall = wall;
         if (choice != null) {
-            choice.clock(now);
+            choice.setTime(now);
         }
     }
 
     /** Makes this server a member of a fleet. */
     void joinFleet(FleetMembership membership) {
         fleet = membership;
-        routes = Routes.none(workloads.keySet());
-        counters.also("fleet_", membership::counts);
+        routes = Routes.empty(workloads.keySet());
+        counters.addSource("fleet_", membership::counts);
     }
 
     FleetMembership fleet() {
@@ -152,7 +152,7 @@
     }
 
     /** Sets the routes for queries read from now on; queries already in flight keep the store they started with. */
-    void route(Routes newRoutes) {
+    void setRoutes(Routes newRoutes) {
         routes = newRoutes;
     }
 
@@ -161,13 +161,13 @@
     }
 
     /** Called when this server has been withdrawn, or is no longer withdrawn. */
-    void standsBack() {
-        connections.standBack(fleet.standsBack());
+    void withdrawalChanged() {
+        connections.setWithdrawn(fleet.isWithdrawn());
     }
 
     /** Whether this server reports to the announce service: always, unless its fleet has withdrawn it. */
-    boolean announced() {
-        return fleet == null || !fleet.standsBack();
+    boolean isAnnounced() {
+        return fleet == null || !fleet.isWithdrawn();
     }
 
     Set<WorkloadId> workloads() {
@@ -179,21 +179,21 @@
     }
 
     /** Whether a time is more than a day ahead of the wall clock: more than any clock step, so an invalid value. */
-    boolean farAhead(long time) {
-        return time - wall > DAY;
+    boolean isFarAhead(long time) {
+        return time - wall > DAY_TENTHS_MS;
     }
 
-    boolean harmless(InFlight inFlight) {
+    boolean isHarmless(InFlight inFlight) {
         return workloads.get(inFlight.workload) == Effect.HARMLESS;
     }
 
-    boolean draining() {
+    boolean isDraining() {
         return stopAt != Long.MAX_VALUE;
     }
 
     // ---- from the caller connections
 
-    boolean knows(WorkloadId workload) {
+    boolean isKnownWorkload(WorkloadId workload) {
         return workloads.containsKey(workload);
     }
 
@@ -212,7 +212,7 @@
      * @param lastConnection whether accepting it would leave no connection without a pending answer
      * @return the query, or null if it was answered at once
      */
-    InFlight read(
+    InFlight accept(
             Answer responder,
             JobId job,
             WorkloadId workload,
@@ -234,7 +234,7 @@
             responder.deferred(0, false);
             return null;
         }
-        if (jobs.containsKey(job)) {
+        if (queriesByJob.containsKey(job)) {
             // Two queries with the same job id cannot be told apart on the links.
             counters.add(Count.QUERIES_MALFORMED);
             responder.errored();
@@ -242,77 +242,77 @@
         }
         InFlight inFlight = new InFlight(job, workload, body, responder);
         inFlight.slot = slots.add(inFlight);
-        inFlight.id = new QueryId(++serial << SLOT_BITS | inFlight.slot);
-        jobs.put(job, inFlight);
+        inFlight.id = new QueryId(++lastSerial << SLOT_BITS | inFlight.slot);
+        queriesByJob.put(job, inFlight);
         if (fleet != null) {
-            inFlight.store = routes.store(workload, routing);
-            fleet.begun(now);
-            inFlight.expected =
-                    now - Math.max(0, wall - receivedAt) + expected.getOrDefault(workload, settings.longestHard());
+            inFlight.storeAddress = routes.pickStore(workload, routingRandom);
+            fleet.onQueryRead(now);
+            inFlight.expectedDeadline =
+                    now - Math.max(0, wall - receivedAt) + expectedTimes.getOrDefault(workload, settings.maxHardLimit());
         }
         // A clock that was set back must not give a negative age or a longer timeout than the caller sent.
         long age = Math.max(0, wall - receivedAt);
         long left = callerTimeout < 0 ? 0 : Math.max(1, Math.min(callerTimeout, receivedAt + callerTimeout - wall));
-        inFlight.due = deadlines.set(now + (left > 0 ? left : settings.longestHard()), () -> overdue(inFlight));
+        inFlight.deadline = deadlines.set(now + (left > 0 ? left : settings.maxHardLimit()), () -> deadlinePassed(inFlight));
         boolean stamped = effect(workload) == Effect.STAMPED;
-        if (stamped && repeats.isOfAnother(inFlight, key, now - age)) {
+        if (stamped && repeats.hasConflictingBody(inFlight, key, now - age)) {
             counters.add(Count.MARKS_OTHER_BODY);
-            answerOtherBody(inFlight.id);
+            answerBodyMismatch(inFlight.id);
             return null;
         }
-        QueryId earlier = key != null && (stamped || settings.shareFor() > 0 && harmless(inFlight))
-                ? repeats.earlier(inFlight, key, stamped, now - age, now)
+        QueryId earlier = key != null && (stamped || settings.resultCacheDuration() > 0 && isHarmless(inFlight))
+                ? repeats.findEarlier(inFlight, key, stamped, now - age, now)
                 : null;
-        if (kept != null && !harmless(inFlight)) {
-            switch (kept.read(inFlight, stamped ? key : new SubjectId(job.value()))) {
+        if (retainedResults != null && !isHarmless(inFlight)) {
+            switch (retainedResults.lookUp(inFlight, stamped ? key : new SubjectId(job.value()))) {
                 case OTHER_BODY -> {
                     counters.add(Count.MARKS_OTHER_BODY);
-                    answerOtherBody(inFlight.id);
+                    answerBodyMismatch(inFlight.id);
                     return null;
                 }
                 case NO_ROOM -> {
                     counters.add(Count.MARKS_NO_ROOM);
-                    if (answer(inFlight, Count.ANSWERED_DEFERRED)) {
-                        responder.deferred(settings.keepOffMost(), false);
+                    if (markAnswered(inFlight, Count.ANSWERED_DEFERRED)) {
+                        responder.deferred(settings.maxRetryAfter(), false);
                     }
                     return null;
                 }
                 case REPEAT -> {
                     counters.add(Count.MARKS_REPEATED);
-                    earlier = earlier == null ? BEFORE : earlier;
+                    earlier = earlier == null ? PREVIOUS_PROCESS : earlier;
                 }
                 default -> {}
             }
         }
-        choice.lastConnection(lastConnection);
-        choice.read(inFlight.id, earlier, caller, subject, workload, size, age, rank, left, retry, tenant, 0);
+        choice.setOnLastConnection(lastConnection);
+        choice.onQueryRead(inFlight.id, earlier, caller, subject, workload, size, age, rank, left, retry, tenant, 0);
         return inFlight.released ? null : inFlight;
     }
 
     /** The caller has disconnected or aborted the query and no longer waits for it. */
-    void gone(InFlight inFlight) {
+    void disconnected(InFlight inFlight) {
         if (inFlight.answered) {
             return;
         }
         counters.add(Count.QUERIES_GONE);
         inFlight.answered = true;
-        if (inFlight.mark != null) {
-            kept.leave(inFlight);
+        if (inFlight.resultKey != null) {
+            retainedResults.detach(inFlight);
         }
-        choice.gone(inFlight.id);
+        choice.onCallerDisconnected(inFlight.id);
         releaseIfDone(inFlight);
     }
 
     /** Guards against a fault in the decisions: a query still unanswered at its deadline is failed. */
-    private void overdue(InFlight inFlight) {
-        if (!inFlight.answered && inFlight.recording) {
-            errored(inFlight); // the disk is too slow: the query has run, and a retry will get its outcome
-            kept.leave(inFlight);
+    private void deadlinePassed(InFlight inFlight) {
+        if (!inFlight.answered && inFlight.recordingResult) {
+            answerErrored(inFlight); // the disk is too slow: the query has run, and a retry will get its outcome
+            retainedResults.detach(inFlight);
         } else if (!inFlight.answered) {
             counters.add(Count.ANSWERED_BY_THE_LAST_GUARD);
             warnings.warn("a query was not decided by its deadline; it was answered as errored");
-            errored(inFlight);
-            choice.gone(inFlight.id);
+            answerErrored(inFlight);
+            choice.onCallerDisconnected(inFlight.id);
         }
     }
 
@@ -323,52 +323,52 @@
             return;
         }
         choice = new Watch(this, seed, now - before);
-        choice.clock(now);
+        choice.setTime(now);
         settings.start(choice, fresh, false, false, false);
-        choice.watch(watched, seed, now - before, fresh);
-        if (kept != null) {
-            kept.kernelBegan(wall - before);
-            deadlines.set(now + settings.longestHard(), kept::nobodyKnows);
+        choice.setShadow(shadowSettings, seed, now - before, fresh);
+        if (retainedResults != null) {
+            retainedResults.kernelStarted(wall - before);
+            deadlines.set(now + settings.maxHardLimit(), retainedResults::settleRemainingAsUnknown);
         }
-        if (draining()) {
+        if (isDraining()) {
             choice.drain(stopAt - now);
         }
     }
 
     /** All runs are lost: harmless queries go back to be run again; the effect of the others is unknown. */
     void kernelLost() {
-        for (InFlight inFlight : running()) {
-            if (inFlight.mark == null) {
-                leaveKernel(inFlight, Outcome.RECALLED, null);
+        for (InFlight inFlight : runningQueries()) {
+            if (inFlight.resultKey == null) {
+                finishRun(inFlight, Outcome.RECALLED, null);
             } else {
-                errored(inFlight);
-                kept.ended(inFlight, Known.UNKNOWN, null);
-                leaveKernel(inFlight, Outcome.ERRORED, null);
+                answerErrored(inFlight);
+                retainedResults.runEnded(inFlight, Known.UNKNOWN, null);
+                finishRun(inFlight, Outcome.ERRORED, null);
             }
         }
     }
 
-    List<InFlight> running() {
+    List<InFlight> runningQueries() {
         return slots.all().stream().filter(inFlight -> inFlight.running).toList();
     }
 
     void runEnded(JobId job, String state, byte[] result) {
-        InFlight inFlight = jobs.get(job);
+        InFlight inFlight = queriesByJob.get(job);
         if (inFlight == null || !inFlight.running) {
-            if (kept != null && kept.endedBefore(job, state.equals("good") ? Known.GOOD : Known.BAD, result)) {
+            if (retainedResults != null && retainedResults.previousRunEnded(job, state.equals("good") ? Known.GOOD : Known.BAD, result)) {
                 counters.add(Count.MARKS_SETTLED);
             }
             return;
         }
-        if (inFlight.mark != null) {
-            keptEnded(inFlight, state, result);
+        if (inFlight.resultKey != null) {
+            recordedRunEnded(inFlight, state, result);
             return;
         }
         Outcome outcome;
         switch (state) {
             case "good" -> {
                 counters.add(Count.RUNS_GOOD);
-                handled(inFlight, result);
+                answerHandled(inFlight, result);
                 outcome = Outcome.COMPLETED;
             }
             case "cut" -> {
@@ -377,23 +377,23 @@
             }
             case "gone" -> {
                 counters.add(Count.RUNS_GONE);
-                errored(inFlight);
+                answerErrored(inFlight);
                 outcome = Outcome.SUPERSEDED;
             }
             default -> {
                 counters.add(Count.RUNS_BAD);
-                errored(inFlight);
+                answerErrored(inFlight);
                 outcome = Outcome.ERRORED;
             }
         }
-        leaveKernel(inFlight, outcome, state.equals("good") ? result : null);
+        finishRun(inFlight, outcome, state.equals("good") ? result : null);
     }
 
     /**
      * Handles the end of a run whose outcome is recorded. A good result is answered only once it is on the disk; a
      * failure is answered at once.
      */
-    private void keptEnded(InFlight inFlight, String state, byte[] result) {
+    private void recordedRunEnded(InFlight inFlight, String state, byte[] result) {
         boolean good = state.equals("good");
         counters.add(
                 good
@@ -401,23 +401,23 @@
                         : state.equals("cut")
                                 ? Count.RUNS_CUT
                                 : state.equals("gone") ? Count.RUNS_GONE : Count.RUNS_BAD);
-        inFlight.recording = good && !inFlight.answered;
+        inFlight.recordingResult = good && !inFlight.answered;
         if (!good) {
-            errored(inFlight);
+            answerErrored(inFlight);
         }
-        leaveKernel(inFlight, good ? Outcome.COMPLETED : Outcome.ERRORED, null);
-        kept.ended(inFlight, good ? Known.GOOD : Known.BAD, result);
+        finishRun(inFlight, good ? Outcome.COMPLETED : Outcome.ERRORED, null);
+        retainedResults.runEnded(inFlight, good ? Known.GOOD : Known.BAD, result);
     }
 
     /** The kernel rejected the run command: the query did not run, and would not if sent again. */
-    void runNotDone(JobId job) {
-        InFlight inFlight = jobs.get(job);
+    void runRejected(JobId job) {
+        InFlight inFlight = queriesByJob.get(job);
         if (inFlight != null && inFlight.running) {
-            errored(inFlight);
+            answerErrored(inFlight);
             repeats.forget(inFlight);
-            leaveKernel(inFlight, Outcome.SUPERSEDED, null);
-            if (inFlight.mark != null) {
-                kept.ended(inFlight, Known.BAD, null);
+            finishRun(inFlight, Outcome.SUPERSEDED, null);
+            if (inFlight.resultKey != null) {
+                retainedResults.runEnded(inFlight, Known.BAD, null);
             }
         }
     }
@@ -425,95 +425,95 @@
     // ---- from the retained results
 
     /** Retries writes that the disk refused after the longest time that any caller waits for an answer. */
-    void tryKeptAgainLater() {
-        deadlines.set(now + settings.longestHard(), () -> kept.tryAgain(wall));
+    void scheduleDiskRetry() {
+        deadlines.set(now + settings.maxHardLimit(), () -> retainedResults.retryWrites(wall));
     }
 
     /** The intent is on the disk: sends the run to the kernel. */
-    void beginKept(QueryId query) {
-        InFlight inFlight = taken(query);
+    void intentWritten(QueryId query) {
+        InFlight inFlight = find(query);
         if (inFlight != null && inFlight.running) {
             kernel.run(inFlight);
         }
     }
 
     /** Answers a query with its recorded result; null if the run failed or its outcome is unknown. */
-    void answerKept(QueryId query, byte[] result) {
-        InFlight inFlight = taken(query);
+    void answerRecorded(QueryId query, byte[] result) {
+        InFlight inFlight = find(query);
         if (inFlight == null || inFlight.answered) {
             return;
         }
-        if (inFlight.recording) {
-            inFlight.recording = false;
+        if (inFlight.recordingResult) {
+            inFlight.recordingResult = false;
             if (result != null) {
-                handled(inFlight, result);
+                answerHandled(inFlight, result);
             } else {
-                errored(inFlight);
+                answerErrored(inFlight);
             }
         } else {
-            deadlines.set(now, () -> serve(inFlight, result)); // deferred: the decisions are still handling this input
+            deadlines.set(now, () -> answerRepeat(inFlight, result)); // deferred: the decisions are still handling this input
         }
     }
 
     /** Answers a query whose idempotency key belongs to a query with another body. */
-    void answerOtherBody(QueryId query) {
-        InFlight inFlight = taken(query);
-        if (inFlight != null && answer(inFlight, Count.ANSWERED_ERRORED)) {
-            inFlight.way.otherBody();
-            choice.gone(inFlight.id);
+    void answerBodyMismatch(QueryId query) {
+        InFlight inFlight = find(query);
+        if (inFlight != null && markAnswered(inFlight, Count.ANSWERED_ERRORED)) {
+            inFlight.responder.bodyMismatch();
+            choice.onCallerDisconnected(inFlight.id);
         }
     }
 
     /** The run was requested but never started and never will: defers the query, so that its caller may retry. */
-    void notBegun(QueryId query) {
-        InFlight inFlight = taken(query);
+    void runNeverStarted(QueryId query) {
+        InFlight inFlight = find(query);
         if (inFlight == null) {
             return;
         }
         counters.add(Count.MARKS_NOT_BEGUN);
         repeats.forget(inFlight);
         deadlines.set(now, () -> {
-            if (answer(inFlight, Count.ANSWERED_DEFERRED)) {
-                inFlight.way.deferred(settings.keepOffMost(), false);
+            if (markAnswered(inFlight, Count.ANSWERED_DEFERRED)) {
+                inFlight.responder.deferred(settings.maxRetryAfter(), false);
             }
             if (inFlight.running) {
-                leaveKernel(inFlight, Outcome.SUPERSEDED, null);
+                finishRun(inFlight, Outcome.SUPERSEDED, null);
             } else {
-                choice.gone(inFlight.id);
+                choice.onCallerDisconnected(inFlight.id);
             }
         });
     }
 
     /** Ends the run: closes its call, tells the decisions, and answers queries that waited for its result. */
-    private void leaveKernel(InFlight inFlight, Outcome outcome, byte[] result) {
-        store.giveUp(inFlight);
-        inFlight.call = null;
+    private void finishRun(InFlight inFlight, Outcome outcome, byte[] result) {
+        store.cancel(inFlight);
+        inFlight.pendingCall = null;
         inFlight.running = false;
-        boolean runsAgain = outcome == Outcome.RECALLED && !inFlight.answered && harmless(inFlight);
+        boolean runsAgain = outcome == Outcome.RECALLED && !inFlight.answered && isHarmless(inFlight);
         List<InFlight> served = runsAgain ? List.of() : repeats.ended(inFlight, result, now);
-        choice.ended(inFlight.id, outcome);
+        choice.onRunEnded(inFlight.id, outcome);
         releaseIfDone(inFlight);
-        served.forEach(this::serveRepeat);
+        served.forEach(this::answerRepeatFromEntry);
     }
 
     /** The run is blocked on a call to the store with this body. */
-    void standsAtCall(JobId job, byte[] body) {
-        InFlight inFlight = jobs.get(job);
+    void runBlockedOnCall(JobId job, byte[] body) {
+        InFlight inFlight = queriesByJob.get(job);
         if (inFlight != null && inFlight.running) {
-            inFlight.call = body;
-            inFlight.reply = null;
-            choice.standsAtCall(inFlight.id);
+            inFlight.pendingCall = body;
+            inFlight.lastReply = null;
+            choice.onBlockedOnCall(inFlight.id);
         }
     }
 
-    void gauges(double[] values) {
-        if (gaugesDue != null) {
-            choice.gauges(at(values, coresBusyAt), at(values, runQueueAt));
-            gaugesOver();
+    void gaugesReceived(double[] values) {
+        if (gaugesDeadline != null) {
+            choice.setGauges(valueAt(values, coreUseGaugeIndex), valueAt(values, runQueueGaugeIndex));
+            gaugesDone();
         }
     }
 
-    private static double at(double[] values, int index) {
+    private static double valueAt(double[] values, int index) {
         return index >= 0 && index < values.length ? values[index] : 0;
     }
 
@@ -521,44 +521,44 @@
 
     void callEnded(InFlight inFlight, Outcome outcome, long duration, byte[] reply) {
         if (outcome == Outcome.COMPLETED) {
-            inFlight.call = null;
+            inFlight.pendingCall = null;
             kernel.reply(inFlight, reply);
         }
-        choice.callEnded(inFlight.id, outcome, duration);
+        choice.onCallEnded(inFlight.id, outcome, duration);
     }
 
     // ---- answers
 
-    private void handled(InFlight inFlight, byte[] result) {
-        if (answer(inFlight, Count.ANSWERED_HANDLED)) {
-            inFlight.way.handled(result);
+    private void answerHandled(InFlight inFlight, byte[] result) {
+        if (markAnswered(inFlight, Count.ANSWERED_HANDLED)) {
+            inFlight.responder.handled(result);
         }
     }
 
-    private void errored(InFlight inFlight) {
-        if (answer(inFlight, Count.ANSWERED_ERRORED)) {
-            inFlight.way.errored();
+    private void answerErrored(InFlight inFlight) {
+        if (markAnswered(inFlight, Count.ANSWERED_ERRORED)) {
+            inFlight.responder.errored();
         }
     }
 
     /** How many queries have been handled or errored; counted only in a fleet. */
-    long ended() {
-        return ended;
+    long finishedCount() {
+        return finishedCount;
     }
 
     /** How many queries have been errored, or handled after their expected time; counted only in a fleet. */
-    long bad() {
-        return bad;
+    long erroredOrLateCount() {
+        return erroredOrLateCount;
     }
 
     /** Marks the query as answered and counts it. Returns true only the first time for each query. */
-    private boolean answer(InFlight inFlight, Count count) {
+    private boolean markAnswered(InFlight inFlight, Count count) {
         if (inFlight.answered) {
             return false;
         }
         if (fleet != null && count != Count.ANSWERED_DEFERRED) {
-            ended++;
-            bad += count == Count.ANSWERED_ERRORED || now > inFlight.expected ? 1 : 0;
+            finishedCount++;
+            erroredOrLateCount += count == Count.ANSWERED_ERRORED || now > inFlight.expectedDeadline ? 1 : 0;
         }
         inFlight.answered = true;
         counters.add(count);
@@ -569,14 +569,14 @@
     private void releaseIfDone(InFlight inFlight) {
         if (inFlight.answered && !inFlight.running && !inFlight.released) {
             inFlight.released = true;
-            deadlines.cancel(inFlight.due);
-            jobs.remove(inFlight.job);
+            deadlines.cancel(inFlight.deadline);
+            queriesByJob.remove(inFlight.job);
             slots.free(inFlight.slot);
         }
     }
 
     /** The query with this id, or null if it has been released. */
-    private InFlight taken(QueryId id) {
+    private InFlight find(QueryId id) {
         InFlight inFlight = slots.get((int) (id.value() & (1 << SLOT_BITS) - 1));
         return inFlight != null && inFlight.id.equals(id) ? inFlight : null;
     }
@@ -585,49 +585,49 @@
 
     @Override
     public void run(QueryId query) {
-        InFlight inFlight = taken(query);
+        InFlight inFlight = find(query);
         if (inFlight != null) {
             counters.add(Count.RUNS_ASKED);
             inFlight.running = true;
-            inFlight.reply = null;
-            inFlight.stopOn = 0;
-            repeats.began(inFlight);
-            if (inFlight.mark == null) {
+            inFlight.lastReply = null;
+            inFlight.stopLinkGeneration = 0;
+            repeats.runStarted(inFlight);
+            if (inFlight.resultKey == null) {
                 kernel.run(inFlight);
             } else {
-                kept.admit(inFlight, wall + settings.longestHard());
-                kept.want(inFlight);
+                retainedResults.admit(inFlight, wall + settings.maxHardLimit());
+                retainedResults.requestRun(inFlight);
             }
         }
     }
 
     @Override
     public void defer(QueryId query, long retryAfter, boolean nowhereElse) {
-        InFlight inFlight = taken(query);
-        if (inFlight != null && answer(inFlight, Count.ANSWERED_DEFERRED)) {
-            inFlight.way.deferred(retryAfter, nowhereElse);
+        InFlight inFlight = find(query);
+        if (inFlight != null && markAnswered(inFlight, Count.ANSWERED_DEFERRED)) {
+            inFlight.responder.deferred(retryAfter, nowhereElse);
             // It never ran, so its key is free again. The decisions report that only after the query is released here.
             repeats.forget(inFlight);
-            if (inFlight.mark != null) {
-                kept.giveUp(inFlight);
+            if (inFlight.resultKey != null) {
+                retainedResults.cancel(inFlight);
             }
         }
     }
 
     @Override
     public void fail(QueryId query) {
-        InFlight inFlight = taken(query);
+        InFlight inFlight = find(query);
         if (inFlight != null) {
-            errored(inFlight);
-            if (inFlight.mark != null) {
-                kept.giveUp(inFlight);
+            answerErrored(inFlight);
+            if (inFlight.resultKey != null) {
+                retainedResults.cancel(inFlight);
             }
         }
     }
 
     @Override
-    public void stop(QueryId query) {
-        InFlight inFlight = taken(query);
+    public void cancel(QueryId query) {
+        InFlight inFlight = find(query);
         if (inFlight != null && inFlight.running) {
             counters.add(Count.RUNS_STOPPED);
             kernel.stop(inFlight);
@@ -636,106 +636,106 @@
 
     @Override
     public void call(QueryId query, long timeout) {
-        InFlight inFlight = taken(query);
-        if (inFlight != null && inFlight.call != null) {
-            if (fleet != null && !fleet.whole()) {
-                inFlight.store = routes.store(inFlight.workload, routing); // only if a drill has disabled this guard
+        InFlight inFlight = find(query);
+        if (inFlight != null && inFlight.pendingCall != null) {
+            if (fleet != null && !fleet.pinsRoutes()) {
+                inFlight.storeAddress = routes.pickStore(inFlight.workload, routingRandom); // only if a drill has disabled this guard
             }
-            store.call(inFlight, inFlight.call, timeout);
+            store.call(inFlight, inFlight.pendingCall, timeout);
         }
     }
 
     /** The kernel has no command to skip a call, so no workload is declared to the decisions as able to degrade. */
     @Override
-    public void poorer(QueryId query) {
+    public void degrade(QueryId query) {
         fail(query);
     }
 
     @Override
-    public void keep(QueryId query, long window) {
-        InFlight inFlight = taken(query);
+    public void retain(QueryId query, long window) {
+        InFlight inFlight = find(query);
         if (inFlight != null) {
-            repeats.keep(inFlight, now + window, harmless(inFlight) ? 0 : settings.longestHard());
-            if (inFlight.mark != null) {
-                kept.admit(inFlight, wall + window);
+            repeats.retain(inFlight, now + window, isHarmless(inFlight) ? 0 : settings.maxHardLimit());
+            if (inFlight.resultKey != null) {
+                retainedResults.admit(inFlight, wall + window);
             }
         }
     }
 
     @Override
-    public void forget(QueryId query) {
-        InFlight inFlight = taken(query);
+    public void discardRetained(QueryId query) {
+        InFlight inFlight = find(query);
         if (inFlight != null) {
             repeats.forget(inFlight);
-            if (inFlight.mark != null) {
-                kept.giveUp(inFlight);
+            if (inFlight.resultKey != null) {
+                retainedResults.cancel(inFlight);
             }
         }
     }
 
     @Override
-    public void reuse(QueryId query) {
-        InFlight inFlight = taken(query);
-        if (inFlight != null && inFlight.mark != null) {
-            kept.await(inFlight);
-        } else if (inFlight != null && repeats.over(inFlight)) {
-            deadlines.set(now, () -> serveRepeat(inFlight)); // deferred: the decisions are still handling this input
+    public void replay(QueryId query) {
+        InFlight inFlight = find(query);
+        if (inFlight != null && inFlight.resultKey != null) {
+            retainedResults.awaitOutcome(inFlight);
+        } else if (inFlight != null && repeats.endedOrEnqueue(inFlight)) {
+            deadlines.set(now, () -> answerRepeatFromEntry(inFlight)); // deferred: the decisions are still handling this input
         }
     }
 
-    private void serveRepeat(InFlight inFlight) {
-        serve(inFlight, repeats.result(inFlight));
+    private void answerRepeatFromEntry(InFlight inFlight) {
+        answerRepeat(inFlight, repeats.result(inFlight));
     }
 
-    private void serve(InFlight inFlight, byte[] result) {
+    private void answerRepeat(InFlight inFlight, byte[] result) {
         if (inFlight.answered) {
             return;
         }
         if (result != null) {
-            handled(inFlight, result);
+            answerHandled(inFlight, result);
         } else {
-            errored(inFlight);
+            answerErrored(inFlight);
         }
-        choice.ended(inFlight.id, result != null ? Outcome.COMPLETED : Outcome.ERRORED);
+        choice.onRunEnded(inFlight.id, result != null ? Outcome.COMPLETED : Outcome.ERRORED);
     }
 
     @Override
-    public void health(boolean good, boolean stored) {
-        connections.health(good);
+    public void setHealth(boolean good, boolean stored) {
+        connections.setHealthy(good);
     }
 
     /** Does nothing: answers have no field for load advice, and the decisions are configured accordingly. */
     @Override
-    public void say(double value) {}
+    public void advertiseLoad(double value) {}
 
     @Override
-    public void closeIdle(long idleDuration) {
-        connections.closeIdle(idleDuration);
+    public void setIdleTimeout(long idleDuration) {
+        connections.setIdleTimeout(idleDuration);
     }
 
     @Override
-    public void wake(long at, TimerId timer) {
-        if (timer.equals(Choice.GAUGES)) {
+    public void setTimer(long at, TimerId timer) {
+        if (timer.equals(Choice.GAUGES_TIMER)) {
             long interval = at - now;
-            deadlines.set(at, () -> askGauges(interval));
+            deadlines.set(at, () -> requestGauges(interval));
         } else {
-            deadlines.set(at, () -> choice.timer(timer));
+            deadlines.set(at, () -> choice.onTimer(timer));
         }
     }
 
     /** Requests the gauges. If they do not arrive within the timeout, the decisions go on without them. */
-    private void askGauges(long timeout) {
-        kernel.askGauges();
-        gaugesDue = deadlines.set(now + timeout, () -> {
+    private void requestGauges(long timeout) {
+        kernel.requestGauges();
+        gaugesDeadline = deadlines.set(now + timeout, () -> {
             counters.add(Count.GAUGES_MISSED);
-            gaugesOver();
+            gaugesDone();
         });
     }
 
-    private void gaugesOver() {
-        deadlines.cancel(gaugesDue);
-        gaugesDue = null;
-        choice.timer(Choice.GAUGES);
+    private void gaugesDone() {
+        deadlines.cancel(gaugesDeadline);
+        gaugesDeadline = null;
+        choice.onTimer(Choice.GAUGES_TIMER);
     }
 
     // ---- shutdown
@@ -745,13 +745,13 @@
      * allow, which is left for the answers' transport.
      */
     void drain(long stopTimeout) {
-        if (draining()) {
+        if (isDraining()) {
             return;
         }
         long left = Math.max(0, stopTimeout - 2 * settings.answerSlack());
         stopAt = now + left;
-        deadlines.set(stopAt - Math.min(LEAVE_BEFORE_STOP, left / 2), connections::stopListening);
-        deadlines.set(stopAt, connections::leave);
+        deadlines.set(stopAt - Math.min(LISTENER_CLOSE_LEAD_TENTHS_MS, left / 2), connections::stopListening);
+        deadlines.set(stopAt, connections::closeAllForShutdown);
         if (choice != null) {
             choice.drain(stopAt - now);
         }
--- a/daemon/src/main/java/tallyweir/backend/RateLimitedLog.java
+++ b/daemon/src/main/java/tallyweir/backend/RateLimitedLog.java
@@ -8,12 +8,12 @@
 
 /** Writes at most one log line per second, so that a flood of bad input neither fills the log nor slows the server. */
 final class RateLimitedLog {
-    private static final long EVERY = 10_000; // a second
+    private static final long MIN_INTERVAL_TENTHS_MS = 10_000; // a second
 
     private final Logger log;
     private final LongSupplier now;
-    private long next = Long.MIN_VALUE;
-    private long leftOut;
+    private long nextAt = Long.MIN_VALUE;
+    private long suppressed;
 
     /** @param now time in tenths of a millisecond */
     RateLimitedLog(Class<?> owner, LongSupplier now) {
@@ -31,15 +31,15 @@
     }
 
     private void write(LoggingEventBuilder event, String text) {
-        if (now.getAsLong() < next) {
-            leftOut++;
+        if (now.getAsLong() < nextAt) {
+            suppressed++;
             return;
         }
-        next = now.getAsLong() + EVERY;
-        if (leftOut > 0) {
-            event = event.addKeyValue("left_out", leftOut);
+        nextAt = now.getAsLong() + MIN_INTERVAL_TENTHS_MS;
+        if (suppressed > 0) {
+            event = event.addKeyValue("left_out", suppressed);
         }
         event.log(text);
-        leftOut = 0;
+        suppressed = 0;
     }
 }
--- a/daemon/src/main/java/tallyweir/backend/Rehearsal.java
+++ b/daemon/src/main/java/tallyweir/backend/Rehearsal.java
@@ -20,54 +20,54 @@
  * may take. The classes loaded here are also those that the class-data archive contains.
  */
 public final class Rehearsal implements Links {
-    private static final int QUERIES = 1_500;
-    private static final long APART = 100; // a hundredth of a second on the simulated clock
-    private static final long MOST_NANOS = 3_000_000_000L;
+    private static final int QUERY_COUNT = 1_500;
+    private static final long QUERY_INTERVAL_TENTHS_MS = 100; // a hundredth of a second on the simulated clock
+    private static final long MAX_DURATION_NANOS = 3_000_000_000L;
 
     private final Backend backend;
     private final List<String> workloads;
     private final String tenant;
-    private final long patience;
-    private final ArrayDeque<Runnable> news = new ArrayDeque<>();
+    private final long callerTimeout;
+    private final ArrayDeque<Runnable> pendingEvents = new ArrayDeque<>();
     private long now;
-    private long notices;
+    private long noticeNumber;
 
     private Rehearsal(Config config) {
         backend = new Backend(this, config, now, 0);
-        workloads = config.settings.workloads().keySet().stream()
+        workloads = config.settings.effects().keySet().stream()
                 .map(w -> w.value())
                 .sorted()
                 .toList();
         tenant = config.settings.tenants().stream().findFirst().orElse("");
-        patience = config.settings.longestHard();
+        callerTimeout = config.settings.maxHardLimit();
     }
 
     /** Runs the warm-up, for at most three seconds, without log output. Returns the counters of its backend. */
-    public static Map<String, Long> play(Config config) {
+    public static Map<String, Long> run(Config config) {
         Logger log = Logger.getLogger("tallyweir.backend");
         Level before = log.getLevel();
         log.setLevel(Level.OFF);
         Rehearsal warmUp = new Rehearsal(config);
-        warmUp.play(System.nanoTime() + MOST_NANOS);
+        warmUp.run(System.nanoTime() + MAX_DURATION_NANOS);
         log.setLevel(before);
         return warmUp.backend.counters().all();
     }
 
-    private void play(long deadlineNanos) {
+    private void run(long deadlineNanos) {
         backend.start();
-        for (int i = 0; i < QUERIES && System.nanoTime() < deadlineNanos; i++) {
-            now += APART;
-            backend.clock(now, now);
+        for (int i = 0; i < QUERY_COUNT && System.nanoTime() < deadlineNanos; i++) {
+            now += QUERY_INTERVAL_TENTHS_MS;
+            backend.updateClock(now, now);
             if (i % 32 == 0) {
                 ConnectionId previous = new ConnectionId(0);
                 backend.closed(previous);
                 backend.accepted();
             }
             backend.read(new ConnectionId(0), ByteBuffer.wrap(query(i)));
-            while (!news.isEmpty()) {
-                news.poll().run();
+            while (!pendingEvents.isEmpty()) {
+                pendingEvents.poll().run();
             }
-            backend.pass();
+            backend.runDue();
         }
     }
 
@@ -88,7 +88,7 @@
                 "HTTP_ACCOUNT",
                 tenant,
                 "HTTP_BUDGET_MS",
-                "" + patience / 10,
+                "" + callerTimeout / 10,
                 "HTTP_FOOTPRINT_KB",
                 "1.5",
                 "HTTP_PRIORITY_RANK",
@@ -98,21 +98,21 @@
     }
 
     @Override
-    public void toCaller(ConnectionId caller, byte[] bytes) {}
+    public void sendToCaller(ConnectionId caller, byte[] bytes) {}
 
     @Override
-    public void endCaller(ConnectionId caller) {}
+    public void halfCloseCaller(ConnectionId caller) {}
 
     @Override
-    public boolean endQuiet(ConnectionId caller) {
+    public boolean halfCloseIfQuiet(ConnectionId caller) {
         return true;
     }
 
     @Override
-    public void dropCaller(ConnectionId caller) {}
+    public void closeCaller(ConnectionId caller) {}
 
     @Override
-    public boolean dropStuck() {
+    public boolean closeStuckCaller() {
         return false;
     }
 
@@ -120,42 +120,42 @@
     public void stopListening() {}
 
     @Override
-    public boolean callersWait() {
+    public boolean areCallersWaiting() {
         return false;
     }
 
     @Override
     public void connect(LinkId link, Peer peer, InetSocketAddress at) {
-        news.add(() -> {
-            backend.up(link);
+        pendingEvents.add(() -> {
+            backend.linkUp(link);
             if (peer == Peer.KERNEL) {
-                tell(link, "{\"type\":\"BOOTED\",\"state\":\"old\",\"took\":1000000}\n");
+                deliver(link, "{\"type\":\"BOOTED\",\"state\":\"old\",\"took\":1000000}\n");
             }
         });
     }
 
-    private void tell(LinkId link, String text) {
-        news.add(() -> backend.read(link, ByteBuffer.wrap(text.getBytes(ISO_8859_1))));
+    private void deliver(LinkId link, String text) {
+        pendingEvents.add(() -> backend.read(link, ByteBuffer.wrap(text.getBytes(ISO_8859_1))));
     }
 
     @Override
-    public void to(LinkId link, byte[] bytes) {
+    public void sendToPeer(LinkId link, byte[] bytes) {
         String text = new String(bytes, ISO_8859_1);
         if (text.contains("SYSINFO")) {
-            tell(link, "{\"type\":\"INFO\",\"ref\":\"" + field(text, "ref") + "\",\"gauges\":[0.5,1,0,0]}\n");
+            deliver(link, "{\"type\":\"INFO\",\"ref\":\"" + field(text, "ref") + "\",\"gauges\":[0.5,1,0,0]}\n");
         } else if (text.contains("SCHED")) {
-            notice(link, "IOREQ", field(text, "job"));
+            deliverNotice(link, "IOREQ", field(text, "job"));
         } else if (text.contains("IODONE")) {
-            notice(link, "REAP", field(text, "job"));
+            deliverNotice(link, "REAP", field(text, "job"));
         } else if (text.startsWith("CALL")) {
-            tell(link, text.substring(5, 21) + " OK 4\r\nmade\r\n");
+            deliver(link, text.substring(5, 21) + " OK 4\r\nmade\r\n");
         }
     }
 
-    private void notice(LinkId link, String type, String job) {
-        tell(
+    private void deliverNotice(LinkId link, String type, String job) {
+        deliver(
                 link,
-                "{\"type\":\"" + type + "\",\"n\":" + ++notices + ",\"job\":\"" + job
+                "{\"type\":\"" + type + "\",\"n\":" + ++noticeNumber + ",\"job\":\"" + job
                         + "\",\"state\":\"good\",\"took\":3,\"data\":\"bWFkZQ==\"}\n");
     }
 
@@ -165,18 +165,18 @@
     }
 
     @Override
-    public void drop(LinkId link) {}
+    public void closeLink(LinkId link) {}
 
     @Override
-    public void route(InetSocketAddress kernel, InetSocketAddress announce) {
+    public void setPeerAddresses(InetSocketAddress kernel, InetSocketAddress announce) {
         // the links are simulated
     }
 
     @Override
-    public void lookAgain() {
+    public void recheckConfig() {
         // there is no configuration to read
     }
 
     @Override
-    public void report(byte[] datagram) {}
+    public void sendReport(byte[] datagram) {}
 }
--- a/daemon/src/main/java/tallyweir/backend/RevisionParts.java
+++ b/daemon/src/main/java/tallyweir/backend/RevisionParts.java
@@ -20,19 +20,19 @@
     }
 
     /** Switches every part to a revision. */
-    void use(PreparedRevision next) {
-        queries.route(next.routes());
+    void apply(PreparedRevision next) {
+        queries.setRoutes(next.routes());
         gate.caps(new TableCaps(next.table()));
-        boolean moved = !next.entries().sameAddresses(entries);
+        boolean addressesChanged = !next.entries().sameAddresses(entries);
         entries = next.entries();
-        if (moved) {
-            links.route(entries.kernel(), entries.announce());
+        if (addressesChanged) {
+            links.setPeerAddresses(entries.kernel(), entries.announce());
         }
     }
 
     /** Whether the revision in use withdraws this server. */
-    boolean standsBack() {
-        return entries.standsBack();
+    boolean isWithdrawn() {
+        return entries.withdrawn();
     }
 
     /** The root of the table that all parts were built from; if they differ in that, a digest that no table has. */
@@ -40,8 +40,8 @@
         Digest ofRoutes = queries.routes().table().root();
         Digest ofCaps = gate.caps() instanceof TableCaps caps ? caps.table().root() : Digest.NONE;
         Digest ofEntries = entries.table().root();
-        boolean whole = ofRoutes.equals(ofCaps) && ofRoutes.equals(ofEntries);
-        return whole
+        boolean sameTable = ofRoutes.equals(ofCaps) && ofRoutes.equals(ofEntries);
+        return sameTable
                 ? ofRoutes
                 : Digest.of("mixed " + ofRoutes.value() + " " + ofCaps.value() + " " + ofEntries.value());
     }
--- a/daemon/src/main/java/tallyweir/backend/RevisionPreparer.java
+++ b/daemon/src/main/java/tallyweir/backend/RevisionPreparer.java
@@ -19,11 +19,11 @@
  */
 final class RevisionPreparer {
     private static final Logger LOG = LoggerFactory.getLogger(RevisionPreparer.class);
-    private static final int DIFFERENCE_MOST = 4_096; // above it, the routes are rebuilt from the whole table
+    private static final int MAX_DIFFERENCE_ENTRIES = 4_096; // above it, the routes are rebuilt from the whole table
 
     private final FleetClient client;
-    private final Executor deciding;
-    private final String server;
+    private final Executor decidingExecutor;
+    private final String serverName;
     private final Set<WorkloadId> workloads;
 
     /**
@@ -31,10 +31,10 @@
      * @param server the name of this server
      * @param workloads the workloads of this server
      */
-    RevisionPreparer(FleetClient client, Executor decidingExecutor, String server, Set<WorkloadId> workloads) {
+    RevisionPreparer(FleetClient client, Executor decidingExecutor, String serverName, Set<WorkloadId> workloads) {
         this.client = client;
-        this.deciding = decidingExecutor;
-        this.server = server;
+        this.decidingExecutor = decidingExecutor;
+        this.serverName = serverName;
         this.workloads = Set.copyOf(workloads);
     }
 
@@ -52,28 +52,28 @@
                 inUse.table(),
                 revision,
                 Runnable::run, // on the client's thread
-                table -> prepared(inUse, revision, table, onPrepared, onFailed),
-                fault -> deciding.execute(() -> onFailed.accept(fault.what())));
+                table -> onFetched(inUse, revision, table, onPrepared, onFailed),
+                fault -> decidingExecutor.execute(() -> onFailed.accept(fault.description())));
     }
 
-    private void prepared(
+    private void onFetched(
             Routes inUse,
             RevisionRoot revision,
             Table table,
             Consumer<PreparedRevision> onPrepared,
             Consumer<String> onFailed) {
         try {
-            Routes routes = routes(inUse, table);
-            PreparedRevision prepared = new PreparedRevision(revision, routes, ServerEntries.of(table, server));
-            deciding.execute(() -> onPrepared.accept(prepared));
+            Routes routes = routesOf(inUse, table);
+            PreparedRevision prepared = new PreparedRevision(revision, routes, ServerEntries.of(table, serverName));
+            decidingExecutor.execute(() -> onPrepared.accept(prepared));
         } catch (RuntimeException e) {
             LOG.warn("a revision could not be prepared", e);
-            deciding.execute(() -> onFailed.accept("it cannot be used: " + e.getMessage()));
+            decidingExecutor.execute(() -> onFailed.accept("it cannot be used: " + e.getMessage()));
         }
     }
 
-    private Routes routes(Routes inUse, Table table) {
-        Optional<List<Change>> difference = inUse.table().differenceTo(table, DIFFERENCE_MOST);
+    private Routes routesOf(Routes inUse, Table table) {
+        Optional<List<Change>> difference = inUse.table().differenceTo(table, MAX_DIFFERENCE_ENTRIES);
         return difference.map(changes -> inUse.with(table, changes)).orElseGet(() -> Routes.of(table, workloads));
     }
 }
