--- a/daemon/src/main/java/tallyweir/backend/Routes.java
+++ b/daemon/src/main/java/tallyweir/backend/Routes.java
@@ -16,36 +16,36 @@
  */
 public final class Routes {
     private final Table table;
-    private final Set<WorkloadId> own;
-    private final int size; // number of stores, also of those for workloads of other servers
-    private final StoreGroup ofAll; // stores without a list of workloads, which serve all of them
-    private final Map<WorkloadId, StoreGroup> ofSome; // stores with a list of workloads, by those of this server
-    private final Map<WorkloadId, Integer> unknown; // number of stores by workload that this server does not have
+    private final Set<WorkloadId> ownWorkloads;
+    private final int storeCount; // number of stores, also of those for workloads of other servers
+    private final StoreGroup forAllWorkloads; // stores without a list of workloads, which serve all of them
+    private final Map<WorkloadId, StoreGroup> byWorkload; // stores with a list of workloads, by those of this server
+    private final Map<WorkloadId, Integer> unknownWorkloads; // number of stores by workload that this server does not have
 
     /** Called by {@link RoutesBuilder}. */
     Routes(
             Table table,
-            Set<WorkloadId> own,
-            int size,
-            StoreGroup ofAll,
-            Map<WorkloadId, StoreGroup> ofSome,
-            Map<WorkloadId, Integer> unknown) {
+            Set<WorkloadId> ownWorkloads,
+            int storeCount,
+            StoreGroup forAllWorkloads,
+            Map<WorkloadId, StoreGroup> byWorkload,
+            Map<WorkloadId, Integer> unknownWorkloads) {
         this.table = table;
-        this.own = own;
-        this.size = size;
-        this.ofAll = ofAll;
-        this.ofSome = ofSome;
-        this.unknown = unknown;
+        this.ownWorkloads = ownWorkloads;
+        this.storeCount = storeCount;
+        this.forAllWorkloads = forAllWorkloads;
+        this.byWorkload = byWorkload;
+        this.unknownWorkloads = unknownWorkloads;
     }
 
     /** Routes without any revision: queries call the store of the configuration. */
-    public static Routes none(Set<WorkloadId> own) {
-        return new Routes(Table.EMPTY, Set.copyOf(own), 0, StoreGroup.EMPTY, Map.of(), Map.of());
+    public static Routes empty(Set<WorkloadId> ownWorkloads) {
+        return new Routes(Table.EMPTY, Set.copyOf(ownWorkloads), 0, StoreGroup.EMPTY, Map.of(), Map.of());
     }
 
     /** Builds the routes of a table for a server with the given workloads; walks the whole table. */
-    public static Routes of(Table table, Set<WorkloadId> own) {
-        RoutesBuilder builder = new RoutesBuilder(none(own));
+    public static Routes of(Table table, Set<WorkloadId> ownWorkloads) {
+        RoutesBuilder builder = new RoutesBuilder(empty(ownWorkloads));
         table.forEach(entry -> builder.add(entry.key(), entry.value()));
         return builder.build(table);
     }
@@ -67,55 +67,55 @@
         return table;
     }
 
-    Set<WorkloadId> own() {
-        return own;
+    Set<WorkloadId> ownWorkloads() {
+        return ownWorkloads;
     }
 
-    int size() {
-        return size;
+    int storeCount() {
+        return storeCount;
     }
 
-    StoreGroup ofAll() {
-        return ofAll;
+    StoreGroup forAllWorkloads() {
+        return forAllWorkloads;
     }
 
-    Map<WorkloadId, StoreGroup> ofSome() {
-        return ofSome;
+    Map<WorkloadId, StoreGroup> byWorkload() {
+        return byWorkload;
     }
 
-    Map<WorkloadId, Integer> unknown() {
-        return unknown;
+    Map<WorkloadId, Integer> unknownWorkloads() {
+        return unknownWorkloads;
     }
 
     /**
      * Picks a store for a query at random by weight. Returns null if the revision lists none for the workload; its queries then
      * call the store of the configuration.
      */
-    InetSocketAddress store(WorkloadId workload, SplittableRandom random) {
-        StoreGroup some = ofSome.getOrDefault(workload, StoreGroup.EMPTY);
-        int weight = ofAll.weight() + some.weight();
+    InetSocketAddress pickStore(WorkloadId workload, SplittableRandom random) {
+        StoreGroup some = byWorkload.getOrDefault(workload, StoreGroup.EMPTY);
+        int weight = forAllWorkloads.totalWeight() + some.totalWeight();
         if (weight == 0) {
             return null;
         }
         int position = random.nextInt(weight);
-        return position < ofAll.weight() ? ofAll.at(position) : some.at(position - ofAll.weight());
+        return position < forAllWorkloads.totalWeight() ? forAllWorkloads.storeAt(position) : some.storeAt(position - forAllWorkloads.totalWeight());
     }
 
     /** The reason why this server cannot use these routes; empty if it can. */
-    public String cannot() {
-        if (!unknown.isEmpty()) {
-            String first = unknown.keySet().stream()
+    public String unusableReason() {
+        if (!unknownWorkloads.isEmpty()) {
+            String first = unknownWorkloads.keySet().stream()
                     .map(WorkloadId::value)
                     .sorted()
                     .findFirst()
                     .orElseThrow();
             return "stores: the workload " + first + " is unknown at this server";
         }
-        if (size == 0 || ofAll.size() > 0) {
+        if (storeCount == 0 || forAllWorkloads.size() > 0) {
             return "";
         }
-        for (WorkloadId workload : own) {
-            if (!ofSome.containsKey(workload)) {
+        for (WorkloadId workload : ownWorkloads) {
+            if (!byWorkload.containsKey(workload)) {
                 return "stores: no store serves the workload " + workload.value();
             }
         }
@@ -123,9 +123,9 @@
     }
 
     /** All stores that queries of a workload may call. */
-    List<WeightedStore> stores(WorkloadId workload) {
-        List<WeightedStore> all = ofAll.stores();
-        all.addAll(ofSome.getOrDefault(workload, StoreGroup.EMPTY).stores());
+    List<WeightedStore> storesFor(WorkloadId workload) {
+        List<WeightedStore> all = forAllWorkloads.stores();
+        all.addAll(byWorkload.getOrDefault(workload, StoreGroup.EMPTY).stores());
         return all;
     }
 }
--- a/daemon/src/main/java/tallyweir/backend/RoutesBuilder.java
+++ b/daemon/src/main/java/tallyweir/backend/RoutesBuilder.java
@@ -20,29 +20,29 @@
         final List<WeightedStore> removed = new ArrayList<>();
         final List<WeightedStore> added = new ArrayList<>();
 
-        StoreGroup appliedTo(StoreGroup group) {
+        StoreGroup applyTo(StoreGroup group) {
             return group.with(removed, added);
         }
     }
 
-    private final Routes before;
-    private final Set<WorkloadId> own;
-    private final GroupDifference ofAll = new GroupDifference();
-    private final Map<WorkloadId, GroupDifference> ofSome = new HashMap<>();
-    private final Map<WorkloadId, Integer> unknown = new HashMap<>();
-    private int size;
+    private final Routes previous;
+    private final Set<WorkloadId> ownWorkloads;
+    private final GroupDifference forAllWorkloads = new GroupDifference();
+    private final Map<WorkloadId, GroupDifference> byWorkload = new HashMap<>();
+    private final Map<WorkloadId, Integer> unknownCounts = new HashMap<>();
+    private int storeCount;
 
     /** @param before the routes to start from, for the same server */
-    RoutesBuilder(Routes before) {
-        this.before = before;
-        own = before.own();
-        size = before.size();
+    RoutesBuilder(Routes previous) {
+        this.previous = previous;
+        ownWorkloads = previous.ownWorkloads();
+        storeCount = previous.storeCount();
     }
 
     /** Adds an entry that the table did not have; ignores one that is not a store. */
     void add(Key key, Value value) {
         if (key.kind() == Kind.STORE) {
-            put(StoreName.of(key), value, 1);
+            applyStore(StoreName.of(key), value, 1);
         }
     }
 
@@ -50,45 +50,45 @@
     void change(Change change) {
         if (change.key().kind() == Kind.STORE) {
             StoreName store = StoreName.of(change.key());
-            change.before().ifPresent(value -> put(store, value, -1));
-            change.after().ifPresent(value -> put(store, value, 1));
+            change.before().ifPresent(value -> applyStore(store, value, -1));
+            change.after().ifPresent(value -> applyStore(store, value, 1));
         }
     }
 
     /** @param count 1 for a store that is added, -1 for one that is removed */
-    private void put(StoreName name, Value value, int count) {
+    private void applyStore(StoreName name, Value value, int count) {
         WeightedStore store = new WeightedStore(name.address(), ((Value.Weight) value).weight());
-        size += count;
+        storeCount += count;
         if (name.workloads().isEmpty()) {
-            note(ofAll, store, count);
+            recordStore(forAllWorkloads, store, count);
         }
         for (WorkloadId workload : name.workloads()) {
-            if (own.contains(workload)) {
-                note(ofSome.computeIfAbsent(workload, w -> new GroupDifference()), store, count);
+            if (ownWorkloads.contains(workload)) {
+                recordStore(byWorkload.computeIfAbsent(workload, w -> new GroupDifference()), store, count);
             } else {
-                unknown.merge(workload, count, Integer::sum);
+                unknownCounts.merge(workload, count, Integer::sum);
             }
         }
     }
 
-    private static void note(GroupDifference group, WeightedStore store, int count) {
+    private static void recordStore(GroupDifference group, WeightedStore store, int count) {
         (count > 0 ? group.added : group.removed).add(store);
     }
 
     /** Builds the routes of the table that all the changes lead to. */
     Routes build(Table next) {
-        boolean same = ofAll.added.isEmpty() && ofAll.removed.isEmpty();
-        StoreGroup all = same ? before.ofAll() : ofAll.appliedTo(before.ofAll());
-        return new Routes(next, own, size, all, nextOfSome(), nextUnknown());
+        boolean same = forAllWorkloads.added.isEmpty() && forAllWorkloads.removed.isEmpty();
+        StoreGroup all = same ? previous.forAllWorkloads() : forAllWorkloads.applyTo(previous.forAllWorkloads());
+        return new Routes(next, ownWorkloads, storeCount, all, nextByWorkload(), nextUnknownWorkloads());
     }
 
-    private Map<WorkloadId, StoreGroup> nextOfSome() {
-        if (ofSome.isEmpty()) {
-            return before.ofSome();
+    private Map<WorkloadId, StoreGroup> nextByWorkload() {
+        if (byWorkload.isEmpty()) {
+            return previous.byWorkload();
         }
-        Map<WorkloadId, StoreGroup> groups = new HashMap<>(before.ofSome());
-        ofSome.forEach((workload, difference) -> {
-            StoreGroup group = difference.appliedTo(groups.getOrDefault(workload, StoreGroup.EMPTY));
+        Map<WorkloadId, StoreGroup> groups = new HashMap<>(previous.byWorkload());
+        byWorkload.forEach((workload, difference) -> {
+            StoreGroup group = difference.applyTo(groups.getOrDefault(workload, StoreGroup.EMPTY));
             if (group.size() == 0) {
                 groups.remove(workload);
             } else {
@@ -98,12 +98,12 @@
         return groups;
     }
 
-    private Map<WorkloadId, Integer> nextUnknown() {
-        if (unknown.isEmpty()) {
-            return before.unknown();
+    private Map<WorkloadId, Integer> nextUnknownWorkloads() {
+        if (unknownCounts.isEmpty()) {
+            return previous.unknownWorkloads();
         }
-        Map<WorkloadId, Integer> counts = new HashMap<>(before.unknown());
-        unknown.forEach((workload, count) -> counts.merge(workload, count, Integer::sum));
+        Map<WorkloadId, Integer> counts = new HashMap<>(previous.unknownWorkloads());
+        unknownCounts.forEach((workload, count) -> counts.merge(workload, count, Integer::sum));
         counts.values().removeIf(count -> count == 0);
         return counts;
     }
--- a/daemon/src/main/java/tallyweir/backend/ServerEntries.java
+++ b/daemon/src/main/java/tallyweir/backend/ServerEntries.java
@@ -17,7 +17,7 @@
  * @param announce address of the announce service, null for the one in its configuration
  * @param standsBack whether the server is withdrawn: it defers new queries and is no longer announced
  */
-record ServerEntries(Table table, InetSocketAddress kernel, InetSocketAddress announce, boolean standsBack) {
+record ServerEntries(Table table, InetSocketAddress kernel, InetSocketAddress announce, boolean withdrawn) {
     /** The entries without any revision. */
     static final ServerEntries NONE = new ServerEntries(Table.EMPTY, null, null, false);
 
--- a/daemon/src/main/java/tallyweir/backend/Store.java
+++ b/daemon/src/main/java/tallyweir/backend/Store.java
@@ -23,52 +23,52 @@
  */
 final class Store {
     // A store may drop an idle link and reset it at the next call, which is then lost: no link is idle for that long.
-    private static final long IDLE_MOST = 5_000;
+    private static final long MAX_IDLE_TENTHS_MS = 5_000;
 
     private static final class Call {
-        final InFlight of;
+        final InFlight query;
         final byte[] body;
-        final long until;
-        final long since;
-        Line line;
+        final long deadline;
+        final long startedAt;
+        StoreLink link;
         boolean sent;
-        Deadlines.Deadline end;
+        Deadlines.Deadline timeoutDeadline;
 
-        Call(InFlight of, byte[] body, long since, long until) {
-            this.of = of;
+        Call(InFlight query, byte[] body, long startedAt, long deadline) {
+            this.query = query;
             this.body = body;
-            this.since = since;
-            this.until = until;
+            this.startedAt = startedAt;
+            this.deadline = deadline;
         }
     }
 
     private final Links links;
-    private final LongSupplier numbers;
+    private final LongSupplier linkIds;
     private final Deadlines deadlines;
     private final Counters counters;
     private final Queries queries;
-    private final int most;
+    private final int maxLinks;
     private final RateLimitedLog warnings;
     private final PeerMonitor monitor;
     private final Map<JobId, Call> calls = new LinkedHashMap<>();
-    private final Map<LinkId, Line> lines = new HashMap<>();
-    private final ArrayDeque<Line> idle = new ArrayDeque<>(); // most recently used first
-    private final ArrayDeque<Call> waiting = new ArrayDeque<>(); // for a link, as the maximum number is open
+    private final Map<LinkId, StoreLink> storeLinks = new HashMap<>();
+    private final ArrayDeque<StoreLink> idleLinks = new ArrayDeque<>(); // most recently used first
+    private final ArrayDeque<Call> waitingCalls = new ArrayDeque<>(); // for a link, as the maximum number is open
 
     Store(Links links, LongSupplier linkIds, Deadlines deadlines, Counters counters, Queries queries, int maxLinks) {
         this.links = links;
-        this.numbers = linkIds;
+        this.linkIds = linkIds;
         this.deadlines = deadlines;
         this.counters = counters;
         this.queries = queries;
-        this.most = maxLinks;
+        this.maxLinks = maxLinks;
         warnings = new RateLimitedLog(Store.class, queries::now);
         monitor = new PeerMonitor(links, deadlines, counters, Peer.STORE);
     }
 
     /** The number of open and opening links. */
-    int size() {
-        return lines.size();
+    int linkCount() {
+        return storeLinks.size();
     }
 
     /** Sends a call on an idle or a new link; it waits for one while the maximum number of links is in use. */
@@ -76,78 +76,78 @@
         counters.add(Count.CALLS_ASKED);
         Call c = new Call(query, body, queries.now(), queries.now() + timeout);
         calls.put(query.job, c);
-        c.end = deadlines.set(c.until, () -> timedOut(c));
-        place(c);
+        c.timeoutDeadline = deadlines.set(c.deadline, () -> onTimeout(c));
+        assignLink(c);
     }
 
     /**
      * Assigns a link to a call. A duplicate reply may still arrive on the link that delivered the first one and would be taken
      * for the reply to a later call of the same query, so each call of a query uses another link.
      */
-    private void place(Call c) {
-        Line free = idle.stream()
-                .filter(l -> Objects.equals(l.to, c.of.store) && !c.of.calledOn.contains(l.id))
+    private void assignLink(Call c) {
+        StoreLink free = idleLinks.stream()
+                .filter(l -> Objects.equals(l.address, c.query.storeAddress) && !c.query.callLinks.contains(l.id))
                 .findFirst()
                 .orElse(null);
         if (free != null) {
-            free.take(c);
+            free.assign(c);
             free.send();
-        } else if (lines.size() < most || makeRoom()) {
-            new Line(c.of.store).open(c);
+        } else if (storeLinks.size() < maxLinks || makeRoom()) {
+            new StoreLink(c.query.storeAddress).open(c);
         } else {
-            waiting.add(c);
+            waitingCalls.add(c);
         }
     }
 
     private boolean makeRoom() {
-        if (!idle.isEmpty()) {
-            idle.peekLast().drop();
+        if (!idleLinks.isEmpty()) {
+            idleLinks.peekLast().drop();
         }
-        return lines.size() < most;
+        return storeLinks.size() < maxLinks;
     }
 
     /** Cancels the call of a query whose run has ended, so that its result is no longer needed. */
-    void giveUp(InFlight query) {
+    void cancel(InFlight query) {
         Call c = calls.get(query.job);
-        if (c != null && c.of == query) {
+        if (c != null && c.query == query) {
             end(c);
         }
     }
 
     /** Ends a call. If it still awaits its reply, the link is closed, which also cancels the call at the store. */
     private void end(Call c) {
-        calls.remove(c.of.job);
-        deadlines.cancel(c.end);
-        waiting.remove(c);
-        if (c.line != null) {
-            c.line.drop();
+        calls.remove(c.query.job);
+        deadlines.cancel(c.timeoutDeadline);
+        waitingCalls.remove(c);
+        if (c.link != null) {
+            c.link.drop();
         }
-        next();
+        assignWaitingCalls();
     }
 
-    private void next() {
-        while (!waiting.isEmpty() && (lines.size() < most || !idle.isEmpty())) {
-            place(waiting.poll());
+    private void assignWaitingCalls() {
+        while (!waitingCalls.isEmpty() && (storeLinks.size() < maxLinks || !idleLinks.isEmpty())) {
+            assignLink(waitingCalls.poll());
         }
     }
 
     /** A call that was never sent has certainly not run, so its outcome is not that of a timeout. */
-    private void timedOut(Call c) {
+    private void onTimeout(Call c) {
         end(c, Count.CALLS_TIMED_OUT, Outcome.OVERDUE);
     }
 
     private void end(Call c, Count count, Outcome outcome) {
         end(c);
         counters.add(c.sent ? count : Count.CALLS_NEVER_SENT);
-        queries.callEnded(c.of, c.sent ? outcome : Outcome.REFUSED_CONN, queries.now() - c.since, null);
+        queries.callEnded(c.query, c.sent ? outcome : Outcome.REFUSED_CONN, queries.now() - c.startedAt, null);
     }
 
     /** A link is open: sends the call that waits for it. */
-    void up(LinkId id) {
-        Line line = lines.get(id);
+    void onLinkUp(LinkId id) {
+        StoreLink line = storeLinks.get(id);
         if (line != null) {
             counters.add(Count.STORE_LINKS);
-            monitor.there(queries.now());
+            monitor.reachable(queries.now());
             line.send();
         }
     }
@@ -157,15 +157,15 @@
      *
      * @param unwritten whether no byte of what was sent has left this process
      */
-    void down(LinkId id, boolean unwritten) {
-        Line line = lines.get(id);
+    void onLinkDown(LinkId id, boolean unwritten) {
+        StoreLink line = storeLinks.get(id);
         if (line != null) {
-            line.broken(unwritten);
+            line.onBroken(unwritten);
         }
     }
 
     void read(LinkId id, ByteBuffer bytes) {
-        Line line = lines.get(id);
+        StoreLink line = storeLinks.get(id);
         if (line != null) {
             line.replies.read(bytes);
         }
@@ -175,75 +175,75 @@
      * The address in the configuration has changed. A call that was sent may still end on its old link; other calls get links to
      * the new address.
      */
-    void moved() {
-        for (Line line : List.copyOf(lines.values())) {
-            if (line.to != null) {
+    void onAddressChanged() {
+        for (StoreLink line : List.copyOf(storeLinks.values())) {
+            if (line.address != null) {
                 continue; // its address comes from a revision of the fleet
             }
             Call c = line.call;
             if (c != null && c.sent) {
-                line.old = true;
+                line.retired = true;
             } else {
                 line.drop();
                 if (c != null) {
-                    new Line(c.of.store).open(c);
+                    new StoreLink(c.query.storeAddress).open(c);
                 }
             }
         }
     }
 
     /** One link to a store; it leaves the tables only in release. */
-    private final class Line implements Replies.Sink {
-        private final LinkId id = new LinkId(numbers.getAsLong());
+    private final class StoreLink implements Replies.Sink {
+        private final LinkId id = new LinkId(linkIds.getAsLong());
         private final Replies replies = new Replies(this);
-        private final InetSocketAddress to; // from a revision of the fleet, null for the configured address
+        private final InetSocketAddress address; // from a revision of the fleet, null for the configured address
         private Call call;
-        private boolean old;
-        private Deadlines.Deadline idleEnd;
+        private boolean retired;
+        private Deadlines.Deadline idleDeadline;
 
-        private Line(InetSocketAddress to) {
-            this.to = to;
+        private StoreLink(InetSocketAddress address) {
+            this.address = address;
         }
 
         private void open(Call c) {
-            lines.put(id, this);
-            take(c);
-            links.connect(id, Peer.STORE, to);
+            storeLinks.put(id, this);
+            assign(c);
+            links.connect(id, Peer.STORE, address);
         }
 
-        private void take(Call c) {
-            idle.remove(this);
-            deadlines.cancel(idleEnd);
+        private void assign(Call c) {
+            idleLinks.remove(this);
+            deadlines.cancel(idleDeadline);
             call = c;
-            c.line = this;
-            c.of.calledOn.add(id);
+            c.link = this;
+            c.query.callLinks.add(id);
         }
 
         private void send() {
             call.sent = true;
             counters.add(Count.CALLS_SENT);
-            links.to(id, Calls.call(call.of.job, Math.max(1, (call.until - queries.now() + 9) / 10), call.body));
+            links.sendToPeer(id, Calls.call(call.query.job, Math.max(1, (call.deadline - queries.now() + 9) / 10), call.body));
         }
 
         private void drop() {
-            links.drop(id);
+            links.closeLink(id);
             release();
         }
 
         private void release() {
-            lines.remove(id);
-            idle.remove(this);
-            deadlines.cancel(idleEnd);
+            storeLinks.remove(id);
+            idleLinks.remove(this);
+            deadlines.cancel(idleDeadline);
             if (call != null) {
-                call.line = null;
+                call.link = null;
                 call = null;
             }
         }
 
-        private void broken(boolean unwritten) {
+        private void onBroken(boolean unwritten) {
             Call c = call;
             if (c != null && !c.sent) {
-                monitor.gone(queries.now());
+                monitor.unreachable(queries.now());
             }
             if (c != null && unwritten) {
                 c.sent = false; // the store closed the idle link at the moment the call was sent
@@ -256,41 +256,41 @@
 
         /** Ignores a reply that does not belong to the current call: one with an unknown id, or a duplicate. */
         @Override
-        public void replied(JobId job, String word, byte[] body) {
+        public void onReply(JobId job, String word, byte[] body) {
             Call c = call;
-            if (c == null || !c.sent || !c.of.job.equals(job)) {
+            if (c == null || !c.sent || !c.query.job.equals(job)) {
                 counters.add(Count.REPLIES_OF_NOTHING);
                 return;
             }
             call = null;
-            c.line = null;
-            if (old) {
+            c.link = null;
+            if (retired) {
                 drop();
             } else {
-                idle.addFirst(this);
-                idleEnd = deadlines.set(queries.now() + IDLE_MOST, this::drop);
+                idleLinks.addFirst(this);
+                idleDeadline = deadlines.set(queries.now() + MAX_IDLE_TENTHS_MS, this::drop);
             }
             switch (word) {
-                case "OK" -> over(c, Count.CALLS_OK, Outcome.COMPLETED, body);
-                case "BUSY" -> over(c, Count.CALLS_BUSY, Outcome.SATURATED, body);
-                case "VOID" -> over(c, Count.CALLS_VOID, Outcome.REFUSED_CONN, body);
-                case "LATE" -> over(c, Count.CALLS_LATE, Outcome.OVERDUE, body);
-                default -> over(c, Count.CALLS_ERR, Outcome.ERRORED, body);
+                case "OK" -> finish(c, Count.CALLS_OK, Outcome.COMPLETED, body);
+                case "BUSY" -> finish(c, Count.CALLS_BUSY, Outcome.SATURATED, body);
+                case "VOID" -> finish(c, Count.CALLS_VOID, Outcome.REFUSED_CONN, body);
+                case "LATE" -> finish(c, Count.CALLS_LATE, Outcome.OVERDUE, body);
+                default -> finish(c, Count.CALLS_ERR, Outcome.ERRORED, body);
             }
         }
 
-        private void over(Call c, Count count, Outcome outcome, byte[] body) {
+        private void finish(Call c, Count count, Outcome outcome, byte[] body) {
             Store.this.end(c);
             counters.add(count);
-            queries.callEnded(c.of, outcome, queries.now() - c.since, body);
+            queries.callEnded(c.query, outcome, queries.now() - c.startedAt, body);
         }
 
         @Override
-        public void bad(String reason) {
+        public void onInvalidStream(String reason) {
             counters.add(Count.REPLIES_SPOILT);
             warnings.warn("store: " + reason + "; the link is dropped");
-            links.drop(id);
-            broken(false);
+            links.closeLink(id);
+            onBroken(false);
         }
     }
 }
--- a/daemon/src/main/java/tallyweir/backend/StoreGroup.java
+++ b/daemon/src/main/java/tallyweir/backend/StoreGroup.java
@@ -19,26 +19,26 @@
 
     private static final int IPV4_BYTES = 4;
     private static final int IPV6_BYTES = 16;
-    private static final int IPV4_IN_IPV6 = 0xff; // in IPv4-mapped IPv6: twice before the address, after zeros
+    private static final int IPV4_MAPPED_BYTE = 0xff; // in IPv4-mapped IPv6: twice before the address, after zeros
 
     private final int hostBytes; // per address
     private final byte[] hosts;
     private final char[] ports;
-    private final int[] upTo; // the weight of each store plus those of all stores before it
+    private final int[] cumulativeWeights; // the weight of each store plus those of all stores before it
 
     StoreGroup(Collection<WeightedStore> stores) {
         boolean ipv4 = stores.stream().allMatch(store -> hostOf(store).length == IPV4_BYTES);
         hostBytes = ipv4 ? IPV4_BYTES : IPV6_BYTES;
         hosts = new byte[stores.size() * hostBytes];
         ports = new char[stores.size()];
-        upTo = new int[stores.size()];
+        cumulativeWeights = new int[stores.size()];
         int sum = 0;
         int index = 0;
         for (WeightedStore store : stores) {
             sum = Math.addExact(sum, store.weight());
             putHost(hostOf(store), index);
             ports[index] = (char) store.address().getPort();
-            upTo[index] = sum;
+            cumulativeWeights[index] = sum;
             index++;
         }
     }
@@ -51,7 +51,7 @@
         int end = (index + 1) * hostBytes;
         System.arraycopy(host, 0, hosts, end - host.length, host.length);
         if (host.length < hostBytes) {
-            Arrays.fill(hosts, end - host.length - 2, end - host.length, (byte) IPV4_IN_IPV6);
+            Arrays.fill(hosts, end - host.length - 2, end - host.length, (byte) IPV4_MAPPED_BYTE);
         }
     }
 
@@ -60,8 +60,8 @@
     }
 
     /** The sum of all weights. */
-    int weight() {
-        return upTo.length == 0 ? 0 : upTo[upTo.length - 1];
+    int totalWeight() {
+        return cumulativeWeights.length == 0 ? 0 : cumulativeWeights[cumulativeWeights.length - 1];
     }
 
     /**
@@ -69,8 +69,8 @@
      *
      * @param position from 0 to less than the sum of all weights
      */
-    InetSocketAddress at(int position) {
-        int found = Arrays.binarySearch(upTo, position + 1);
+    InetSocketAddress storeAt(int position) {
+        int found = Arrays.binarySearch(cumulativeWeights, position + 1);
         return address(found >= 0 ? found : -found - 1);
     }
 
@@ -88,8 +88,8 @@
         List<WeightedStore> all = new ArrayList<>();
         int before = 0;
         for (int i = 0; i < size(); i++) {
-            all.add(new WeightedStore(address(i), upTo[i] - before));
-            before = upTo[i];
+            all.add(new WeightedStore(address(i), cumulativeWeights[i] - before));
+            before = cumulativeWeights[i];
         }
         return all;
     }
--- a/daemon/src/main/java/tallyweir/backend/Watch.java
+++ b/daemon/src/main/java/tallyweir/backend/Watch.java
@@ -65,59 +65,59 @@
         IDLE
     }
 
-    private record Act(Kind kind, QueryId query, double value, boolean nowhereElse) {
-        boolean answers() {
+    private record Action(Kind kind, QueryId query, double value, boolean isFinal) {
+        boolean isAnswer() {
             return kind == Kind.DEFER || kind == Kind.FAIL;
         }
 
-        boolean sameAs(Act other) {
+        boolean isSameExceptValues(Action other) {
             return kind == other.kind && Objects.equals(query, other.query);
         }
     }
 
     /** What the settings in force and the shadow have done with one query. */
-    private static final class Pair {
-        boolean over; // answered under the settings in force, or its caller disconnected
-        boolean runs; // under the settings in force
-        boolean othersOver;
-        boolean othersRun;
-        boolean parted;
-        final EnumSet<Kind> first = EnumSet.noneOf(Kind.class); // taken so far only under the settings in force
-        final EnumSet<Kind> others = EnumSet.noneOf(Kind.class); // taken so far only by the shadow
+    private static final class QueryState {
+        boolean finished; // answered under the settings in force, or its caller disconnected
+        boolean running; // under the settings in force
+        boolean shadowFinished;
+        boolean shadowRunning;
+        boolean diverged;
+        final EnumSet<Kind> onlyInForce = EnumSet.noneOf(Kind.class); // taken so far only under the settings in force
+        final EnumSet<Kind> onlyShadow = EnumSet.noneOf(Kind.class); // taken so far only by the shadow
     }
 
-    private static final class Others extends Choice {
-        private double drawn;
+    private static final class ShadowChoice extends Choice {
+        private double nextDraw;
 
-        Others(Outgoing out, long seed, long now) {
+        ShadowChoice(Outgoing out, long seed, long now) {
             super(out, seed, now);
         }
 
         @Override
-        protected double draw() {
-            return drawn;
+        protected double nextDraw() {
+            return nextDraw;
         }
     }
 
-    private final Tap decided;
-    private final Tap asked = new Tap(Outgoing.nowhere());
-    private final Map<QueryId, Pair> pairs = new HashMap<>();
-    private final Set<QueryId> ending = new LinkedHashSet<>(); // queries that the current event may have ended
-    private final ArrayDeque<Runnable> news = new ArrayDeque<>();
+    private final Recorder inForceRecorder;
+    private final Recorder shadowRecorder = new Recorder(Outgoing.ignoring());
+    private final Map<QueryId, QueryState> queryStates = new HashMap<>();
+    private final Set<QueryId> possiblyEnded = new LinkedHashSet<>(); // queries that the current event may have ended
+    private final ArrayDeque<Runnable> pendingEvents = new ArrayDeque<>();
     private final long[] counts = new long[Kind.values().length];
-    private Others others; // null while there is no shadow
-    private Settings settings;
-    private double drawn;
+    private ShadowChoice shadow; // null while there is no shadow
+    private Settings shadowSettings;
+    private double lastDraw;
     private long now;
-    private int within;
+    private int depth;
 
     Watch(Outgoing out, long seed, long now) {
-        this(new Tap(out), seed, now);
+        this(new Recorder(out), seed, now);
     }
 
-    private Watch(Tap tap, long seed, long now) {
-        super(tap, seed, now);
-        decided = tap;
+    private Watch(Recorder recorder, long seed, long now) {
+        super(recorder, seed, now);
+        inForceRecorder = recorder;
         this.now = now;
     }
 
@@ -129,25 +129,25 @@
      * @param since the time at which it counts as started, by the clock of the decisions
      * @param cold whether the server counts as just started and not warmed up
      */
-    void watch(Settings newSettings, long seed, long since, boolean cold) {
-        pairs.clear();
+    void setShadow(Settings newSettings, long seed, long startedAt, boolean cold) {
+        queryStates.clear();
         Arrays.fill(counts, 0);
-        settings = newSettings;
-        others = null;
+        shadowSettings = newSettings;
+        shadow = null;
         if (newSettings != null) {
-            Others started = new Others(asked, seed, since);
-            started.clock(now);
-            newSettings.startWatched(started, cold);
-            others = started;
+            ShadowChoice started = new ShadowChoice(shadowRecorder, seed, startedAt);
+            started.setTime(now);
+            newSettings.startShadow(started, cold);
+            shadow = started;
         }
-        decided.on = others != null;
-        asked.on = others != null;
+        inForceRecorder.recording = shadow != null;
+        shadowRecorder.recording = shadow != null;
     }
 
     /** The differences so far, by the lower-case name of their kind; empty while there is no shadow. */
     Map<String, Long> counts() {
         Map<String, Long> all = new LinkedHashMap<>();
-        for (Kind k : others == null ? new Kind[0] : Kind.values()) {
+        for (Kind k : shadow == null ? new Kind[0] : Kind.values()) {
             all.put(k.name().toLowerCase(Locale.ROOT), counts[k.ordinal()]);
         }
         return all;
@@ -156,30 +156,30 @@
     // ---- events; the settings in force get each of them first
 
     @Override
-    public void clock(long now) {
-        super.clock(now);
+    public void setTime(long now) {
+        super.setTime(now);
         this.now = now;
-        if (others != null) {
-            others.clock(now);
+        if (shadow != null) {
+            shadow.setTime(now);
         }
     }
 
     @Override
-    public void lastConnection(boolean last) {
-        super.lastConnection(last);
-        if (others != null) {
-            others.lastConnection(last);
+    public void setOnLastConnection(boolean last) {
+        super.setOnLastConnection(last);
+        if (shadow != null) {
+            shadow.setOnLastConnection(last);
         }
     }
 
     @Override
-    protected double draw() {
-        drawn = super.draw();
-        return drawn;
+    protected double nextDraw() {
+        lastDraw = super.nextDraw();
+        return lastDraw;
     }
 
     @Override
-    public void read(
+    public void onQueryRead(
             QueryId id,
             QueryId earlier,
             CallerId caller,
@@ -193,17 +193,17 @@
             TenantId tenant,
             long predicted) {
         double[] draw = new double[1];
-        both(
+        dispatch(
                 () -> {
-                    super.read(
+                    super.onQueryRead(
                             id, earlier, caller, subject, workload, sizeKb, age, rank, timeout, retry, tenant,
                             predicted);
-                    draw[0] = drawn;
+                    draw[0] = lastDraw;
                 },
                 () -> {
-                    pairs.put(id, new Pair());
-                    others.drawn = draw[0];
-                    others.read(
+                    queryStates.put(id, new QueryState());
+                    shadow.nextDraw = draw[0];
+                    shadow.onQueryRead(
                             id,
                             earlier,
                             caller,
@@ -212,121 +212,121 @@
                             sizeKb,
                             age,
                             rank,
-                            settings.tellsPatience() ? timeout : 0,
-                            retry && settings.marksTries(),
+                            shadowSettings.passesTimeout() ? timeout : 0,
+                            retry && shadowSettings.marksRetries(),
                             tenant,
                             predicted);
                 });
     }
 
     @Override
-    public void ended(QueryId id, Outcome outcome) {
-        both(() -> super.ended(id, outcome), () -> {
-            Pair p = pairs.get(id);
-            others.ended(id, outcome);
+    public void onRunEnded(QueryId id, Outcome outcome) {
+        dispatch(() -> super.onRunEnded(id, outcome), () -> {
+            QueryState p = queryStates.get(id);
+            shadow.onRunEnded(id, outcome);
             if (p != null) {
-                ending.add(id);
-                p.runs = false;
-                p.over |= outcome != Outcome.RECALLED;
-                p.othersOver |= p.othersRun && outcome != Outcome.RECALLED;
-                p.othersRun = false;
+                possiblyEnded.add(id);
+                p.running = false;
+                p.finished |= outcome != Outcome.RECALLED;
+                p.shadowFinished |= p.shadowRunning && outcome != Outcome.RECALLED;
+                p.shadowRunning = false;
             }
         });
     }
 
     @Override
-    public void standsAtCall(QueryId id) {
-        both(() -> super.standsAtCall(id), () -> others.standsAtCall(id));
+    public void onBlockedOnCall(QueryId id) {
+        dispatch(() -> super.onBlockedOnCall(id), () -> shadow.onBlockedOnCall(id));
     }
 
     @Override
-    public void callEnded(QueryId id, Outcome outcome, long duration) {
-        both(() -> super.callEnded(id, outcome, duration), () -> others.callEnded(id, outcome, duration));
+    public void onCallEnded(QueryId id, Outcome outcome, long duration) {
+        dispatch(() -> super.onCallEnded(id, outcome, duration), () -> shadow.onCallEnded(id, outcome, duration));
     }
 
     @Override
-    public void gone(QueryId id) {
-        both(() -> super.gone(id), () -> {
-            Pair p = pairs.get(id);
+    public void onCallerDisconnected(QueryId id) {
+        dispatch(() -> super.onCallerDisconnected(id), () -> {
+            QueryState p = queryStates.get(id);
             if (p != null) {
-                ending.add(id);
-                p.over = true;
-                p.othersOver |= settings.tellsGone();
+                possiblyEnded.add(id);
+                p.finished = true;
+                p.shadowFinished |= shadowSettings.reportsDisconnects();
             }
-            if (settings.tellsGone()) {
-                others.gone(id);
+            if (shadowSettings.reportsDisconnects()) {
+                shadow.onCallerDisconnected(id);
             }
         });
     }
 
     @Override
     public void drain(long left) {
-        both(() -> super.drain(left), () -> others.drain(left));
+        dispatch(() -> super.drain(left), () -> shadow.drain(left));
     }
 
     @Override
-    public void gauges(double coresBusy, double runQueue) {
-        both(() -> super.gauges(coresBusy, runQueue), () -> others.gauges(coresBusy, runQueue));
+    public void setGauges(double coresBusy, double runQueue) {
+        dispatch(() -> super.setGauges(coresBusy, runQueue), () -> shadow.setGauges(coresBusy, runQueue));
     }
 
     @Override
-    public void timer(TimerId timer) {
-        both(() -> super.timer(timer), () -> others.timer(timer));
+    public void onTimer(TimerId timer) {
+        dispatch(() -> super.onTimer(timer), () -> shadow.onTimer(timer));
     }
 
     /**
      * Passes an event to the settings in force, then to the shadow. Handling an event may raise further events; the shadow gets
      * all of them in order once the settings in force are done with the outermost one.
      */
-    private void both(Runnable inForce, Runnable shadowed) {
-        if (others == null) {
+    private void dispatch(Runnable inForce, Runnable shadowed) {
+        if (shadow == null) {
             inForce.run();
             return;
         }
-        news.add(shadowed);
-        within++;
+        pendingEvents.add(shadowed);
+        depth++;
         try {
             inForce.run();
         } finally {
-            within--;
+            depth--;
         }
-        if (within == 0) {
-            compare();
+        if (depth == 0) {
+            runShadowAndCompare();
         }
     }
 
     /** Runs the shadow and compares. A fault in the shadow must not affect the settings in force, so it ends the shadow. */
-    private void compare() {
+    private void runShadowAndCompare() {
         try {
-            while (!news.isEmpty()) {
-                news.poll().run();
+            while (!pendingEvents.isEmpty()) {
+                pendingEvents.poll().run();
             }
-            for (Act act : decided.acts) {
-                note(act, true);
+            for (Action act : inForceRecorder.actions) {
+                updateState(act, true);
             }
-            asked.acts.forEach(act -> note(act, false));
-            partedWays();
-            count();
+            shadowRecorder.actions.forEach(act -> updateState(act, false));
+            endDivergedQueries();
+            countDifferences();
         } catch (RuntimeException | Error e) {
             LOG.error("the shadow settings failed and are switched off", e);
-            others = null;
-            decided.on = false;
+            shadow = null;
+            inForceRecorder.recording = false;
         }
-        news.clear();
-        ending.clear();
-        decided.acts.clear();
-        asked.acts.clear();
+        pendingEvents.clear();
+        possiblyEnded.clear();
+        inForceRecorder.actions.clear();
+        shadowRecorder.actions.clear();
     }
 
-    private void note(Act act, boolean inForce) {
-        Pair p = pairs.get(act.query);
+    private void updateState(Action act, boolean inForce) {
+        QueryState p = queryStates.get(act.query);
         if (p != null && inForce) {
-            p.over |= act.answers();
-            p.runs |= act.kind == Kind.RUN;
-            ending.add(act.query);
+            p.finished |= act.isAnswer();
+            p.running |= act.kind == Kind.RUN;
+            possiblyEnded.add(act.query);
         } else if (p != null) {
-            p.othersOver |= act.answers();
-            p.othersRun |= act.kind == Kind.RUN;
+            p.shadowFinished |= act.isAnswer();
+            p.shadowRunning |= act.kind == Kind.RUN;
         }
     }
 
@@ -334,29 +334,29 @@
      * Ends queries in the shadow that only the settings in force have answered, as if the caller had disconnected and the run
      * had never been.
      */
-    private void partedWays() {
-        for (QueryId id : ending) {
-            Pair p = pairs.get(id);
-            if (p.over && !p.othersOver) {
-                p.othersOver = true;
-                int before = asked.acts.size();
-                others.gone(id);
-                if (p.othersRun && !p.runs) {
-                    others.ended(id, Outcome.SUPERSEDED);
+    private void endDivergedQueries() {
+        for (QueryId id : possiblyEnded) {
+            QueryState p = queryStates.get(id);
+            if (p.finished && !p.shadowFinished) {
+                p.shadowFinished = true;
+                int before = shadowRecorder.actions.size();
+                shadow.onCallerDisconnected(id);
+                if (p.shadowRunning && !p.running) {
+                    shadow.onRunEnded(id, Outcome.SUPERSEDED);
                 }
-                List<Act> caused = asked.acts.subList(before, asked.acts.size());
+                List<Action> caused = shadowRecorder.actions.subList(before, shadowRecorder.actions.size());
                 caused.removeIf(a -> id.equals(a.query));
-                caused.forEach(a -> note(a, false));
+                caused.forEach(a -> updateState(a, false));
             }
         }
     }
 
-    private void count() {
-        asked.acts.removeIf(act -> act.query != null && !pairs.containsKey(act.query));
-        List<Act> onlyShadow = new ArrayList<>(asked.acts);
-        List<Act> onlyInForce = new ArrayList<>();
-        for (Act act : decided.acts) {
-            Act same = onlyShadow.stream().filter(act::sameAs).findFirst().orElse(null);
+    private void countDifferences() {
+        shadowRecorder.actions.removeIf(act -> act.query != null && !queryStates.containsKey(act.query));
+        List<Action> onlyShadow = new ArrayList<>(shadowRecorder.actions);
+        List<Action> onlyInForce = new ArrayList<>();
+        for (Action act : inForceRecorder.actions) {
+            Action same = onlyShadow.stream().filter(act::isSameExceptValues).findFirst().orElse(null);
             if (same == null) {
                 onlyInForce.add(act);
             } else {
@@ -367,117 +367,117 @@
             }
         }
         for (boolean answers : new boolean[] {true, false}) {
-            onlyInForce.stream().filter(a -> a.answers() == answers).forEach(a -> alone(a, true));
-            onlyShadow.stream().filter(a -> a.answers() == answers).forEach(a -> alone(a, false));
+            onlyInForce.stream().filter(a -> a.isAnswer() == answers).forEach(a -> countUnmatched(a, true));
+            onlyShadow.stream().filter(a -> a.isAnswer() == answers).forEach(a -> countUnmatched(a, false));
         }
-        ending.removeIf(id -> !pairs.get(id).over || pairs.get(id).runs);
-        pairs.keySet().removeAll(ending);
+        possiblyEnded.removeIf(id -> !queryStates.get(id).finished || queryStates.get(id).running);
+        queryStates.keySet().removeAll(possiblyEnded);
     }
 
     /**
      * Counts an action that only one of the two took for this event. It counts once, even if the other took it for an earlier
      * event or takes it for a later one.
      */
-    private void alone(Act act, boolean inForce) {
-        Pair p = pairs.get(act.query);
+    private void countUnmatched(Action act, boolean inForce) {
+        QueryState p = queryStates.get(act.query);
         if (act.query == null) {
             counts[act.kind.ordinal()]++;
-        } else if (p != null && !p.parted && !(inForce ? p.others : p.first).remove(act.kind)) {
+        } else if (p != null && !p.diverged && !(inForce ? p.onlyShadow : p.onlyInForce).remove(act.kind)) {
             counts[(inForce && act.kind == Kind.DEFER ? Kind.TAKE : act.kind).ordinal()]++;
-            (inForce ? p.first : p.others).add(act.kind);
-            p.parted = act.answers();
+            (inForce ? p.onlyInForce : p.onlyShadow).add(act.kind);
+            p.diverged = act.isAnswer();
         }
     }
 
     /** Records the actions of one of the two while there is a shadow, and passes them on. */
-    private static final class Tap implements Outgoing {
-        private final Outgoing to;
-        private final List<Act> acts = new ArrayList<>();
-        private boolean on;
+    private static final class Recorder implements Outgoing {
+        private final Outgoing target;
+        private final List<Action> actions = new ArrayList<>();
+        private boolean recording;
 
-        Tap(Outgoing to) {
-            this.to = to;
+        Recorder(Outgoing target) {
+            this.target = target;
         }
 
-        private void note(Kind kind, QueryId query, double value, boolean isFinal) {
-            if (on) {
-                acts.add(new Act(kind, query, value, isFinal));
+        private void add(Kind kind, QueryId query, double value, boolean isFinal) {
+            if (recording) {
+                actions.add(new Action(kind, query, value, isFinal));
             }
         }
 
         @Override
         public void run(QueryId query) {
-            note(Kind.RUN, query, 0, false);
-            to.run(query);
+            add(Kind.RUN, query, 0, false);
+            target.run(query);
         }
 
         @Override
         public void defer(QueryId query, long backOff, boolean isFinal) {
-            note(Kind.DEFER, query, backOff, isFinal);
-            to.defer(query, backOff, isFinal);
+            add(Kind.DEFER, query, backOff, isFinal);
+            target.defer(query, backOff, isFinal);
         }
 
         @Override
         public void fail(QueryId query) {
-            note(Kind.FAIL, query, 0, false);
-            to.fail(query);
+            add(Kind.FAIL, query, 0, false);
+            target.fail(query);
         }
 
         @Override
-        public void stop(QueryId query) {
-            note(Kind.STOP, query, 0, false);
-            to.stop(query);
+        public void cancel(QueryId query) {
+            add(Kind.STOP, query, 0, false);
+            target.cancel(query);
         }
 
         @Override
         public void call(QueryId query, long timeout) {
-            note(Kind.CALL, query, timeout, false);
-            to.call(query, timeout);
+            add(Kind.CALL, query, timeout, false);
+            target.call(query, timeout);
         }
 
         @Override
-        public void poorer(QueryId query) {
-            note(Kind.POORER, query, 0, false);
-            to.poorer(query);
+        public void degrade(QueryId query) {
+            add(Kind.POORER, query, 0, false);
+            target.degrade(query);
         }
 
         @Override
-        public void keep(QueryId query, long duration) {
-            note(Kind.KEEP, query, duration, false);
-            to.keep(query, duration);
+        public void retain(QueryId query, long duration) {
+            add(Kind.KEEP, query, duration, false);
+            target.retain(query, duration);
         }
 
         @Override
-        public void forget(QueryId query) {
-            to.forget(query);
+        public void discardRetained(QueryId query) {
+            target.discardRetained(query);
         }
 
         @Override
-        public void reuse(QueryId query) {
-            note(Kind.REUSE, query, 0, false);
-            to.reuse(query);
+        public void replay(QueryId query) {
+            add(Kind.REUSE, query, 0, false);
+            target.replay(query);
         }
 
         @Override
-        public void health(boolean good, boolean stored) {
-            to.health(good, stored);
+        public void setHealth(boolean good, boolean stored) {
+            target.setHealth(good, stored);
         }
 
         @Override
-        public void say(double value) {
-            note(Kind.SAY, null, value, false);
-            to.say(value);
+        public void advertiseLoad(double value) {
+            add(Kind.SAY, null, value, false);
+            target.advertiseLoad(value);
         }
 
         @Override
-        public void closeIdle(long timeout) {
-            note(Kind.IDLE, null, timeout, false);
-            to.closeIdle(timeout);
+        public void setIdleTimeout(long timeout) {
+            add(Kind.IDLE, null, timeout, false);
+            target.setIdleTimeout(timeout);
         }
 
         @Override
-        public void wake(long at, TimerId timer) {
-            to.wake(at, timer);
+        public void setTimer(long at, TimerId timer) {
+            target.setTimer(at, timer);
         }
     }
 }
--- a/daemon/src/main/java/tallyweir/cli/Leaving.java
+++ b/daemon/src/main/java/tallyweir/cli/Leaving.java
@@ -14,20 +14,20 @@
  * caller that could connect is answered.
  */
 final class Leaving implements Runnable {
-    private static final long LAST_WORDS_MS = 100; // before the stop; long enough to print the counters
-    private static final long PAST_STOP_MS = 2_000; // after the stop; then the process ends without a kill
+    private static final long FINAL_COUNTERS_MS = 100; // before the stop; long enough to print the counters
+    private static final long MAX_WAIT_AFTER_STOP_MS = 2_000; // after the stop; then the process ends without a kill
 
-    private static final DateTimeFormatter TIME = DateTimeFormatter.ofPattern("HH:mm:ss.SSS");
+    private static final DateTimeFormatter TIME_FORMAT = DateTimeFormatter.ofPattern("HH:mm:ss.SSS");
 
-    private final long stopMs;
+    private final long stopAfterMs;
     private final PrintStream err;
-    private boolean told;
+    private boolean shutdownRequested;
     private Server server; // null until it listens
     private FileStore store; // null for none
 
-    /** @param stopMs milliseconds between the notice to shut down and the kill */
-    Leaving(long stopMs, PrintStream err) {
-        this.stopMs = stopMs;
+    /** @param stopAfterMs milliseconds between the notice to shut down and the kill */
+    Leaving(long stopAfterMs, PrintStream err) {
+        this.stopAfterMs = stopAfterMs;
         this.err = err;
     }
 
@@ -37,8 +37,8 @@
      * @param store closed at the shutdown, null for none
      * @return whether the server listens
      */
-    synchronized boolean begins(Server server, FileStore store) throws IOException {
-        if (told) {
+    synchronized boolean listenUnlessShutdown(Server server, FileStore store) throws IOException {
+        if (shutdownRequested) {
             return false;
         }
         server.bind();
@@ -47,39 +47,39 @@
         return true;
     }
 
-    private synchronized Server told() {
-        told = true;
+    private synchronized Server requestShutdown() {
+        shutdownRequested = true;
         return server;
     }
 
     /** Prints instead of logging, as the JVM may have shut logging down by now. */
     @Override
     public void run() {
-        Server leaves = told();
-        if (leaves == null) {
+        Server listeningServer = requestShutdown();
+        if (listeningServer == null) {
             return;
         }
-        leaves.whenListenerCloses(() -> say("listener closed; " + leaves.counters()));
-        leaves.drain();
-        say("shutting down; " + leaves.counters());
-        long words = Math.max(0, stopMs - LAST_WORDS_MS);
-        pause(words);
-        say("final counters; " + leaves.counters());
-        leaves.leaveFleet();
+        listeningServer.onListenerClosed(() -> print("listener closed; " + listeningServer.counters()));
+        listeningServer.drain();
+        print("shutting down; " + listeningServer.counters());
+        long finalCountersAfterMs = Math.max(0, stopAfterMs - FINAL_COUNTERS_MS);
+        pause(finalCountersAfterMs);
+        print("final counters; " + listeningServer.counters());
+        listeningServer.leaveFleet();
         if (store != null) {
             store.close();
-            say("the store is closed; " + store.store().figures().all());
+            print("the store is closed; " + store.store().figures().toMap());
         }
-        pause(stopMs - words + PAST_STOP_MS);
+        pause(stopAfterMs - finalCountersAfterMs + MAX_WAIT_AFTER_STOP_MS);
     }
 
-    private void say(String what) {
-        err.println(LocalTime.now().format(TIME) + " tallyweir: " + what);
+    private void print(String message) {
+        err.println(LocalTime.now().format(TIME_FORMAT) + " tallyweir: " + message);
     }
 
-    private static void pause(long milliseconds) {
+    private static void pause(long durationMs) {
         try {
-            TimeUnit.MILLISECONDS.sleep(milliseconds);
+            TimeUnit.MILLISECONDS.sleep(durationMs);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/daemon/src/main/java/tallyweir/cli/Reload.java
+++ b/daemon/src/main/java/tallyweir/cli/Reload.java
@@ -23,17 +23,17 @@
  */
 final class Reload {
     private static final Logger LOG = LoggerFactory.getLogger(Reload.class);
-    private static final long AGAIN_MS = 250; // a file that was being written is usually complete by then
-    private static final int DOUBLED_MOST = 7; // then a retry every half minute
-    private static final long WATCH_MS = 250;
+    private static final long RETRY_INTERVAL_MS = 250; // a file that was being written is usually complete by then
+    private static final int MAX_DOUBLINGS = 7; // then a retry every half minute
+    private static final long POLL_INTERVAL_MS = 250;
 
     private final Server server;
     private final Map<String, String> environment;
-    private final Semaphore asked = new Semaphore(0);
-    private volatile boolean told;
-    private volatile boolean watches;
-    private String file = ""; // the file's state when a change was last found
-    private int faults;
+    private final Semaphore requests = new Semaphore(0);
+    private volatile boolean signalled;
+    private volatile boolean polling;
+    private String fileState = ""; // the file's state when a change was last found
+    private int consecutiveFaults;
     private String lastFault = "";
 
     Reload(Server server, Map<String, String> environment) {
@@ -45,23 +45,23 @@
     }
 
     /** Reads the configuration again after a signal, and logs that. Any thread may call it. */
-    void told() {
-        told = true;
-        asked.release();
+    void onSignal() {
+        signalled = true;
+        requests.release();
     }
 
     /** Reads the configuration again because a peer cannot be reached. Any thread may call it. */
     void look() {
-        asked.release();
+        requests.release();
     }
 
     /**
      * Polls the file for changes from now on, every quarter of a second. Reads it at once, as it may have changed since
      * the start.
      */
-    void watchFile() {
-        watches = true;
-        asked.release();
+    void pollFile() {
+        polling = true;
+        requests.release();
     }
 
     /** The file's modification time, size and identity as one text. */
@@ -76,11 +76,11 @@
 
     /** Waits until the file has changed or a reload is requested. */
     private void awaitChange() throws InterruptedException {
-        while (!asked.tryAcquire(WATCH_MS, TimeUnit.MILLISECONDS)) {
-            String is = fileState(Path.of(environment.get("EDGE_CONFIG")));
-            if (!is.equals(file)) {
-                file = is;
-                told = true;
+        while (!requests.tryAcquire(POLL_INTERVAL_MS, TimeUnit.MILLISECONDS)) {
+            String current = fileState(Path.of(environment.get("EDGE_CONFIG")));
+            if (!current.equals(fileState)) {
+                fileState = current;
+                signalled = true;
                 return;
             }
         }
@@ -89,31 +89,31 @@
     private void run() {
         while (true) {
             try {
-                if (faults == 0 && watches) {
+                if (consecutiveFaults == 0 && polling) {
                     awaitChange();
-                } else if (faults == 0) {
-                    asked.acquire();
+                } else if (consecutiveFaults == 0) {
+                    requests.acquire();
                 } else {
-                    asked.tryAcquire(AGAIN_MS << Math.min(DOUBLED_MOST, faults - 1), TimeUnit.MILLISECONDS);
+                    requests.tryAcquire(RETRY_INTERVAL_MS << Math.min(MAX_DOUBLINGS, consecutiveFaults - 1), TimeUnit.MILLISECONDS);
                 }
-                asked.drainPermits();
-                boolean loud = told;
-                told = false;
-                read(loud);
-                faults = 0;
+                requests.drainPermits();
+                boolean alwaysLog = signalled;
+                signalled = false;
+                read(alwaysLog);
+                consecutiveFaults = 0;
             } catch (InterruptedException e) {
                 return;
             } catch (RuntimeException | Error e) {
-                fault(e);
+                logFault(e);
             }
         }
     }
 
-    private void read(boolean loud) {
+    private void read(boolean alwaysLog) {
         Config config = Config.read(environment);
-        server.move(config);
-        watch(config.settings);
-        if (loud || faults > 0) {
+        server.updatePeerAddresses(config);
+        readShadowSettings(config.settings);
+        if (alwaysLog || consecutiveFaults > 0) {
             LOG.atInfo()
                     .addKeyValue("kernel", config.kernel)
                     .addKeyValue("store", config.store)
@@ -123,18 +123,18 @@
     }
 
     /** Logs a fault, but not again while successive attempts fail with the same one. */
-    private void fault(Throwable e) {
-        String is = e instanceof BadSetting ? e.getMessage() : e.toString();
-        if (faults++ == 0 || !is.equals(lastFault)) {
-            LOG.atWarn().addKeyValue("fault", is).log("the configuration was not reloaded, the old one stays in force");
+    private void logFault(Throwable e) {
+        String message = e instanceof BadSetting ? e.getMessage() : e.toString();
+        if (consecutiveFaults++ == 0 || !message.equals(lastFault)) {
+            LOG.atWarn().addKeyValue("fault", message).log("the configuration was not reloaded, the old one stays in force");
         }
-        lastFault = is;
+        lastFault = message;
     }
 
     /** A fault in the operators' shadow settings must not delay new peer addresses, so it is only logged. */
-    private void watch(Settings inForce) {
+    private void readShadowSettings(Settings inForce) {
         try {
-            server.watch(Operators.read(environment).watched(inForce));
+            server.compareWith(Operators.read(environment).shadowSettings(inForce));
         } catch (BadSetting e) {
             LOG.atWarn()
                     .addKeyValue("fault", e.getMessage())
--- a/daemon/src/main/java/tallyweir/cli/Serve.java
+++ b/daemon/src/main/java/tallyweir/cli/Serve.java
@@ -43,59 +43,59 @@
         System.setProperty("java.util.logging.SimpleFormatter.format", "%1$tH:%1$tM:%1$tS.%1$tL %4$s %5$s%6$s%n");
         Config config;
         Operators operators;
-        Settings watched;
+        Settings shadow;
         try {
             config = Config.read(environment);
             operators = Operators.read(environment);
-            watched = operators.watched(config.settings);
+            shadow = operators.shadowSettings(config.settings);
         } catch (BadSetting e) {
             err.println("tallyweir: " + e.getMessage());
             return 2;
         }
-        Leaving leaving = new Leaving(config.stopAfter / 10, err);
-        Runtime.getRuntime().addShutdownHook(new Thread(leaving, "leave"));
+        Leaving shutdownHook = new Leaving(config.shutdownTimeoutTenthsMs / 10, err);
+        Runtime.getRuntime().addShutdownHook(new Thread(shutdownHook, "leave"));
         FileStore store = null;
         try {
-            store = open(operators);
+            store = openStore(operators);
         } catch (IOException e) {
             err.println("tallyweir: the store cannot be opened: " + e.getMessage());
             return 1;
         }
-        Rehearsal.play(config);
-        Server server = server(config, operators, store);
-        server.watch(watched);
+        Rehearsal.run(config);
+        Server server = createServer(config, operators, store);
+        server.compareWith(shadow);
         if (store != null) {
-            server.counts("durable_", store.store().figures()::all);
+            server.addCounters("durable_", store.store().figures()::toMap);
             Times times = store.times();
-            server.counts("durable_tenth_ms_", () -> times.all(System.nanoTime()));
+            server.addCounters("durable_tenth_ms_", () -> times.toMap(System.nanoTime()));
         }
         try {
             joinFleet(server, config, operators);
         } catch (FleetException e) {
-            err.println("tallyweir: " + e.fault().what() + "; " + e.fault().advice());
+            err.println("tallyweir: " + e.fault().description() + "; " + e.fault().advice());
             return 1;
         } catch (BadSetting e) {
             err.println("tallyweir: " + e.getMessage());
             return 2;
         }
         try {
-            if (!leaving.begins(server, store)) {
+            if (!shutdownHook.listenUnlessShutdown(server, store)) {
                 return 0; // told to shut down before anybody could connect
             }
         } catch (IOException e) {
             err.println("tallyweir: cannot listen on " + config.listen + ": " + e.getMessage());
             return 1;
         }
-        Reload reload = new Reload(server, environment);
-        server.lookAgain(reload::look);
+        Reload reloader = new Reload(server, environment);
+        server.lookAgain(reloader::look);
         // The parent process may ignore the signal (nohup does). That is inherited and the JVM does not change it, so
         // no signal would ever arrive.
-        if (Signal.handle(new Signal("HUP"), signal -> reload.told()) == SignalHandler.SIG_IGN) {
+        if (Signal.handle(new Signal("HUP"), signal -> reloader.onSignal()) == SignalHandler.SIG_IGN) {
             LOG.warn("SIGHUP was ignored when the process started; the configuration file is polled instead");
-            reload.watchFile();
+            reloader.pollFile();
         }
         if (store != null) {
-            store.committer().onFenced(() -> new Thread(Serve::takenOver, "taken over").start());
+            store.committer().onFenced(() -> new Thread(Serve::shutDownAfterTakeover, "taken over").start());
         }
         // Logging loads its classes at the first line. When the first line came only after descriptors had run out, the
         // load failed and ended the accepting thread.
@@ -112,35 +112,35 @@
         if (!operators.inFleet()) {
             return;
         }
-        Set<Guard> without = off("tallyweir.drill.fleet.without", Guard.class);
+        Set<Guard> disabledGuards = disabledGuards("tallyweir.drill.fleet.without", Guard.class);
         FleetClients clients = ServiceLoader.load(FleetClients.class)
                 .findFirst()
                 .orElseThrow(() -> new BadSetting(
                         "fleet needs the program with all its libraries: start it with bin/tallyweir serve"));
         server.joinFleet(
-                operators.openFleet(clients, config.name, config.settings.longestHard(), without),
+                operators.openFleet(clients, config.name, config.settings.maxHardLimit(), disabledGuards),
                 operators.fleetName(),
-                operators.linger(),
-                operators.lease() / 100,
-                operators.standsBackWhenOut(),
-                without);
+                operators.lingerTenthsMs(),
+                operators.leaseTenthsMs() / 100,
+                operators.withdrawsWhenOut(),
+                disabledGuards);
     }
 
     /** Opens the store; null if none is configured. */
-    private static FileStore open(Operators operators) throws IOException {
-        if (!operators.hasDurable()) {
+    private static FileStore openStore(Operators operators) throws IOException {
+        if (!operators.hasDurableStore()) {
             return null;
         }
-        FileStore store = operators.openDurable();
+        FileStore store = operators.openDurableStore();
         LOG.atInfo()
-                .addKeyValue("keys", store.store().keys())
-                .addKeyValue("opening", store.store().opening())
+                .addKeyValue("keys", store.store().keyCount())
+                .addKeyValue("opening", store.store().openingCount())
                 .addKeyValue("from_snapshot", store.store().openedFromSnapshot())
                 .log("the store is open");
         try {
             store.openAdminSocket(
                     operators.adminSocket(),
-                    operators.keepsResults() ? Settling.commands(store.store(), store.committer()) : Map.of());
+                    operators.retainsResults() ? Settling.commands(store.store(), store.committer()) : Map.of());
         } catch (IOException e) {
             LOG.atWarn().addKeyValue("fault", e.getMessage()).log("the admin socket of the store could not be opened");
         }
@@ -148,19 +148,19 @@
     }
 
     /** The guards that a drill has disabled by a system property, to show that they are needed. */
-    private static <G extends Enum<G>> Set<G> off(String property, Class<G> guards) {
-        Set<G> off = EnumSet.noneOf(guards);
+    private static <G extends Enum<G>> Set<G> disabledGuards(String property, Class<G> guards) {
+        Set<G> disabled = EnumSet.noneOf(guards);
         for (String name : System.getProperty(property, "").split(",")) {
             if (!name.isEmpty()) {
-                off.add(Enum.valueOf(guards, name));
+                disabled.add(Enum.valueOf(guards, name));
                 LOG.atWarn().addKeyValue("guard", name).log("a guard is disabled for a drill: results can be wrong");
             }
         }
-        return off;
+        return disabled;
     }
 
-    private static Server server(Config config, Operators operators, FileStore store) {
-        if (store == null || !operators.keepsResults()) {
+    private static Server createServer(Config config, Operators operators, FileStore store) {
+        if (store == null || !operators.retainsResults()) {
             return new Server(config);
         }
         ExecutorService reads = Executors.newSingleThreadExecutor(r -> {
@@ -175,13 +175,13 @@
                         store.committer(),
                         deciding,
                         reads,
-                        off("tallyweir.drill.without", Marks.Guard.class)));
+                        disabledGuards("tallyweir.drill.without", Marks.Guard.class)));
     }
 
     /**
      * Another process owns the store now. The shutdown hook answers the queries that are pending here, as on a notice.
      */
-    private static void takenOver() {
+    private static void shutDownAfterTakeover() {
         LOG.error("another process has taken over the store; this one shuts down");
         System.exit(1);
     }
--- a/daemon/src/main/java/tallyweir/config/ChangeFile.java
+++ b/daemon/src/main/java/tallyweir/config/ChangeFile.java
@@ -20,7 +20,7 @@
  *
  * @param wanted the new value of each entry, empty for an entry that is removed
  */
-public record ChangeFile(Map<Key, Optional<Value>> wanted) {
+public record ChangeFile(Map<Key, Optional<Value>> newValues) {
     private static final String PUT = "put";
     private static final String REMOVE = "remove";
 
@@ -31,61 +31,61 @@
      *     {@link Fault.BodyFaulty} if the file is not a JSON object
      */
     public static ChangeFile parse(byte[] json) {
-        Tree tree = RevisionFile.tree(json);
+        Tree tree = RevisionFile.parseObject(json);
         FaultList faults = new FaultList();
-        faults.unknownKeys(tree, PUT, REMOVE);
+        faults.collectUnknownKeys(tree, PUT, REMOVE);
         EntryReader entriesToPut = new EntryReader(faults);
-        faults.check(PUT, () -> entriesToPut.sections(tree.in(PUT)));
+        faults.collect(PUT, () -> entriesToPut.readSections(tree.child(PUT)));
         Set<Key> removed = new TreeSet<>();
-        faults.check(REMOVE, () -> removed(faults, tree.in(REMOVE), removed));
+        faults.collect(REMOVE, () -> readRemovals(faults, tree.child(REMOVE), removed));
 
-        Map<Key, Optional<Value>> wanted = new TreeMap<>();
-        entriesToPut.entries().forEach((key, value) -> wanted.put(key, Optional.of(value)));
+        Map<Key, Optional<Value>> newValues = new TreeMap<>();
+        entriesToPut.entries().forEach((key, value) -> newValues.put(key, Optional.of(value)));
         for (Key key : removed) {
-            if (wanted.put(key, Optional.empty()) != null) {
+            if (newValues.put(key, Optional.empty()) != null) {
                 faults.add(describe(key), describe(key) + " is in both put and remove");
             }
         }
-        if (faults.isEmpty() && wanted.isEmpty()) {
+        if (faults.isEmpty() && newValues.isEmpty()) {
             faults.add(PUT, "the file has nothing to put or remove");
         }
         if (!faults.isEmpty()) {
-            throw new Fault.EntryFaulty(faults.keys(), faults.reasons()).thrown();
+            throw new Fault.EntryFaulty(faults.keys(), faults.reasons()).toException();
         }
-        return new ChangeFile(wanted);
+        return new ChangeFile(newValues);
     }
 
-    private static void removed(FaultList faults, Tree tree, Set<Key> removed) {
-        faults.unknownKeys(
+    private static void readRemovals(FaultList faults, Tree tree, Set<Key> removed) {
+        faults.collectUnknownKeys(
                 tree,
                 EntryReader.STORES,
                 EntryReader.ANNOUNCE,
                 EntryReader.KERNELS,
                 EntryReader.CAPS,
                 EntryReader.STAND_BACK);
-        faults.check(EntryReader.STORES, () -> removedStores(faults, tree.texts(EntryReader.STORES), removed));
-        faults.check(EntryReader.ANNOUNCE, () -> {
-            if (tree.yes(EntryReader.ANNOUNCE)) {
+        faults.collect(EntryReader.STORES, () -> readStoreRemovals(faults, tree.strings(EntryReader.STORES), removed));
+        faults.collect(EntryReader.ANNOUNCE, () -> {
+            if (tree.isTrue(EntryReader.ANNOUNCE)) {
                 removed.add(new Key(Kind.ANNOUNCE, ""));
             }
         });
-        removedNames(faults, tree, EntryReader.KERNELS, Kind.KERNEL, removed);
-        removedNames(faults, tree, EntryReader.CAPS, Kind.CAP, removed);
-        removedNames(faults, tree, EntryReader.STAND_BACK, Kind.STAND_BACK, removed);
+        readNameRemovals(faults, tree, EntryReader.KERNELS, Kind.KERNEL, removed);
+        readNameRemovals(faults, tree, EntryReader.CAPS, Kind.CAP, removed);
+        readNameRemovals(faults, tree, EntryReader.STAND_BACK, Kind.STAND_BACK, removed);
     }
 
-    private static void removedStores(FaultList faults, List<String> names, Set<Key> removed) {
+    private static void readStoreRemovals(FaultList faults, List<String> names, Set<Key> removed) {
         for (int i = 0; i < names.size(); i++) {
             String key = REMOVE + "." + EntryReader.STORES + "[" + i + "]";
             String name = names.get(i);
-            faults.check(key, () -> StoreName.parse(key, name).forEach(store -> removed.add(store.key())));
+            faults.collect(key, () -> StoreName.parse(key, name).forEach(store -> removed.add(store.key())));
         }
     }
 
-    private static void removedNames(FaultList faults, Tree tree, String section, Kind kind, Set<Key> removed) {
-        faults.check(section, () -> {
-            for (String name : tree.texts(section)) {
-                faults.check(REMOVE + "." + section + "." + name, () -> removed.add(new Key(kind, name)));
+    private static void readNameRemovals(FaultList faults, Tree tree, String section, Kind kind, Set<Key> removed) {
+        faults.collect(section, () -> {
+            for (String name : tree.strings(section)) {
+                faults.collect(REMOVE + "." + section + "." + name, () -> removed.add(new Key(kind, name)));
             }
         });
     }
@@ -96,7 +96,7 @@
 
     /** The keys of all entries that are put or removed. */
     public List<Key> keys() {
-        return List.copyOf(wanted.keySet());
+        return List.copyOf(newValues.keySet());
     }
 
     /**
@@ -106,7 +106,7 @@
      */
     public List<Change> changes(Map<Key, Value> current) {
         List<Change> changes = new ArrayList<>();
-        wanted.forEach((key, value) -> changes.add(new Change(key, Optional.ofNullable(current.get(key)), value)));
+        newValues.forEach((key, value) -> changes.add(new Change(key, Optional.ofNullable(current.get(key)), value)));
         return changes;
     }
 }
--- a/daemon/src/main/java/tallyweir/config/Config.java
+++ b/daemon/src/main/java/tallyweir/config/Config.java
@@ -24,40 +24,40 @@
     public final InetSocketAddress announce;
     public final long seed;
     /** Time allowed for a graceful shutdown, in tenths of a millisecond. */
-    public final long stopAfter;
+    public final long shutdownTimeoutTenthsMs;
     /** The maximum number of sockets that are open at a time, from which the limits per kind of connection follow. */
-    public final int sockets;
+    public final int maxSockets;
 
     public final Settings settings;
 
     private Config(Tree root, Map<String, String> environment) {
-        name = root.text("name", environment.getOrDefault("EDGE_NAME", ""));
+        name = root.string("name", environment.getOrDefault("EDGE_NAME", ""));
         if (!name.matches("[!-~]{1,64}")) {
             throw new BadSetting(
                     "name is '" + name + "': 1 to 64 printable ASCII characters without spaces are needed");
         }
-        listen = address("listen", root.text("listen", environment.getOrDefault("EDGE_LISTEN", "")));
-        kernel = address("kernel", root.text("kernel"));
-        announce = address("announce", root.text("announce"));
-        seed = seed(root.text("seed"));
-        stopAfter = root.whole("stop_ms", 0, Integer.MAX_VALUE) * 10L;
-        sockets = root.in("limits").whole("sockets", 64, 1 << 20);
-        settings = new Settings(root.in("settings"));
+        listen = parseAddress("listen", root.string("listen", environment.getOrDefault("EDGE_LISTEN", "")));
+        kernel = parseAddress("kernel", root.string("kernel"));
+        announce = parseAddress("announce", root.string("announce"));
+        seed = parseSeed(root.string("seed"));
+        shutdownTimeoutTenthsMs = root.integer("stop_ms", 0, Integer.MAX_VALUE) * 10L;
+        maxSockets = root.child("limits").integer("sockets", 64, 1 << 20);
+        settings = new Settings(root.child("settings"));
         // Without a workload that calls the store its address may be absent.
-        store = settings.callsBelow() || root.has("store") ? address("store", root.text("store")) : null;
-        check();
+        store = settings.callsStore() || root.has("store") ? parseAddress("store", root.string("store")) : null;
+        validate();
     }
 
     /** Decodes all settings once, into decisions without effect, so that an invalid key is reported at the start. */
-    private void check() {
-        if (settings.workloads().isEmpty()) {
+    private void validate() {
+        if (settings.effects().isEmpty()) {
             throw new BadSetting("settings.Classes is missing: a list with at least one class is needed");
         }
-        settings.start(new Choice(Outgoing.nowhere(), seed, 0), false, false, false, false);
-        settings.longestHard();
+        settings.start(new Choice(Outgoing.ignoring(), seed, 0), false, false, false, false);
+        settings.maxHardLimit();
         settings.answerSlack();
-        settings.tellsPatience();
-        settings.gauge("");
+        settings.passesTimeout();
+        settings.gaugeIndex("");
     }
 
     /**
@@ -94,7 +94,7 @@
         }
     }
 
-    private static long seed(String text) {
+    private static long parseSeed(String text) {
         if (!text.matches("[0-9a-fA-F]{1,16}")) {
             throw new BadSetting("seed is '" + text + "': up to 16 hex digits are needed");
         }
@@ -102,7 +102,7 @@
     }
 
     /** Parses a numeric IP address and a port; host names are refused, so that nothing is resolved. */
-    static InetSocketAddress address(String key, String text) {
+    static InetSocketAddress parseAddress(String key, String text) {
         int colon = text.lastIndexOf(':');
         String host = colon < 0 ? "" : text.substring(0, colon);
         String port = text.substring(colon + 1);
--- a/daemon/src/main/java/tallyweir/config/EntryReader.java
+++ b/daemon/src/main/java/tallyweir/config/EntryReader.java
@@ -19,8 +19,8 @@
     private static final String ADDRESS = "address";
     private static final String WEIGHT = "weight";
     private static final String WORKLOADS = "workloads";
-    private static final int WEIGHT_MOST = 1_000;
-    private static final int CAP_MOST = 1 << 24;
+    private static final int MAX_WEIGHT = 1_000;
+    private static final int MAX_CAP = 1 << 24;
 
     private final FaultList faults;
     private final Map<Key, Value> entries = new TreeMap<>();
@@ -35,69 +35,69 @@
     }
 
     /** Reads all sections of an object; any other key is a fault. */
-    void sections(Tree tree) {
-        faults.unknownKeys(tree, STORES, ANNOUNCE, KERNELS, CAPS, STAND_BACK);
-        faults.check(STORES, () -> stores(tree.each(STORES)));
-        faults.check(ANNOUNCE, () -> announce(tree));
-        faults.check(KERNELS, () -> kernels(tree.in(KERNELS)));
-        faults.check(CAPS, () -> caps(tree.in(CAPS)));
-        faults.check(STAND_BACK, () -> standBack(tree.texts(STAND_BACK)));
+    void readSections(Tree tree) {
+        faults.collectUnknownKeys(tree, STORES, ANNOUNCE, KERNELS, CAPS, STAND_BACK);
+        faults.collect(STORES, () -> readStores(tree.children(STORES)));
+        faults.collect(ANNOUNCE, () -> readAnnounce(tree));
+        faults.collect(KERNELS, () -> readKernels(tree.child(KERNELS)));
+        faults.collect(CAPS, () -> readCaps(tree.child(CAPS)));
+        faults.collect(STAND_BACK, () -> readStandBack(tree.strings(STAND_BACK)));
     }
 
-    private void stores(List<Tree> stores) {
+    private void readStores(List<Tree> stores) {
         for (int i = 0; i < stores.size(); i++) {
             String key = STORES + "[" + i + "]";
             Tree store = stores.get(i);
-            faults.unknownKeys(store, ADDRESS, WEIGHT, WORKLOADS);
-            faults.check(key, () -> store.address(ADDRESS));
-            faults.check(key, () -> weight(store));
-            faults.check(key, () -> workloads(key, store));
-            faults.check(key, () -> store(key, store));
+            faults.collectUnknownKeys(store, ADDRESS, WEIGHT, WORKLOADS);
+            faults.collect(key, () -> store.address(ADDRESS));
+            faults.collect(key, () -> readWeight(store));
+            faults.collect(key, () -> readWorkloads(key, store));
+            faults.collect(key, () -> readStore(key, store));
         }
     }
 
-    private void store(String key, Tree store) {
-        Value weight = weight(store);
-        for (StoreName name : StoreName.of(store.address(ADDRESS), workloads(key, store))) {
+    private void readStore(String key, Tree store) {
+        Value weight = readWeight(store);
+        for (StoreName name : StoreName.of(store.address(ADDRESS), readWorkloads(key, store))) {
             put(key, name.key(), weight);
         }
     }
 
-    private static Value weight(Tree store) {
-        return new Value.Weight(store.whole(WEIGHT, 1, WEIGHT_MOST, 1));
+    private static Value readWeight(Tree store) {
+        return new Value.Weight(store.integer(WEIGHT, 1, MAX_WEIGHT, 1));
     }
 
-    private static List<String> workloads(String key, Tree store) {
-        List<String> workloads = store.texts(WORKLOADS);
+    private static List<String> readWorkloads(String key, Tree store) {
+        List<String> workloads = store.strings(WORKLOADS);
         workloads.forEach(workload -> StoreName.checkWorkload(key + "." + WORKLOADS, workload));
         return workloads;
     }
 
-    private void announce(Tree tree) {
+    private void readAnnounce(Tree tree) {
         if (tree.has(ANNOUNCE)) {
             put(ANNOUNCE, new Key(Kind.ANNOUNCE, ""), address(tree.address(ANNOUNCE)));
         }
     }
 
-    private void kernels(Tree kernels) {
-        for (String server : kernels.names()) {
+    private void readKernels(Tree kernels) {
+        for (String server : kernels.fieldNames()) {
             String key = KERNELS + "." + server;
-            faults.check(key, () -> put(key, new Key(Kind.KERNEL, server), address(kernels.address(server))));
+            faults.collect(key, () -> put(key, new Key(Kind.KERNEL, server), address(kernels.address(server))));
         }
     }
 
-    private void caps(Tree caps) {
-        for (String tenant : caps.names()) {
+    private void readCaps(Tree caps) {
+        for (String tenant : caps.fieldNames()) {
             String key = CAPS + "." + tenant;
-            faults.check(
-                    key, () -> put(key, new Key(Kind.CAP, tenant), new Value.Cap(caps.whole(tenant, 0, CAP_MOST))));
+            faults.collect(
+                    key, () -> put(key, new Key(Kind.CAP, tenant), new Value.Cap(caps.integer(tenant, 0, MAX_CAP))));
         }
     }
 
-    private void standBack(List<String> servers) {
+    private void readStandBack(List<String> servers) {
         for (String server : servers) {
             String key = STAND_BACK + "." + server;
-            faults.check(key, () -> put(key, new Key(Kind.STAND_BACK, server), new Value.Present()));
+            faults.collect(key, () -> put(key, new Key(Kind.STAND_BACK, server), new Value.Present()));
         }
     }
 
@@ -108,6 +108,6 @@
     }
 
     private static Value address(InetSocketAddress address) {
-        return new Value.Address(StoreName.host(address.getAddress()), address.getPort());
+        return new Value.Address(StoreName.hostText(address.getAddress()), address.getPort());
     }
 }
--- a/daemon/src/main/java/tallyweir/config/FaultList.java
+++ b/daemon/src/main/java/tallyweir/config/FaultList.java
@@ -10,10 +10,10 @@
 /** Collects the faults of a file, so that all of them are reported together. */
 final class FaultList {
     // Descriptions by the key they concern, in the order of their discovery.
-    private final Map<String, Set<String>> faults = new LinkedHashMap<>();
+    private final Map<String, Set<String>> reasonsByKey = new LinkedHashMap<>();
 
     /** Reads a part of the file and records a fault in it, so that the rest can still be read. */
-    void check(String key, Runnable read) {
+    void collect(String key, Runnable read) {
         try {
             read.run();
         } catch (BadSetting | FleetException fault) {
@@ -22,27 +22,27 @@
     }
 
     void add(String key, String reason) {
-        faults.computeIfAbsent(key, k -> new LinkedHashSet<>()).add(reason);
+        reasonsByKey.computeIfAbsent(key, k -> new LinkedHashSet<>()).add(reason);
     }
 
     /** Records a fault for each key of an object that is not known. */
-    void unknownKeys(Tree tree, String... knownKeys) {
-        for (String name : tree.names()) {
-            check(name, () -> tree.onlyKnown(name, knownKeys));
+    void collectUnknownKeys(Tree tree, String... knownKeys) {
+        for (String name : tree.fieldNames()) {
+            collect(name, () -> tree.rejectUnknownKey(name, knownKeys));
         }
     }
 
     boolean isEmpty() {
-        return faults.isEmpty();
+        return reasonsByKey.isEmpty();
     }
 
     /** The keys with faults, separated by commas. */
     String keys() {
-        return String.join(", ", faults.keySet());
+        return String.join(", ", reasonsByKey.keySet());
     }
 
     /** The descriptions of all faults, each once, separated by semicolons. */
     String reasons() {
-        return faults.values().stream().flatMap(Set::stream).distinct().collect(Collectors.joining("; "));
+        return reasonsByKey.values().stream().flatMap(Set::stream).distinct().collect(Collectors.joining("; "));
     }
 }
--- a/daemon/src/main/java/tallyweir/config/Operators.java
+++ b/daemon/src/main/java/tallyweir/config/Operators.java
@@ -26,30 +26,30 @@
  * validation and defaults of the file are in this class. A feature whose part is missing is off, and without a file all are.
  */
 public final class Operators {
-    private static final int MB = 1 << 20;
+    private static final int BYTES_PER_MB = 1 << 20;
 
     private final Tree durable;
     private final Tree results;
-    private final Tree watch;
+    private final Tree shadow;
     private final Tree fleet;
 
     private Operators(Tree root) {
-        root.only("durable", "results", "watch", "fleet");
-        durable = root.has("durable") ? root.in("durable") : null;
-        results = root.has("results") ? root.in("results") : null;
-        watch = root.has("watch") ? root.in("watch") : null;
-        fleet = root.has("fleet") ? root.in("fleet") : null;
+        root.rejectUnknownKeys("durable", "results", "watch", "fleet");
+        durable = root.has("durable") ? root.child("durable") : null;
+        results = root.has("results") ? root.child("results") : null;
+        shadow = root.has("watch") ? root.child("watch") : null;
+        fleet = root.has("fleet") ? root.child("fleet") : null;
         if (fleet != null) {
-            checkFleet();
+            validateFleet();
         }
-        if (watch != null) {
-            watch.only("settings");
+        if (shadow != null) {
+            shadow.rejectUnknownKeys("settings");
         }
         if (results != null && durable == null) {
             throw new BadSetting("results needs a durable part: the store in which results are retained");
         }
         if (durable != null) {
-            check();
+            validateDurable();
         }
     }
 
@@ -90,8 +90,8 @@
      *
      * @return null if the file has none
      */
-    public Settings watched(Settings inForce) {
-        return watch == null ? null : inForce.watched(watch.in("settings"));
+    public Settings shadowSettings(Settings inForce) {
+        return shadow == null ? null : inForce.withOverrides(shadow.child("settings"));
     }
 
     /** Whether this server is a member of a fleet; if not, no other method about the fleet may be called. */
@@ -101,30 +101,30 @@
 
     /** The name of the fleet that this server joins. */
     public String fleetName() {
-        return fleet.text("name");
+        return fleet.string("name");
     }
 
     /** The voters that replicate the fleet's log: {@code host:port} by name, in the order of the file. */
     public Map<String, String> voters() {
-        Tree voters = fleet.in("voters");
+        Tree voters = fleet.child("voters");
         Map<String, String> addresses = new LinkedHashMap<>();
-        voters.names().forEach(name -> addresses.put(name, voters.text(name)));
+        voters.fieldNames().forEach(name -> addresses.put(name, voters.string(name)));
         return addresses;
     }
 
     /** How long a server may use its lease without renewal, in tenths of a millisecond. */
-    public long lease() {
-        return fleet.whole("lease_ms", 500, 600_000, 10_000) * 10L;
+    public long leaseTenthsMs() {
+        return fleet.integer("lease_ms", 500, 600_000, 10_000) * 10L;
     }
 
     /** How long a connection counts for a tenant after its last query, in tenths of a millisecond. */
-    public long linger() {
-        return fleet.whole("linger_ms", 0, 60_000, 1_000) * 10L;
+    public long lingerTenthsMs() {
+        return fleet.integer("linger_ms", 0, 60_000, 1_000) * 10L;
     }
 
     /** Whether a server that is out of its fleet withdraws from service. */
-    public boolean standsBackWhenOut() {
-        return fleet.text("when_out", "serve").equals("stand_back");
+    public boolean withdrawsWhenOut() {
+        return fleet.string("when_out", "serve").equals("stand_back");
     }
 
     /**
@@ -135,7 +135,7 @@
      * @param without guards that are switched off, for drills
      */
     public FleetClient openFleet(FleetClients clients, String self, long maxHardLimit, Set<Guard> without) {
-        return clients.open(fleetName(), voters(), self, fleet.text("dir", ""), fleetSettings(maxHardLimit), without);
+        return clients.open(fleetName(), voters(), self, fleet.string("dir", ""), fleetSettings(maxHardLimit), without);
     }
 
     /**
@@ -145,22 +145,22 @@
      */
     public FleetSettings fleetSettings(long maxHardLimit) {
         return new FleetSettings(
-                fleet.whole("settings_version", 1, 1 << 30, 1),
-                lease(),
-                maxHardLimit + linger(),
-                fleet.whole("floor_lease_ms", 1_000, 604_800_000, 3_600_000) * 10L,
-                fleet.whole("behind_ms", 500, 3_600_000, 30_000) * 10L,
-                share("drift", 0.1, 0.01),
-                share("most_out", 1, 0.34),
-                share("most_cannot", 1, 0.25),
-                fleet.whole("servers_most", 1, 100_000, 64),
-                share("floor_share", 1, 0.2),
-                fleet.whole("probation_ms", 0, 3_600_000, 30_000) * 10L,
-                share("worse_ratio", 100, 2),
-                share("sick_share", 1, 0.5));
+                fleet.integer("settings_version", 1, 1 << 30, 1),
+                leaseTenthsMs(),
+                maxHardLimit + lingerTenthsMs(),
+                fleet.integer("floor_lease_ms", 1_000, 604_800_000, 3_600_000) * 10L,
+                fleet.integer("behind_ms", 500, 3_600_000, 30_000) * 10L,
+                readFraction("drift", 0.1, 0.01),
+                readFraction("most_out", 1, 0.34),
+                readFraction("most_cannot", 1, 0.25),
+                fleet.integer("servers_most", 1, 100_000, 64),
+                readFraction("floor_share", 1, 0.2),
+                fleet.integer("probation_ms", 0, 3_600_000, 30_000) * 10L,
+                readFraction("worse_ratio", 100, 2),
+                readFraction("sick_share", 1, 0.5));
     }
 
-    private double share(String key, double max, double defaultValue) {
+    private double readFraction(String key, double max, double defaultValue) {
         double is = fleet.number(key, defaultValue);
         if (!(is >= 0 && is <= max)) {
             throw new BadSetting("fleet." + key + " is " + is + ": 0 to " + max + " is needed");
@@ -168,8 +168,8 @@
         return is;
     }
 
-    private void checkFleet() {
-        fleet.only(
+    private void validateFleet() {
+        fleet.rejectUnknownKeys(
                 "name",
                 "voters",
                 "dir",
@@ -187,7 +187,7 @@
                 "worse_ratio",
                 "sick_share",
                 "when_out");
-        fleet.word("when_out", "serve", "stand_back");
+        fleet.requireOneOf("when_out", "serve", "stand_back");
         fleetName();
         if (voters().size() != 1 && voters().size() != 3 && voters().size() != 5) {
             throw new BadSetting(
@@ -199,61 +199,61 @@
                         "fleet.voters." + name + " is '" + address + "': a name or address and a port are needed");
             }
         });
-        lease();
-        linger();
+        leaseTenthsMs();
+        lingerTenthsMs();
         fleetSettings(0);
-        fleet.text("dir", "");
+        fleet.string("dir", "");
     }
 
     /** Whether this server has a durable store. If not, none of the methods about it may be called. */
-    public boolean hasDurable() {
+    public boolean hasDurableStore() {
         return durable != null;
     }
 
     /** Whether the results of queries with an effect are retained across restarts. */
-    public boolean keepsResults() {
+    public boolean retainsResults() {
         return results != null;
     }
 
     /** Opens the durable store with the settings of the file. */
-    public FileStore openDurable() throws IOException {
+    public FileStore openDurableStore() throws IOException {
         return new FileStore(
-                first(),
-                second(),
+                firstCopyDir(),
+                secondCopyDir(),
                 segmentBytes(),
-                sector(),
+                sectorBytes(),
                 deadShare(),
-                durable.whole("scrub_every_h", 0, 8_760, 24) * 36_000_000L,
-                durable.whole("pending_mb", 1, 1_024, 64) * (long) MB,
-                durable.whole("force_every_ms", 0, 10_000, 0) * 1_000_000L,
-                durable.whole("upkeep_mb_per_s", 1, 10_000, 32) * (long) MB,
+                durable.integer("scrub_every_h", 0, 8_760, 24) * 36_000_000L,
+                durable.integer("pending_mb", 1, 1_024, 64) * (long) BYTES_PER_MB,
+                durable.integer("force_every_ms", 0, 10_000, 0) * 1_000_000L,
+                durable.integer("upkeep_mb_per_s", 1, 10_000, 32) * (long) BYTES_PER_MB,
                 namespaces());
     }
 
     /** The directory of the first copy. */
-    public Path first() {
-        return Path.of(durable.text("dir")).resolve("first");
+    public Path firstCopyDir() {
+        return Path.of(durable.string("dir")).resolve("first");
     }
 
     /** The directory of the second copy: beside the first by default; a directory on another disk is best. */
-    public Path second() {
-        String second = durable.text("second_dir", "");
-        return second.isEmpty() ? Path.of(durable.text("dir")).resolve("second") : Path.of(second);
+    public Path secondCopyDir() {
+        String second = durable.string("second_dir", "");
+        return second.isEmpty() ? Path.of(durable.string("dir")).resolve("second") : Path.of(second);
     }
 
     /** The socket on which the process that holds the store answers operators. */
     public Path adminSocket() {
-        return Path.of(durable.text("dir")).resolve("desk");
+        return Path.of(durable.string("dir")).resolve("desk");
     }
 
     /** The size of a segment of the log, in bytes. */
     public int segmentBytes() {
-        return durable.whole("segment_mb", 1, 1_024, 64) * MB;
+        return durable.integer("segment_mb", 1, 1_024, 64) * BYTES_PER_MB;
     }
 
     /** The size of the disk's sectors, in bytes: a power of two from 512 to 65536. */
-    public int sector() {
-        int sector = durable.whole("sector_bytes", 512, 65_536, 4_096);
+    public int sectorBytes() {
+        int sector = durable.integer("sector_bytes", 512, 65_536, 4_096);
         if (Integer.bitCount(sector) != 1) {
             throw new BadSetting("durable.sector_bytes is " + sector + ": a power of two is needed");
         }
@@ -274,30 +274,30 @@
         List<Namespace> namespaces = new ArrayList<>();
         Set<String> names = new HashSet<>();
         int i = 0;
-        for (Tree namespace : durable.each("namespaces")) {
+        for (Tree namespace : durable.children("namespaces")) {
             String path = "durable.namespaces[" + i++ + "]";
-            namespace.only("name", "bound_mb", "at_bound");
-            String whenFull = namespace.text("at_bound", "refuse");
+            namespace.rejectUnknownKeys("name", "bound_mb", "at_bound");
+            String whenFull = namespace.string("at_bound", "refuse");
             if (!whenFull.equals("refuse") && !whenFull.equals("drop_oldest")) {
                 throw new BadSetting(path + ".at_bound is '" + whenFull + "': refuse or drop_oldest is needed");
             }
             try {
                 namespaces.add(new Namespace(
-                        namespace.text("name"),
-                        namespace.whole("bound_mb", 1, 1 << 20) * (long) MB,
+                        namespace.string("name"),
+                        namespace.integer("bound_mb", 1, 1 << 20) * (long) BYTES_PER_MB,
                         whenFull.equals("drop_oldest")));
             } catch (IllegalArgumentException e) {
                 throw new BadSetting(path + ".name: " + e.getMessage());
             }
             if (results != null
-                    && (namespace.text("name").equals(DurableResultStore.RESULTS)
-                            || namespace.text("name").equals(DurableResultStore.INTENTS)
-                            || namespace.text("name").equals(Settling.AUDIT))) {
+                    && (namespace.string("name").equals(DurableResultStore.RESULTS)
+                            || namespace.string("name").equals(DurableResultStore.INTENTS)
+                            || namespace.string("name").equals(Settling.AUDIT))) {
                 throw new BadSetting(
-                        path + ".name is '" + namespace.text("name") + "', which belongs to the results part");
+                        path + ".name is '" + namespace.string("name") + "', which belongs to the results part");
             }
-            if (!names.add(namespace.text("name"))) {
-                throw new BadSetting(path + ".name is '" + namespace.text("name") + "', which is already defined");
+            if (!names.add(namespace.string("name"))) {
+                throw new BadSetting(path + ".name is '" + namespace.string("name") + "', which is already defined");
             }
         }
         if (results != null) {
@@ -305,22 +305,22 @@
             // full. An
             // open intent takes less than 1.2 KB.
             namespaces.add(new Namespace(
-                    DurableResultStore.RESULTS, results.whole("bound_mb", 1, 1 << 20) * (long) MB, false));
+                    DurableResultStore.RESULTS, results.integer("bound_mb", 1, 1 << 20) * (long) BYTES_PER_MB, false));
             namespaces.add(new Namespace(DurableResultStore.INTENTS, Long.MAX_VALUE, false));
             namespaces.add(new Namespace(Settling.AUDIT, Long.MAX_VALUE, false));
         }
-        if (namespaces.size() > Namespace.MOST) {
+        if (namespaces.size() > Namespace.MAX_NAMESPACES) {
             throw new BadSetting(
-                    "durable.namespaces has " + namespaces.size() + " entries, the maximum is " + Namespace.MOST);
+                    "durable.namespaces has " + namespaces.size() + " entries, the maximum is " + Namespace.MAX_NAMESPACES);
         }
         return namespaces;
     }
 
-    private void check() {
+    private void validateDurable() {
         if (results != null) {
-            results.only("bound_mb");
+            results.rejectUnknownKeys("bound_mb");
         }
-        durable.only(
+        durable.rejectUnknownKeys(
                 "dir",
                 "second_dir",
                 "segment_mb",
@@ -331,16 +331,16 @@
                 "force_every_ms",
                 "upkeep_mb_per_s",
                 "namespaces");
-        if (first().equals(second())) {
+        if (firstCopyDir().equals(secondCopyDir())) {
             throw new BadSetting("durable.second_dir is where the first copy is: another directory is needed");
         }
         segmentBytes();
-        sector();
+        sectorBytes();
         deadShare();
         namespaces();
-        durable.whole("scrub_every_h", 0, 8_760, 24);
-        durable.whole("pending_mb", 1, 1_024, 64);
-        durable.whole("force_every_ms", 0, 10_000, 0);
-        durable.whole("upkeep_mb_per_s", 1, 10_000, 32);
+        durable.integer("scrub_every_h", 0, 8_760, 24);
+        durable.integer("pending_mb", 1, 1_024, 64);
+        durable.integer("force_every_ms", 0, 10_000, 0);
+        durable.integer("upkeep_mb_per_s", 1, 10_000, 32);
     }
 }
--- a/daemon/src/main/java/tallyweir/config/RevisionFile.java
+++ b/daemon/src/main/java/tallyweir/config/RevisionFile.java
@@ -23,9 +23,9 @@
     public static Table parse(byte[] json) {
         FaultList faults = new FaultList();
         EntryReader reader = new EntryReader(faults);
-        reader.sections(tree(json));
+        reader.readSections(parseObject(json));
         if (!faults.isEmpty()) {
-            throw new Fault.BodyFaulty(faults.reasons()).thrown();
+            throw new Fault.BodyFaulty(faults.reasons()).toException();
         }
         List<Change> changes = new ArrayList<>();
         reader.entries().forEach((key, value) -> changes.add(new Change(key, Optional.empty(), Optional.of(value))));
@@ -37,17 +37,17 @@
      *
      * @throws tallyweir.fleet.FleetException with {@link Fault.BodyFaulty} if it is not one
      */
-    static Tree tree(byte[] json) {
+    static Tree parseObject(byte[] json) {
         try (JsonParser in = new JsonFactory().createParser(json)) {
             in.nextToken();
             return Tree.read(in, "");
         } catch (JsonProcessingException e) {
-            throw new Fault.BodyFaulty("it is not valid JSON: " + e.getOriginalMessage()).thrown();
+            throw new Fault.BodyFaulty("it is not valid JSON: " + e.getOriginalMessage()).toException();
         } catch (IOException e) {
-            throw new Fault.BodyFaulty("it cannot be read: " + e).thrown();
+            throw new Fault.BodyFaulty("it cannot be read: " + e).toException();
         } catch (BadSetting e) {
             // The path of the root is empty, so the message begins with " is".
-            throw new Fault.BodyFaulty("it" + e.getMessage()).thrown();
+            throw new Fault.BodyFaulty("it" + e.getMessage()).toException();
         }
     }
 }
--- a/daemon/src/main/java/tallyweir/config/StoreName.java
+++ b/daemon/src/main/java/tallyweir/config/StoreName.java
@@ -19,21 +19,21 @@
  * @param workloads sorted and without duplicates, empty for all workloads
  */
 public record StoreName(InetSocketAddress address, List<WorkloadId> workloads) {
-    private static final String BEFORE_WORKLOADS = " ";
-    private static final String BETWEEN_WORKLOADS = ",";
+    private static final String ADDRESS_SEPARATOR = " ";
+    private static final String WORKLOAD_SEPARATOR = ",";
 
     /**
      * The entries of a store. There is one, unless the names of its workloads do not fit into one key: they are then split
      * over several entries, always in the same way for the same workloads.
      */
     public static List<StoreName> of(InetSocketAddress address, Collection<String> workloads) {
-        String host = text(address);
+        String host = addressText(address);
         List<StoreName> names = new ArrayList<>();
         List<WorkloadId> group = new ArrayList<>();
         int bytes = host.length();
         for (String workload : new TreeSet<>(workloads)) {
-            int addedBytes = BETWEEN_WORKLOADS.length() + workload.getBytes(StandardCharsets.UTF_8).length;
-            if (!group.isEmpty() && bytes + addedBytes > Key.NAME_BYTES_MOST) {
+            int addedBytes = WORKLOAD_SEPARATOR.length() + workload.getBytes(StandardCharsets.UTF_8).length;
+            if (!group.isEmpty() && bytes + addedBytes > Key.MAX_NAME_BYTES) {
                 names.add(new StoreName(address, List.copyOf(group)));
                 group.clear();
                 bytes = host.length();
@@ -52,13 +52,13 @@
      * @throws BadSetting if the address or a workload is invalid
      */
     public static List<StoreName> parse(String key, String name) {
-        int blank = name.indexOf(BEFORE_WORKLOADS);
+        int blank = name.indexOf(ADDRESS_SEPARATOR);
         if (blank < 0) {
-            return of(Config.address(key, name), List.of());
+            return of(Config.parseAddress(key, name), List.of());
         }
-        List<String> workloads = List.of(name.substring(blank + 1).split(BETWEEN_WORKLOADS, -1));
+        List<String> workloads = List.of(name.substring(blank + 1).split(WORKLOAD_SEPARATOR, -1));
         workloads.forEach(workload -> checkWorkload(key, workload));
-        return of(Config.address(key, name.substring(0, blank)), workloads);
+        return of(Config.parseAddress(key, name.substring(0, blank)), workloads);
     }
 
     /** Parses the name of an entry of a table, where each name fits into one key. */
@@ -76,21 +76,21 @@
 
     /** The key of this entry in the table. */
     public Key key() {
-        StringBuilder name = new StringBuilder(text(address));
-        String separator = BEFORE_WORKLOADS;
+        StringBuilder name = new StringBuilder(addressText(address));
+        String separator = ADDRESS_SEPARATOR;
         for (WorkloadId workload : workloads) {
             name.append(separator).append(workload.value());
-            separator = BETWEEN_WORKLOADS;
+            separator = WORKLOAD_SEPARATOR;
         }
         return new Key(Kind.STORE, name.toString());
     }
 
-    private static String text(InetSocketAddress address) {
-        return host(address.getAddress()) + ":" + address.getPort();
+    private static String addressText(InetSocketAddress address) {
+        return hostText(address.getAddress()) + ":" + address.getPort();
     }
 
     /** The numeric form of an address that entries use, an IPv6 address in brackets. */
-    static String host(InetAddress address) {
+    static String hostText(InetAddress address) {
         String numeric = address.getHostAddress();
         return address instanceof Inet6Address ? "[" + numeric + "]" : numeric;
     }
--- a/daemon/src/main/java/tallyweir/config/Tree.java
+++ b/daemon/src/main/java/tallyweir/config/Tree.java
@@ -33,27 +33,27 @@
         if (in.currentToken() != JsonToken.START_OBJECT) {
             throw new BadSetting(path + " is not an object");
         }
-        return new Tree(path, object(in));
+        return new Tree(path, parseObject(in));
     }
 
-    private static Map<String, Object> object(JsonParser in) throws IOException {
+    private static Map<String, Object> parseObject(JsonParser in) throws IOException {
         Map<String, Object> map = new LinkedHashMap<>();
         while (in.nextToken() != JsonToken.END_OBJECT) {
             String name = in.currentName();
             in.nextToken();
-            map.put(name, value(in));
+            map.put(name, parseValue(in));
         }
         return map;
     }
 
-    private static Object value(JsonParser in) throws IOException {
+    private static Object parseValue(JsonParser in) throws IOException {
         switch (in.currentToken()) {
             case START_OBJECT:
-                return object(in);
+                return parseObject(in);
             case START_ARRAY:
                 List<Object> list = new ArrayList<>();
                 while (in.nextToken() != JsonToken.END_ARRAY) {
-                    list.add(value(in));
+                    list.add(parseValue(in));
                 }
                 return list;
             case VALUE_STRING:
@@ -70,54 +70,54 @@
         }
     }
 
-    private <T> T as(Class<T> type, String what, Object value, String key) {
+    private <T> T cast(Class<T> type, String what, Object value, String key) {
         if (value == null || type.isInstance(value)) {
             return type.cast(value);
         }
-        throw new BadSetting(key(key) + " is not " + what);
+        throw new BadSetting(qualifiedKey(key) + " is not " + what);
     }
 
-    private String key(String name) {
+    private String qualifiedKey(String name) {
         return path.isEmpty() ? name : path + "." + name;
     }
 
-    private <T> T needed(T value, String what, String name) {
+    private <T> T require(T value, String what, String name) {
         if (value == null) {
-            throw new BadSetting(key(name) + " is missing: " + what + " is needed");
+            throw new BadSetting(qualifiedKey(name) + " is missing: " + what + " is needed");
         }
         return value;
     }
 
     /** The object under a name, an empty one if it is absent. */
     @SuppressWarnings("unchecked")
-    public Tree in(String name) {
-        Map<String, Object> inner = as(Map.class, "an object", fields.get(name), name);
-        return new Tree(key(name), inner == null ? Map.of() : inner);
+    public Tree child(String name) {
+        Map<String, Object> inner = cast(Map.class, "an object", fields.get(name), name);
+        return new Tree(qualifiedKey(name), inner == null ? Map.of() : inner);
     }
 
     /** The objects of a list, none if the list is absent. */
     @SuppressWarnings("unchecked")
-    public List<Tree> each(String name) {
+    public List<Tree> children(String name) {
         List<Tree> children = new ArrayList<>();
         List<Object> list = list(name);
         for (int i = 0; i < list.size(); i++) {
             String at = name + "[" + i + "]";
-            children.add(new Tree(key(at), needed(as(Map.class, "an object", list.get(i), at), "an object", at)));
+            children.add(new Tree(qualifiedKey(at), require(cast(Map.class, "an object", list.get(i), at), "an object", at)));
         }
         return children;
     }
 
     @SuppressWarnings("unchecked")
     private List<Object> list(String name) {
-        List<Object> list = as(List.class, "a list", fields.get(name), name);
+        List<Object> list = cast(List.class, "a list", fields.get(name), name);
         return list == null ? List.of() : list;
     }
 
     /** The strings of a list, none if the list is absent. */
-    public List<String> texts(String name) {
+    public List<String> strings(String name) {
         List<String> strings = new ArrayList<>();
         for (Object o : list(name)) {
-            strings.add(needed(as(String.class, "a string", o, name), "a string", name));
+            strings.add(require(cast(String.class, "a string", o, name), "a string", name));
         }
         return strings;
     }
@@ -125,85 +125,85 @@
     /** An element of a list of numbers, 0 if the element or the list is absent. */
     public double numberAt(String name, int index) {
         List<Object> list = list(name);
-        Double d = index < list.size() ? as(Double.class, "a list of numbers", list.get(index), name) : null;
+        Double d = index < list.size() ? cast(Double.class, "a list of numbers", list.get(index), name) : null;
         return d == null ? 0 : d;
     }
 
     /** An element of a list of booleans, false if the element or the list is absent. */
-    public boolean yesAt(String name, int index) {
+    public boolean isTrueAt(String name, int index) {
         List<Object> list = list(name);
         return index < list.size()
-                && Boolean.TRUE.equals(as(Boolean.class, "a list of booleans", list.get(index), name));
+                && Boolean.TRUE.equals(cast(Boolean.class, "a list of booleans", list.get(index), name));
     }
 
     /** A number, or the default if it is absent. */
     public double number(String name, double defaultValue) {
-        Double d = as(Double.class, "a number", fields.get(name), name);
+        Double d = cast(Double.class, "a number", fields.get(name), name);
         return d == null ? defaultValue : d;
     }
 
     /** A number that must be present. */
     public double number(String name) {
-        return needed(as(Double.class, "a number", fields.get(name), name), "a number", name);
+        return require(cast(Double.class, "a number", fields.get(name), name), "a number", name);
     }
 
     /** An integer that must be present and within the bounds, both inclusive. */
-    public int whole(String name, int min, int max) {
+    public int integer(String name, int min, int max) {
         double d = number(name);
         if (d != Math.rint(d) || d < min || d > max) {
-            throw new BadSetting(key(name) + " is " + d + ": an integer from " + min + " to " + max + " is needed");
+            throw new BadSetting(qualifiedKey(name) + " is " + d + ": an integer from " + min + " to " + max + " is needed");
         }
         return (int) d;
     }
 
     /** A time in tenths of a millisecond, rounded down from the microseconds of the settings; 0 if it is absent. */
-    public long time(String name) {
+    public long timeTenthsMs(String name) {
         return (long) Math.floor(number(name, 0) / 100);
     }
 
     /** A string, or the default if it is absent. */
-    public String text(String name, String defaultValue) {
-        String s = as(String.class, "a string", fields.get(name), name);
+    public String string(String name, String defaultValue) {
+        String s = cast(String.class, "a string", fields.get(name), name);
         return s == null ? defaultValue : s;
     }
 
     /** A string that must be present. */
-    public String text(String name) {
-        return needed(as(String.class, "a string", fields.get(name), name), "a string", name);
+    public String string(String name) {
+        return require(cast(String.class, "a string", fields.get(name), name), "a string", name);
     }
 
     /** Refuses unknown keys, so that a misspelt key is not silently replaced by a default. */
-    public void only(String... names) {
+    public void rejectUnknownKeys(String... names) {
         for (String name : fields.keySet()) {
-            onlyKnown(name, names);
+            rejectUnknownKey(name, names);
         }
     }
 
     /** Refuses a key that is not among the known ones. */
-    void onlyKnown(String name, String... names) {
+    void rejectUnknownKey(String name, String... names) {
         if (!List.of(names).contains(name)) {
-            throw new BadSetting(key(name) + " is unknown: known keys are " + String.join(", ", names));
+            throw new BadSetting(qualifiedKey(name) + " is unknown: known keys are " + String.join(", ", names));
         }
     }
 
     /** A copy in which the fields of the other replace these: nested objects are merged, all other values replaced. */
-    public Tree under(Tree other) {
-        return new Tree(other.path, merged(fields, other.fields));
+    public Tree overriddenBy(Tree other) {
+        return new Tree(other.path, merge(fields, other.fields));
     }
 
     @SuppressWarnings("unchecked")
-    private static Map<String, Object> merged(Map<String, Object> base, Map<String, Object> overrides) {
+    private static Map<String, Object> merge(Map<String, Object> base, Map<String, Object> overrides) {
         Map<String, Object> result = new LinkedHashMap<>(base);
         overrides.forEach((name, value) -> result.put(
                 name,
                 value instanceof Map && base.get(name) instanceof Map
-                        ? merged((Map<String, Object>) base.get(name), (Map<String, Object>) value)
+                        ? merge((Map<String, Object>) base.get(name), (Map<String, Object>) value)
                         : value));
         return result;
     }
 
     /** Whether both have an equal value under this name, or neither has one. */
-    public boolean same(String name, Tree other) {
+    public boolean hasSameValue(String name, Tree other) {
         return Objects.equals(fields.get(name), other.fields.get(name));
     }
 
@@ -212,29 +212,29 @@
     }
 
     /** Refuses a string that is not among the words; it may be absent. */
-    public void word(String name, String... words) {
-        String is = text(name, words[0]);
+    public void requireOneOf(String name, String... words) {
+        String is = string(name, words[0]);
         if (!List.of(words).contains(is)) {
-            throw new BadSetting(key(name) + " is '" + is + "': one of " + String.join(", ", words) + " is needed");
+            throw new BadSetting(qualifiedKey(name) + " is '" + is + "': one of " + String.join(", ", words) + " is needed");
         }
     }
 
     /** Refuses a number below the minimum; it may be absent. */
-    public void least(String name, double min) {
+    public void requireAtLeast(String name, double min) {
         double is = number(name, min);
         if (!(is >= min)) {
-            throw new BadSetting(key(name) + " is " + is + ": at least " + min + " is needed");
+            throw new BadSetting(qualifiedKey(name) + " is " + is + ": at least " + min + " is needed");
         }
     }
 
     /** The names of all fields, in the order of the file. */
-    public Set<String> names() {
+    public Set<String> fieldNames() {
         return fields.keySet();
     }
 
     /** A numeric IP address and a port; host names are refused, so that nothing is resolved. */
     public InetSocketAddress address(String name) {
-        return Config.address(key(name), text(name));
+        return Config.parseAddress(qualifiedKey(name), string(name));
     }
 
     /** Whether there is a value other than null under this name. */
@@ -243,12 +243,12 @@
     }
 
     /** An integer within the bounds, both inclusive, or the default if it is absent. */
-    public int whole(String name, int min, int max, int defaultValue) {
-        return has(name) ? whole(name, min, max) : defaultValue;
+    public int integer(String name, int min, int max, int defaultValue) {
+        return has(name) ? integer(name, min, max) : defaultValue;
     }
 
     /** Whether a boolean is present and true. */
-    public boolean yes(String name) {
-        return Boolean.TRUE.equals(as(Boolean.class, "true or false", fields.get(name), name));
+    public boolean isTrue(String name) {
+        return Boolean.TRUE.equals(cast(Boolean.class, "true or false", fields.get(name), name));
     }
 }
--- a/daemon/src/main/java/tallyweir/fastcgi/Bytes.java
+++ b/daemon/src/main/java/tallyweir/fastcgi/Bytes.java
@@ -6,12 +6,12 @@
 /** A growing buffer with a maximum size; bytes that would exceed it are skipped. */
 final class Bytes {
     private static final byte[] NONE = {};
-    private final int most;
+    private final int maxBytes;
     private byte[] bytes = NONE;
     private int length;
 
     Bytes(int maxBytes) {
-        this.most = maxBytes;
+        this.maxBytes = maxBytes;
     }
 
     /**
@@ -19,13 +19,13 @@
      *
      * @return false if they do not fit; they are skipped then and nothing is appended
      */
-    boolean add(ByteBuffer in, int count) {
-        if (length + count > most) {
+    boolean append(ByteBuffer in, int count) {
+        if (length + count > maxBytes) {
             in.position(in.position() + count);
             return false;
         }
         if (length + count > bytes.length) {
-            bytes = Arrays.copyOf(bytes, Math.min(most, Math.max(length + count, 2 * bytes.length)));
+            bytes = Arrays.copyOf(bytes, Math.min(maxBytes, Math.max(length + count, 2 * bytes.length)));
         }
         in.get(bytes, length, count);
         length += count;
--- a/daemon/src/main/java/tallyweir/fastcgi/Fields.java
+++ b/daemon/src/main/java/tallyweir/fastcgi/Fields.java
@@ -11,35 +11,35 @@
 public final class Fields {
     public static final String ID = "HTTP_REQUEST_ID";
     /** When the query was received, in milliseconds of wall-clock time. */
-    public static final String RECEIVED = "HTTP_RECEIVED_AT";
+    public static final String RECEIVED_AT = "HTTP_RECEIVED_AT";
 
     public static final String CALLER = "HTTP_SENT_BY";
     public static final String TENANT = "HTTP_ACCOUNT";
     /** How long the caller waits after the query was received, in milliseconds. */
-    public static final String PATIENCE = "HTTP_BUDGET_MS";
+    public static final String TIMEOUT_MS = "HTTP_BUDGET_MS";
     /** 1 if the query is a retry. */
-    public static final String AGAIN = "HTTP_ATTEMPT_AGAIN";
+    public static final String RETRY = "HTTP_ATTEMPT_AGAIN";
     /** The memory that a run of the query needs, in kilobytes. */
-    public static final String SIZE = "HTTP_FOOTPRINT_KB";
+    public static final String SIZE_KB = "HTTP_FOOTPRINT_KB";
     /** The priority of the query, at least 0 and less than 1. */
     public static final String RANK = "HTTP_PRIORITY_RANK";
     /** The resource that the query concerns. */
     public static final String SUBJECT = "HTTP_RESOURCE_KEY";
     /** The idempotency key of a stamped query. */
-    public static final String STAMP = "HTTP_ONCE_KEY";
+    public static final String IDEMPOTENCY_KEY = "HTTP_ONCE_KEY";
 
     public static final String PATH = "SCRIPT_NAME";
     public static final String METHOD = "REQUEST_METHOD";
-    private static final Set<String> NEEDED =
-            Set.of(ID, RECEIVED, CALLER, TENANT, PATIENCE, AGAIN, SIZE, RANK, SUBJECT, STAMP, PATH, METHOD);
-    private static final int VALUE_MOST = 256;
+    private static final Set<String> USED_NAMES =
+            Set.of(ID, RECEIVED_AT, CALLER, TENANT, TIMEOUT_MS, RETRY, SIZE_KB, RANK, SUBJECT, IDEMPOTENCY_KEY, PATH, METHOD);
+    private static final int MAX_VALUE_LENGTH = 256;
 
     private final Map<String, String> values = new HashMap<>();
 
     Fields(byte[] params) {
-        pairs(params).forEach((name, value) -> {
-            if (NEEDED.contains(name)) {
-                if (value.length() > VALUE_MOST) {
+        parsePairs(params).forEach((name, value) -> {
+            if (USED_NAMES.contains(name)) {
+                if (value.length() > MAX_VALUE_LENGTH) {
                     throw new IllegalArgumentException(name + " is too long");
                 }
                 values.put(name, value);
@@ -48,12 +48,12 @@
     }
 
     /** Parses name-value pairs, each with two lengths of one byte or four. */
-    static Map<String, String> pairs(byte[] params) {
+    static Map<String, String> parsePairs(byte[] params) {
         Map<String, String> pairs = new LinkedHashMap<>();
         int[] position = {0};
         while (position[0] < params.length) {
-            int nameLength = length(params, position);
-            int valueLength = length(params, position);
+            int nameLength = parseLength(params, position);
+            int valueLength = parseLength(params, position);
             if (nameLength > params.length - position[0] || valueLength > params.length - position[0] - nameLength) {
                 throw new IllegalArgumentException("a name-value pair exceeds the parameters");
             }
@@ -65,7 +65,7 @@
         return pairs;
     }
 
-    private static int length(byte[] params, int[] position) {
+    private static int parseLength(byte[] params, int[] position) {
         int size = position[0] < params.length && params[position[0]] < 0 ? 4 : 1;
         if (position[0] + size > params.length) {
             throw new IllegalArgumentException("a length field exceeds the parameters");
@@ -78,7 +78,7 @@
     }
 
     /** The value of a field, null if it is absent. */
-    public String text(String name) {
+    public String string(String name) {
         return values.get(name);
     }
 
@@ -87,7 +87,7 @@
      *
      * @throws IllegalArgumentException if the value is anything else
      */
-    public long whole(String name, long defaultValue) {
+    public long integer(String name, long defaultValue) {
         String text = values.get(name);
         if (text == null) {
             return defaultValue;
@@ -99,13 +99,13 @@
     }
 
     /** An integer that must be present, as above. */
-    public long whole(String name) {
-        return whole(needed(name), 0);
+    public long integer(String name) {
+        return integer(requirePresent(name), 0);
     }
 
     /** A decimal number that must be present, without a sign or an exponent. */
     public double number(String name) {
-        String text = values.get(needed(name));
+        String text = values.get(requirePresent(name));
         if (!text.matches("[0-9]{1,9}(\\.[0-9]{1,20})?")) {
             throw new IllegalArgumentException(name + " is not a number");
         }
@@ -117,7 +117,7 @@
      *
      * @throws IllegalArgumentException if it is absent
      */
-    public String needed(String name) {
+    public String requirePresent(String name) {
         if (!values.containsKey(name)) {
             throw new IllegalArgumentException(name + " is missing");
         }
--- a/daemon/src/main/java/tallyweir/fastcgi/Reader.java
+++ b/daemon/src/main/java/tallyweir/fastcgi/Reader.java
@@ -11,15 +11,15 @@
  */
 public final class Reader {
     /** The maximum size of the parameters of a request. */
-    public static final int PARAMS_MOST = 8 << 10;
+    public static final int MAX_PARAMS_BYTES = 8 << 10;
     /** The maximum size of the body of a request. */
-    public static final int BODY_MOST = 2 << 10;
+    public static final int MAX_BODY_BYTES = 2 << 10;
     /** The maximum number of open requests on a connection. */
-    public static final int OPEN_MOST = 32;
+    public static final int MAX_OPEN_REQUESTS = 32;
 
-    private static final int MANAGEMENT_MOST = 1 << 10;
+    private static final int MAX_MANAGEMENT_BYTES = 1 << 10;
     /** The maximum number of consecutive bytes that are skipped, so that an endless body does not keep its connection open. */
-    static final int PASSED_MOST = 64 << 20;
+    static final int MAX_SKIPPED_BYTES = 64 << 20;
 
     /** Receives the events of the parser. It may call {@link Reader#done} from within. */
     public interface Sink {
@@ -28,22 +28,22 @@
          *
          * @return false if the server is full; the request is refused as overloaded then
          */
-        boolean begun(RequestId id);
+        boolean onBegin(RequestId id);
 
         /** A complete request. */
-        void request(RequestId id, Fields fields, byte[] body, boolean keepConnection);
+        void onRequest(RequestId id, Fields fields, byte[] body, boolean keepConnection);
 
         /** A request that will not be run but still has to be answered. */
-        void refused(RequestId id, Refusal reason, boolean keepConnection);
+        void onRefused(RequestId id, Refusal reason, boolean keepConnection);
 
         /** The web server aborts an open request. */
-        void aborted(RequestId id);
+        void onAbort(RequestId id);
 
         /** The reply to a management record, ready to be written. */
-        void reply(byte[] record);
+        void onManagementReply(byte[] record);
 
         /** The stream is invalid from here on; no further event follows. */
-        void bad(String reason);
+        void onInvalidStream(String reason);
     }
 
     /** Reasons to refuse a request before it reaches the decisions. */
@@ -59,32 +59,32 @@
     }
 
     private static final class Request {
-        boolean keep;
-        boolean told; // passed to the sink, as a request or as a refusal; its answer is pending
-        boolean paramsEnded;
-        final Bytes params = new Bytes(PARAMS_MOST);
-        final Bytes body = new Bytes(BODY_MOST);
+        boolean keepConnection;
+        boolean passedOn; // passed to the sink, as a request or as a refusal; its answer is pending
+        boolean paramsComplete;
+        final Bytes params = new Bytes(MAX_PARAMS_BYTES);
+        final Bytes body = new Bytes(MAX_BODY_BYTES);
         Fields fields;
     }
 
     private final Sink sink;
-    private final Map<RequestId, Request> open = new HashMap<>();
-    private final byte[] header = new byte[Records.HEADER];
+    private final Map<RequestId, Request> openRequests = new HashMap<>();
+    private final byte[] header = new byte[Records.HEADER_BYTES];
     private int headerRead;
     private int contentLeft;
     private int paddingLeft;
-    private final Bytes whole =
-            new Bytes(MANAGEMENT_MOST); // the content of a record that is handled only when complete
-    private long passed; // consecutive bytes that belong to no request or to one already passed on
-    private boolean over;
+    private final Bytes recordContent =
+            new Bytes(MAX_MANAGEMENT_BYTES); // the content of a record that is handled only when complete
+    private long skippedBytes; // consecutive bytes that belong to no request or to one already passed on
+    private boolean stopped;
 
     public Reader(Sink sink) {
         this.sink = sink;
     }
 
     /** The number of requests that have begun and are not answered yet. */
-    public int open() {
-        return open.size();
+    public int openCount() {
+        return openRequests.size();
     }
 
     /** Whether no record is read in part. */
@@ -93,37 +93,37 @@
     }
 
     /** Releases the id of an answered request for another one. */
-    public void done(RequestId id) {
-        open.remove(id);
+    public void release(RequestId id) {
+        openRequests.remove(id);
     }
 
     /** Ignores all further input. */
     public void stop() {
-        over = true;
+        stopped = true;
     }
 
     /** Parses all remaining bytes, unless the stream is invalid or the parser was stopped. */
     public void read(ByteBuffer in) {
-        while (!over && in.hasRemaining()) {
-            if (headerRead < Records.HEADER) {
-                int count = Math.min(Records.HEADER - headerRead, in.remaining());
+        while (!stopped && in.hasRemaining()) {
+            if (headerRead < Records.HEADER_BYTES) {
+                int count = Math.min(Records.HEADER_BYTES - headerRead, in.remaining());
                 in.get(header, headerRead, count);
                 headerRead += count;
-                if (headerRead == Records.HEADER) {
-                    headerEnded();
+                if (headerRead == Records.HEADER_BYTES) {
+                    headerComplete();
                 }
             } else if (contentLeft > 0) {
                 int count = Math.min(contentLeft, in.remaining());
-                content(in, count);
+                readContent(in, count);
                 contentLeft -= count;
             } else {
                 int count = Math.min(paddingLeft, in.remaining());
                 in.position(in.position() + count);
                 paddingLeft -= count;
             }
-            if (!over && headerRead == Records.HEADER && contentLeft == 0 && paddingLeft == 0) {
+            if (!stopped && headerRead == Records.HEADER_BYTES && contentLeft == 0 && paddingLeft == 0) {
                 headerRead = 0;
-                recordEnded();
+                recordComplete();
             }
         }
     }
@@ -140,101 +140,101 @@
         return (header[4] & 0xff) << 8 | header[5] & 0xff;
     }
 
-    private void headerEnded() {
+    private void headerComplete() {
         contentLeft = length();
         paddingLeft = header[6] & 0xff;
-        whole.clear();
+        recordContent.clear();
         if (header[0] != Records.VERSION) {
-            bad("a record of version " + header[0]);
+            invalidStream("a record of version " + header[0]);
         } else if (type() == Records.BEGIN && length() != 8) {
-            bad("a begin record of " + length() + " bytes");
-        } else if (id().value() == 0 && length() > MANAGEMENT_MOST) {
-            bad("a management record of " + length() + " bytes");
+            invalidStream("a begin record of " + length() + " bytes");
+        } else if (id().value() == 0 && length() > MAX_MANAGEMENT_BYTES) {
+            invalidStream("a management record of " + length() + " bytes");
         } else if (id().value() == 0 && type() >= Records.BEGIN && type() <= Records.DATA) {
-            bad("a record of type " + type() + " without a request");
+            invalidStream("a record of type " + type() + " without a request");
         }
     }
 
-    private void content(ByteBuffer in, int count) {
-        Request request = open.get(id());
+    private void readContent(ByteBuffer in, int count) {
+        Request request = openRequests.get(id());
         if (id().value() == 0 || type() == Records.BEGIN) {
-            whole.add(in, count);
-        } else if (request != null && !request.told && type() == Records.PARAMS) {
-            if (!request.params.add(in, count)) {
+            recordContent.append(in, count);
+        } else if (request != null && !request.passedOn && type() == Records.PARAMS) {
+            if (!request.params.append(in, count)) {
                 refuse(request, Refusal.TOO_BIG);
             }
-        } else if (request != null && !request.told && type() == Records.STDIN) {
-            if (!request.body.add(in, count)) {
+        } else if (request != null && !request.passedOn && type() == Records.STDIN) {
+            if (!request.body.append(in, count)) {
                 refuse(request, Refusal.TOO_BIG);
             }
         } else {
             in.position(in.position() + count);
-            passed += count;
+            skippedBytes += count;
         }
     }
 
-    private void recordEnded() {
+    private void recordComplete() {
         if (id().value() == 0) {
-            managementEnded();
+            managementRecordComplete();
             return;
         }
-        passed += Records.HEADER;
-        if (passed > PASSED_MOST) {
-            bad("over " + PASSED_MOST + " bytes that belong to no request"); // for example a body without end
+        skippedBytes += Records.HEADER_BYTES;
+        if (skippedBytes > MAX_SKIPPED_BYTES) {
+            invalidStream("over " + MAX_SKIPPED_BYTES + " bytes that belong to no request"); // for example a body without end
             return;
         }
-        Request request = open.get(id());
+        Request request = openRequests.get(id());
         switch (type()) {
             case Records.BEGIN -> begin();
             case Records.ABORT -> {
                 if (request != null) {
-                    sink.aborted(id());
+                    sink.onAbort(id());
                 }
             }
             case Records.PARAMS -> {
-                if (request != null && !request.told && length() == 0) {
-                    paramsEnded(request);
+                if (request != null && !request.passedOn && length() == 0) {
+                    paramsComplete(request);
                 }
             }
             case Records.STDIN -> {
-                if (request != null && !request.told && length() == 0) {
-                    bodyEnded(request);
+                if (request != null && !request.passedOn && length() == 0) {
+                    bodyComplete(request);
                 }
             }
             default -> {}
         }
     }
 
-    private void managementEnded() {
+    private void managementRecordComplete() {
         try {
-            sink.reply(
+            sink.onManagementReply(
                     type() == Records.GET_VALUES
-                            ? Records.values(Fields.pairs(whole.copy()).keySet())
+                            ? Records.getValuesResult(Fields.parsePairs(recordContent.copy()).keySet())
                             : Records.unknownType(type()));
         } catch (IllegalArgumentException e) {
-            bad("a management record: " + e.getMessage());
+            invalidStream("a management record: " + e.getMessage());
         }
     }
 
     private void begin() {
-        byte[] content = whole.copy();
-        if (open.containsKey(id())) {
-            bad("request " + id().value() + " begins while it is open");
+        byte[] content = recordContent.copy();
+        if (openRequests.containsKey(id())) {
+            invalidStream("request " + id().value() + " begins while it is open");
             return;
         }
-        boolean tooManyOpen = open.size() >= OPEN_MOST;
+        boolean tooManyOpen = openRequests.size() >= MAX_OPEN_REQUESTS;
         Request request = new Request();
-        request.keep = (content[2] & 1) != 0;
-        open.put(id(), request);
-        if (!sink.begun(id()) || tooManyOpen) {
+        request.keepConnection = (content[2] & 1) != 0;
+        openRequests.put(id(), request);
+        if (!sink.onBegin(id()) || tooManyOpen) {
             refuse(request, Refusal.OVERLOADED);
         } else if (((content[0] & 0xff) << 8 | content[1] & 0xff) != Records.RESPONDER) {
             refuse(request, Refusal.ROLE);
         }
     }
 
-    private void paramsEnded(Request request) {
-        request.paramsEnded = true;
+    private void paramsComplete(Request request) {
+        request.paramsComplete = true;
         try {
             request.fields = new Fields(request.params.copy());
             request.params.clear();
@@ -243,27 +243,27 @@
         }
     }
 
-    private void bodyEnded(Request request) {
-        if (!request.paramsEnded) {
+    private void bodyComplete(Request request) {
+        if (!request.paramsComplete) {
             refuse(request, Refusal.PARAMS);
             return;
         }
-        request.told = true;
-        passed = 0;
+        request.passedOn = true;
+        skippedBytes = 0;
         byte[] body = request.body.copy();
         request.body.clear();
-        sink.request(id(), request.fields, body, request.keep);
+        sink.onRequest(id(), request.fields, body, request.keepConnection);
     }
 
     private void refuse(Request request, Refusal reason) {
-        request.told = true;
+        request.passedOn = true;
         request.params.clear();
         request.body.clear();
-        sink.refused(id(), reason, request.keep);
+        sink.onRefused(id(), reason, request.keepConnection);
     }
 
-    private void bad(String reason) {
-        over = true;
-        sink.bad(reason);
+    private void invalidStream(String reason) {
+        stopped = true;
+        sink.onInvalidStream(reason);
     }
 }
--- a/daemon/src/main/java/tallyweir/fastcgi/Records.java
+++ b/daemon/src/main/java/tallyweir/fastcgi/Records.java
@@ -8,7 +8,7 @@
 
 /** Encodes FastCGI records; the numbers are those of the FastCGI specification 1.0. */
 public final class Records {
-    static final int HEADER = 8;
+    static final int HEADER_BYTES = 8;
     static final int VERSION = 1;
     static final int BEGIN = 1;
     static final int ABORT = 2;
@@ -25,7 +25,7 @@
     private static final int COMPLETE = 0;
     private static final int OVERLOADED = 2;
     private static final int UNKNOWN_ROLE = 3;
-    private static final int RECORD_MOST = 0xffff;
+    private static final int MAX_CONTENT_BYTES = 0xffff;
 
     private Records() {}
 
@@ -40,8 +40,8 @@
         byte[] content = new byte[head.length + body.length];
         System.arraycopy(head, 0, content, 0, head.length);
         System.arraycopy(body, 0, content, head.length, body.length);
-        for (int offset = 0; offset < content.length; offset += RECORD_MOST) {
-            int length = Math.min(RECORD_MOST, content.length - offset);
+        for (int offset = 0; offset < content.length; offset += MAX_CONTENT_BYTES) {
+            int length = Math.min(MAX_CONTENT_BYTES, content.length - offset);
             header(out, STDOUT, id, length);
             out.write(content, offset, length);
         }
@@ -78,7 +78,7 @@
     }
 
     /** The end of a request without an answer, as after an abort. */
-    public static byte[] ended(RequestId id) {
+    public static byte[] endWithoutAnswer(RequestId id) {
         return end(id, COMPLETE);
     }
 
@@ -104,7 +104,7 @@
     }
 
     /** The reply to GET_VALUES with the only value that is fixed: a connection multiplexes requests. */
-    static byte[] values(Set<String> requested) {
+    static byte[] getValuesResult(Set<String> requested) {
         String name = "FCGI_MPXS_CONNS";
         ByteArrayOutputStream pairs = new ByteArrayOutputStream();
         if (requested.contains(name)) {
--- a/daemon/src/main/java/tallyweir/kernel/Commands.java
+++ b/daemon/src/main/java/tallyweir/kernel/Commands.java
@@ -13,7 +13,7 @@
 
     private Commands() {}
 
-    private interface Rest {
+    private interface FieldWriter {
         void write(JsonGenerator json) throws IOException;
     }
 
@@ -53,7 +53,7 @@
         return line("SYSINFO", json -> json.writeStringField("ref", tag));
     }
 
-    private static byte[] line(String type, Rest fields) {
+    private static byte[] line(String type, FieldWriter fields) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(128);
         try (JsonGenerator json = JSON.createGenerator(out)) {
             json.writeStartObject();
--- a/daemon/src/main/java/tallyweir/kernel/Notices.java
+++ b/daemon/src/main/java/tallyweir/kernel/Notices.java
@@ -11,8 +11,8 @@
 
 /** An incremental parser of the kernel's notices, one JSON object per line. The input may be split at any byte. */
 public final class Notices {
-    static final int LINE_MOST = 64 << 10;
-    private static final int GAUGES_MOST = 64;
+    static final int MAX_LINE_BYTES = 64 << 10;
+    private static final int MAX_GAUGES = 64;
     private static final byte[] NONE = {};
 
     /** Receives the events of the parser. Times are in tenths of a millisecond; data is decoded from base64. */
@@ -23,7 +23,7 @@
          * @param coldStart whether the server starts cold on this kernel
          * @param uptime how long ago the kernel started
          */
-        void booted(boolean coldStart, long uptime);
+        void onBooted(boolean coldStart, long uptime);
 
         /**
          * A run has ended.
@@ -31,31 +31,31 @@
          * @param n the number of the notice
          * @param state how the run ended, in the kernel's word
          */
-        void ended(long n, JobId job, String state, byte[] result);
+        void onRunEnded(long n, JobId job, String state, byte[] result);
 
         /** A run is blocked on a call to the store with the given body. */
-        void needs(long n, JobId job, byte[] body);
+        void onCall(long n, JobId job, byte[] body);
 
         /** The gauges requested with the tag, in the order of the settings. */
-        void gauges(String tag, double[] values);
+        void onGauges(String tag, double[] values);
 
         /** The kernel could not carry out a command. */
-        void notDone(String command, JobId job);
+        void onCommandFailed(String command, JobId job);
 
         /** A numbered message of the kernel that needs no action. */
-        void remark(long n, String text);
+        void onMessage(long n, String text);
 
         /** An invalid line or one of an unknown type, which is skipped. */
-        void unknown(String reason);
+        void onUnknownNotice(String reason);
 
         /** The stream is invalid from here on; no further event follows. */
-        void bad(String reason);
+        void onInvalidStream(String reason);
     }
 
-    private final JsonFactory json = new JsonFactory();
+    private final JsonFactory jsonFactory = new JsonFactory();
     private final Sink sink;
     private final ByteArrayOutputStream line = new ByteArrayOutputStream(256);
-    private boolean over;
+    private boolean stopped;
 
     public Notices(Sink sink) {
         this.sink = sink;
@@ -63,22 +63,22 @@
 
     /** Parses all remaining bytes, unless the stream is invalid. */
     public void read(ByteBuffer in) {
-        while (!over && in.hasRemaining()) {
+        while (!stopped && in.hasRemaining()) {
             byte b = in.get();
             if (b == '\n') {
                 byte[] complete = line.toByteArray();
                 line.reset();
-                take(complete);
-            } else if (line.size() >= LINE_MOST) {
-                over = true;
-                sink.bad("a line over " + LINE_MOST + " bytes");
+                parseLine(complete);
+            } else if (line.size() >= MAX_LINE_BYTES) {
+                stopped = true;
+                sink.onInvalidStream("a line over " + MAX_LINE_BYTES + " bytes");
             } else {
                 line.write(b);
             }
         }
     }
 
-    private void take(byte[] text) {
+    private void parseLine(byte[] text) {
         String type = "";
         JobId job = new JobId("");
         String state = "";
@@ -87,7 +87,7 @@
         long n = 0;
         double uptimeMs = 0;
         double[] gauges = {};
-        try (JsonParser in = json.createParser(text)) {
+        try (JsonParser in = jsonFactory.createParser(text)) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
                 throw new IOException("not a JSON object");
             }
@@ -102,33 +102,33 @@
                     case "data" -> data = Base64.getDecoder().decode(in.getValueAsString(""));
                     case "n" -> n = in.getValueAsLong();
                     case "took" -> uptimeMs = in.getValueAsDouble();
-                    case "gauges" -> gauges = gauges(in);
+                    case "gauges" -> gauges = parseGauges(in);
                     default -> in.skipChildren();
                 }
             }
         } catch (IOException | IllegalArgumentException e) {
-            sink.unknown(e.getMessage());
+            sink.onUnknownNotice(e.getMessage());
             return;
         }
         switch (type) {
-            case "BOOTED" -> sink.booted(state.equals("new"), (long) Math.ceil(uptimeMs * 10));
-            case "REAP" -> sink.ended(n, job, state, data);
-            case "IOREQ" -> sink.needs(n, job, data);
-            case "INFO" -> sink.gauges(ref, gauges);
-            case "EINVAL" -> sink.notDone(state, job);
-            case "DMESG" -> sink.remark(n, state);
-            default -> sink.unknown("type '" + type + "'");
+            case "BOOTED" -> sink.onBooted(state.equals("new"), (long) Math.ceil(uptimeMs * 10));
+            case "REAP" -> sink.onRunEnded(n, job, state, data);
+            case "IOREQ" -> sink.onCall(n, job, data);
+            case "INFO" -> sink.onGauges(ref, gauges);
+            case "EINVAL" -> sink.onCommandFailed(state, job);
+            case "DMESG" -> sink.onMessage(n, state);
+            default -> sink.onUnknownNotice("type '" + type + "'");
         }
     }
 
-    private static double[] gauges(JsonParser in) throws IOException {
-        double[] values = new double[GAUGES_MOST];
+    private static double[] parseGauges(JsonParser in) throws IOException {
+        double[] values = new double[MAX_GAUGES];
         int count = 0;
         if (in.currentToken() != JsonToken.START_ARRAY) {
             throw new IOException("gauges is not an array");
         }
         while (in.nextToken() != JsonToken.END_ARRAY) {
-            if (count < GAUGES_MOST) {
+            if (count < MAX_GAUGES) {
                 values[count++] = in.getValueAsDouble();
             }
             in.skipChildren();
--- a/daemon/src/main/java/tallyweir/net/Arrivals.java
+++ b/daemon/src/main/java/tallyweir/net/Arrivals.java
@@ -12,19 +12,19 @@
  * fills only its own connection. A caller that does not read its answers is not read either.
  */
 final class Arrivals {
-    static final int PIECES_MOST = 2;
-    static final int PEER_PIECES_MOST = 64; // bounds the memory of an endless reply that is processed too slowly
-    static final int TURNS_MOST = 64; // so that events of the peers do not wait for all callers
+    static final int MAX_CALLER_CHUNKS = 2;
+    static final int MAX_PEER_CHUNKS = 64; // bounds the memory of an endless reply that is processed too slowly
+    static final int MAX_CALLERS_PER_BATCH = 64; // so that events of the peers do not wait for all callers
 
     /** The queued chunks of one connection. */
     static final class Inbox {
-        private final ArrayDeque<Runnable> pieces = new ArrayDeque<>(PIECES_MOST);
+        private final ArrayDeque<Runnable> chunks = new ArrayDeque<>(MAX_CALLER_CHUNKS);
         private final Runnable suspend;
         private final Runnable resume;
-        private int waiting; // chunks of a caller not taken yet, or of a peer not processed yet
-        private final AtomicInteger unread = new AtomicInteger(); // of a caller: queued, or taken and not processed
-        private volatile boolean reading; // bytes may have left the socket and are not queued yet
-        private boolean stands; // too much of its output has not been sent
+        private int queuedChunks; // chunks of a caller not taken yet, or of a peer not processed yet
+        private final AtomicInteger unprocessedChunks = new AtomicInteger(); // of a caller: queued, or taken and not processed
+        private volatile boolean readInProgress; // bytes may have left the socket and are not queued yet
+        private boolean outputBacklogged; // too much of its output has not been sent
         private boolean suspended;
 
         /**
@@ -38,127 +38,127 @@
     }
 
     private final ReentrantLock lock = new ReentrantLock();
-    private final Condition something = lock.newCondition();
-    private final ArrayDeque<Runnable> first = new ArrayDeque<>();
-    private final ArrayDeque<Inbox> turns = new ArrayDeque<>();
-    private int peerPieces; // of all peers, not processed yet
+    private final Condition notEmpty = lock.newCondition();
+    private final ArrayDeque<Runnable> priorityEvents = new ArrayDeque<>();
+    private final ArrayDeque<Inbox> callersInTurn = new ArrayDeque<>();
+    private int pendingPeerChunks; // of all peers, not processed yet
 
     /** Queues an event that belongs to no inbox, before those of callers. */
-    void put(Runnable news) {
+    void put(Runnable event) {
         lock.lock();
         try {
-            first.add(news);
-            something.signal();
+            priorityEvents.add(event);
+            notEmpty.signal();
         } finally {
             lock.unlock();
         }
     }
 
     /** Queues a chunk of a peer, before those of callers. */
-    void putFirst(Inbox from, Runnable piece) {
+    void putPeerChunk(Inbox from, Runnable chunk) {
         lock.lock();
         try {
-            first.add(() -> {
-                taken(from, PEER_PIECES_MOST);
-                piece.run();
+            priorityEvents.add(() -> {
+                peerChunkProcessed(from, MAX_PEER_CHUNKS);
+                chunk.run();
             });
-            from.waiting++;
-            peerPieces++;
-            steer(from, PEER_PIECES_MOST);
-            something.signal();
+            from.queuedChunks++;
+            pendingPeerChunks++;
+            updateSuspension(from, MAX_PEER_CHUNKS);
+            notEmpty.signal();
         } finally {
             lock.unlock();
         }
     }
 
-    private void taken(Inbox peer, int most) {
+    private void peerChunkProcessed(Inbox peer, int maxChunks) {
         lock.lock();
         try {
-            peer.waiting--;
-            peerPieces--;
-            steer(peer, most);
+            peer.queuedChunks--;
+            pendingPeerChunks--;
+            updateSuspension(peer, maxChunks);
         } finally {
             lock.unlock();
         }
     }
 
     /** Chunks of the peers that have arrived and that the decision thread has not processed yet. */
-    int peerPieces() {
+    int pendingPeerChunks() {
         lock.lock();
         try {
-            return peerPieces;
+            return pendingPeerChunks;
         } finally {
             lock.unlock();
         }
     }
 
     /** Queues a chunk of a caller. */
-    void put(Inbox from, Runnable piece) {
+    void put(Inbox from, Runnable chunk) {
         lock.lock();
         try {
-            from.pieces.add(piece);
-            from.waiting++;
-            from.unread.incrementAndGet();
-            if (from.pieces.size() == 1) {
-                turns.add(from);
+            from.chunks.add(chunk);
+            from.queuedChunks++;
+            from.unprocessedChunks.incrementAndGet();
+            if (from.chunks.size() == 1) {
+                callersInTurn.add(from);
             }
-            steer(from, PIECES_MOST);
-            something.signal();
+            updateSuspension(from, MAX_CALLER_CHUNKS);
+            notEmpty.signal();
         } finally {
             lock.unlock();
         }
     }
 
     /** Notes that bytes of a caller are about to be read from its socket, or that they have been queued. */
-    static void reading(Inbox of, boolean reading) {
-        of.reading = reading;
+    static void setReadInProgress(Inbox inbox, boolean readInProgress) {
+        inbox.readInProgress = readInProgress;
     }
 
     /** Whether all bytes that were read from a caller's socket have been processed. */
-    static boolean isEmpty(Inbox of) {
-        return !of.reading && of.unread.get() == 0;
+    static boolean isEmpty(Inbox inbox) {
+        return !inbox.readInProgress && inbox.unprocessedChunks.get() == 0;
     }
 
     /** Notes whether too much output of a caller is unsent. While it is, the caller is not read. */
-    void stands(Inbox of, boolean stands) {
+    void setOutputBacklogged(Inbox inbox, boolean backlogged) {
         lock.lock();
         try {
-            of.stands = stands;
-            steer(of, PIECES_MOST);
+            inbox.outputBacklogged = backlogged;
+            updateSuspension(inbox, MAX_CALLER_CHUNKS);
         } finally {
             lock.unlock();
         }
     }
 
-    private static void steer(Inbox of, int most) {
-        boolean suspend = of.stands || of.waiting >= most;
-        if (suspend != of.suspended) {
-            of.suspended = suspend;
-            (suspend ? of.suspend : of.resume).run();
+    private static void updateSuspension(Inbox inbox, int maxChunks) {
+        boolean suspend = inbox.outputBacklogged || inbox.queuedChunks >= maxChunks;
+        if (suspend != inbox.suspended) {
+            inbox.suspended = suspend;
+            (suspend ? inbox.suspend : inbox.resume).run();
         }
     }
 
     /** Takes the next batch of events, and waits up to that many nanoseconds for the first. */
-    void take(List<Runnable> into, long nanos) throws InterruptedException {
+    void take(List<Runnable> batch, long nanos) throws InterruptedException {
         lock.lock();
         try {
-            for (long left = nanos; left > 0 && first.isEmpty() && turns.isEmpty(); ) {
-                left = something.awaitNanos(left);
+            for (long remaining = nanos; remaining > 0 && priorityEvents.isEmpty() && callersInTurn.isEmpty(); ) {
+                remaining = notEmpty.awaitNanos(remaining);
             }
-            into.addAll(first);
-            first.clear();
-            for (int n = Math.min(TURNS_MOST, turns.size()); n > 0; n--) {
-                Inbox of = turns.poll();
-                Runnable piece = of.pieces.poll();
-                into.add(() -> {
-                    of.unread.decrementAndGet();
-                    piece.run();
+            batch.addAll(priorityEvents);
+            priorityEvents.clear();
+            for (int n = Math.min(MAX_CALLERS_PER_BATCH, callersInTurn.size()); n > 0; n--) {
+                Inbox inbox = callersInTurn.poll();
+                Runnable chunk = inbox.chunks.poll();
+                batch.add(() -> {
+                    inbox.unprocessedChunks.decrementAndGet();
+                    chunk.run();
                 });
-                of.waiting--;
-                if (!of.pieces.isEmpty()) {
-                    turns.add(of);
+                inbox.queuedChunks--;
+                if (!inbox.chunks.isEmpty()) {
+                    callersInTurn.add(inbox);
                 }
-                steer(of, PIECES_MOST);
+                updateSuspension(inbox, MAX_CALLER_CHUNKS);
             }
         } finally {
             lock.unlock();
--- a/daemon/src/main/java/tallyweir/net/CallersProcessor.java
+++ b/daemon/src/main/java/tallyweir/net/CallersProcessor.java
@@ -16,10 +16,10 @@
     @Override
     protected int read(NioSession session, IoBuffer into) throws Exception {
         Arrivals.Inbox inbox = Server.inbox(session);
-        Arrivals.reading(inbox, true);
+        Arrivals.setReadInProgress(inbox, true);
         int read = super.read(session, into);
         if (read <= 0 && into.position() == 0) {
-            Arrivals.reading(inbox, false);
+            Arrivals.setReadInProgress(inbox, false);
         }
         return read;
     }
--- a/daemon/src/main/java/tallyweir/net/GatedAcceptor.java
+++ b/daemon/src/main/java/tallyweir/net/GatedAcceptor.java
@@ -17,29 +17,29 @@
  * millisecond. Before the listener is closed, the callers in its queue are accepted.
  */
 final class GatedAcceptor extends NioSocketAcceptor {
-    private static final long LOOK_MILLIS = 100;
-    private static final long FOR_EVER = 0;
-    private static final int FAILED_TO_MAKE_ROOM = 20; // consecutive; another connection then has to be closed
-    private static final int NOBODY_IN_A_ROW = 2; // an interrupted accept also returns null, as for an empty queue
+    private static final long REGISTRATION_CHECK_MS = 100;
+    private static final long NO_TIMEOUT = 0;
+    private static final int FAILURES_BEFORE_EVICTION = 20; // consecutive; another connection then has to be closed
+    private static final int EMPTY_ACCEPTS_BEFORE_CLOSE = 2; // an interrupted accept also returns null, as for an empty queue
 
     private final IoProcessor<NioSession> processor;
-    private final int most;
-    private final Runnable shut;
+    private final int maxOpen;
+    private final Runnable onFull;
     private final SocketFailures failures;
-    private final AtomicInteger open = new AtomicInteger();
-    private volatile boolean proven; // a caller was accepted since the listener was registered with epoll
-    private int failedInARow; // belongs to the accepting thread
-    private volatile SelectionKey waits; // the listener's key while accepting is suspended, else null
+    private final AtomicInteger openCount = new AtomicInteger();
+    private volatile boolean registrationConfirmed; // a caller was accepted since the listener was registered with epoll
+    private int consecutiveFailures; // belongs to the accepting thread
+    private volatile SelectionKey suspendedKey; // the listener's key while accepting is suspended, else null
 
     /**
      * @param most the maximum of open connections
-     * @param shut called by the accepting thread each time that accepting is suspended or keeps failing
+     * @param onFull called by the accepting thread each time that accepting is suspended or keeps failing
      */
-    GatedAcceptor(IoProcessor<NioSession> processor, int most, Runnable shut, SocketFailures failures) {
+    GatedAcceptor(IoProcessor<NioSession> processor, int maxOpen, Runnable onFull, SocketFailures failures) {
         super(processor);
         this.processor = processor;
-        this.most = most;
-        this.shut = shut;
+        this.maxOpen = maxOpen;
+        this.onFull = onFull;
         this.failures = failures;
     }
 
@@ -47,9 +47,9 @@
     protected int select() {
         while (true) {
             try {
-                int selected = selector.select(proven ? FOR_EVER : LOOK_MILLIS);
-                if (selected == 0 && !proven) {
-                    registerAgain();
+                int selected = selector.select(registrationConfirmed ? NO_TIMEOUT : REGISTRATION_CHECK_MS);
+                if (selected == 0 && !registrationConfirmed) {
+                    renewRegistration();
                 }
                 return selector.selectedKeys().size();
             } catch (IOException e) {
@@ -60,9 +60,9 @@
     }
 
     /** Registers the listener with epoll again, as the JVM does not report that a registration failed. */
-    private void registerAgain() throws IOException {
+    private void renewRegistration() throws IOException {
         for (SelectionKey key : selector.keys()) {
-            if (key.isValid() && waits == null) {
+            if (key.isValid() && suspendedKey == null) {
                 key.interestOps(0);
                 try {
                     selector.selectNow();
@@ -78,13 +78,13 @@
         if (listener == null) {
             return null; // the listener has been closed in the meantime
         }
-        if (open.get() >= most) {
+        if (openCount.get() >= maxOpen) {
             SelectionKey key = listener.keyFor(selector);
             key.interestOps(0);
-            waits = key;
-            shut.run();
-            if (open.get() < most) {
-                letIn(); // a connection was closed in the meantime
+            suspendedKey = key;
+            onFull.run();
+            if (openCount.get() < maxOpen) {
+                resumeAccepting(); // a connection was closed in the meantime
             }
             return null;
         }
@@ -99,32 +99,32 @@
         SocketChannel channel = null;
         try {
             channel = listener.accept();
-            failedInARow = 0;
-            proven = proven || channel != null;
-            return channel == null ? null : counted(new SocketSession(processor, this, channel));
+            consecutiveFailures = 0;
+            registrationConfirmed = registrationConfirmed || channel != null;
+            return channel == null ? null : countUntilClosed(new SocketSession(processor, this, channel));
         } catch (IOException | RuntimeException | Error e) {
             failures.add(SocketFailures.Call.ACCEPT, e);
             closeQuietly(channel);
-            recover(SocketError.of(e));
+            handleAcceptFailure(SocketError.of(e));
             return null;
         }
     }
 
-    private void recover(SocketError error) {
-        failedInARow++;
-        if (!error.isOfOneConnection()) {
+    private void handleAcceptFailure(SocketError error) {
+        consecutiveFailures++;
+        if (!error.affectsOneConnection()) {
             SocketFailures.pause();
         }
-        if (failedInARow % FAILED_TO_MAKE_ROOM == 0) {
-            shut.run();
+        if (consecutiveFailures % FAILURES_BEFORE_EVICTION == 0) {
+            onFull.run();
         }
     }
 
-    private NioSession counted(NioSession session) {
-        open.incrementAndGet();
+    private NioSession countUntilClosed(NioSession session) {
+        openCount.incrementAndGet();
         session.getCloseFuture().addListener(closed -> {
-            open.decrementAndGet();
-            letIn();
+            openCount.decrementAndGet();
+            resumeAccepting();
         });
         return session;
     }
@@ -150,7 +150,7 @@
             key.cancel();
             deregister();
         }
-        takeIn(listener);
+        acceptQueued(listener);
         listener.close();
     }
 
@@ -163,27 +163,27 @@
     }
 
     /** Accepts the callers in the listener's queue, for at most as long as failing calls are retried. */
-    private void takeIn(ServerSocketChannel listener) {
-        long end = System.nanoTime() + SocketFailures.PATIENCE_NANOS;
-        int nobody = 0;
-        while (nobody < NOBODY_IN_A_ROW && open.get() < most && System.nanoTime() - end < 0) {
-            failedInARow = 0;
+    private void acceptQueued(ServerSocketChannel listener) {
+        long deadlineNanos = System.nanoTime() + SocketFailures.MAX_RETRY_NANOS;
+        int emptyAccepts = 0;
+        while (emptyAccepts < EMPTY_ACCEPTS_BEFORE_CLOSE && openCount.get() < maxOpen && System.nanoTime() - deadlineNanos < 0) {
+            consecutiveFailures = 0;
             NioSession session = accept(listener);
             if (session != null) {
                 initSession(session, null, null);
                 session.getProcessor().add(session);
             }
-            nobody = session == null && failedInARow == 0 ? nobody + 1 : 0;
+            emptyAccepts = session == null && consecutiveFailures == 0 ? emptyAccepts + 1 : 0;
         }
     }
 
-    private void letIn() {
-        SelectionKey key = waits;
+    private void resumeAccepting() {
+        SelectionKey key = suspendedKey;
         if (key == null) {
             return;
         }
-        waits = null;
-        proven = false;
+        suspendedKey = null;
+        registrationConfirmed = false;
         try {
             key.interestOps(SelectionKey.OP_ACCEPT);
             wakeup();
@@ -193,7 +193,7 @@
     }
 
     /** Whether accepting is suspended, so that callers may be waiting in the listener's queue. */
-    boolean isShut() {
-        return waits != null;
+    boolean isSuspended() {
+        return suspendedKey != null;
     }
 }
