--- a/daemon/src/main/java/tallyweir/net/Server.java
+++ b/daemon/src/main/java/tallyweir/net/Server.java
@@ -56,49 +56,49 @@
  */
 public final class Server implements Links {
     private static final Logger LOG = LoggerFactory.getLogger(Server.class);
-    private static final AttributeKey SLOT = new AttributeKey(Server.class, "connection");
+    private static final AttributeKey CONNECTION = new AttributeKey(Server.class, "connection");
     private static final AttributeKey LINK = new AttributeKey(Server.class, "link");
     private static final AttributeKey INBOX = new AttributeKey(Server.class, "inbox");
-    private static final AttributeKey WRITTEN =
+    private static final AttributeKey BYTES_BEFORE_LAST_WRITE =
             // Bytes written before the last write was queued, or -1 where earlier output was still queued at that time.
             new AttributeKey(Server.class, "bytes before last write");
-    private static final AttributeKey WAITS = new AttributeKey(Server.class, "wake when sent");
-    private static final int READ_MOST = 8 << 10; // per chunk; only a few chunks of each caller are queued
-    private static final int UNWRITTEN_MOST =
+    private static final AttributeKey WAKE_WHEN_SENT = new AttributeKey(Server.class, "wake when sent");
+    private static final int MAX_READ_BYTES = 8 << 10; // per chunk; only a few chunks of each caller are queued
+    private static final int MAX_UNWRITTEN_BYTES =
             64 << 10; // per connection; above it the connection is not read until the output has been sent
-    private static final int UNWRITTEN_ALL = 4 << 20; // of all callers; above it the connection with the most is closed
-    private static final int WRITE_SECONDS = 10; // for a peer that reads nothing
-    private static final int NO_PROGRESS_MILLIS = 1_000; // a caller that reads nothing for longer may be closed
-    private static final int CONNECT_MILLIS = 2_000;
+    private static final int MAX_TOTAL_UNWRITTEN_BYTES = 4 << 20; // of all callers; above it the connection with the most is closed
+    private static final int WRITE_TIMEOUT_SECONDS = 10; // for a peer that reads nothing
+    private static final int MIN_STALL_MS = 1_000; // a caller that reads nothing for longer may be closed
+    private static final int CONNECT_TIMEOUT_MS = 2_000;
     private static final int BACKLOG = 4_096;
-    private static final long FAR = 10_000; // upper bound of one wait for events
+    private static final long MAX_WAIT_TENTHS_MS = 10_000; // upper bound of one wait for events
 
     private Config config;
-    private final Arrivals arrived = new Arrivals();
-    private final ArrayDeque<Runnable> own = new ArrayDeque<>(); // queued by the decision thread itself
+    private final Arrivals eventQueue = new Arrivals();
+    private final ArrayDeque<Runnable> ownEvents = new ArrayDeque<>(); // queued by the decision thread itself
     private final Map<ConnectionId, IoSession> callers = new HashMap<>();
-    private final Map<LinkId, Long> opening = new LinkedHashMap<>(); // start of each connection attempt, oldest first
+    private final Map<LinkId, Long> connectingSince = new LinkedHashMap<>(); // start of each connection attempt, oldest first
     private final Map<LinkId, IoSession> peers = new HashMap<>();
-    private final Map<IoSession, ByteArrayOutputStream> toWrite = new LinkedHashMap<>();
-    private final Set<IoSession> toEnd = new LinkedHashSet<>();
-    private final Set<IoSession> standing = new LinkedHashSet<>(); // callers over the limit of unwritten bytes
+    private final Map<IoSession, ByteArrayOutputStream> pendingOutput = new LinkedHashMap<>();
+    private final Set<IoSession> pendingHalfCloses = new LinkedHashSet<>();
+    private final Set<IoSession> backloggedCallers = new LinkedHashSet<>(); // callers over the limit of unwritten bytes
     private final SocketFailures failures = new SocketFailures();
     private final Executor processorThreads = Executors.newCachedThreadPool();
     // Peers have an I/O thread of their own, so that a flood of callers cannot delay them.
-    private IoProcessor<NioSession> peersProcessor;
+    private IoProcessor<NioSession> peerProcessor;
     private final CompletableFuture<Void> listenerClosed = new CompletableFuture<>();
     private final GatedAcceptor acceptor;
     private PeerConnector connector;
-    private NioDatagramConnector datagrams;
+    private NioDatagramConnector datagramConnector;
     private final long startNanos = System.nanoTime();
-    private final long startWall = wall();
-    private final Thread deciding = Thread.currentThread();
+    private final long startedAt = wallClock();
+    private final Thread decisionThread = Thread.currentThread();
     private final Backend backend;
-    private IoSession reports;
-    private long reportsOpening; // start of the attempt to connect, 0 for none
-    private Runnable lookAgain = () -> {};
-    private InetSocketAddress kernelAt; // set by a revision of the fleet, null for the configured address
-    private InetSocketAddress announceAt; // likewise
+    private IoSession reportSession;
+    private long reportConnectingSince; // start of the attempt to connect, 0 for none
+    private Runnable addressRefresh = () -> {};
+    private InetSocketAddress fleetKernelAddress; // set by a revision of the fleet, null for the configured address
+    private InetSocketAddress fleetAnnounceAddress; // likewise
 
     /** A server without a result store. The constructing thread is its decision thread and has to call {@link #run}. */
     public Server(Config config) {
@@ -106,28 +106,28 @@
     }
 
     /** Creates the result store, which retains results across restarts. */
-    public interface Shelves {
+    public interface ResultStoreFactory {
         /**
          * Returns null for a server that retains no results.
          *
          * @param deciding runs tasks on the decision thread
          */
-        ResultStore make(Executor deciding) throws IOException;
+        ResultStore create(Executor decisionThread) throws IOException;
     }
 
     /**
      * A server whose decision thread is the one that constructs it, and that has to call {@link #run}.
      *
-     * @param shelves called once, by this constructor
+     * @param resultStoreFactory called once, by this constructor
      */
-    public Server(Config config, Shelves shelves) {
+    public Server(Config config, ResultStoreFactory resultStoreFactory) {
         this.config = config;
         try {
-            backend = new Backend(this, config, now(), startWall, shelves.make(this::tell));
+            backend = new Backend(this, config, now(), startedAt, resultStoreFactory.create(this::enqueue));
             acceptor = new GatedAcceptor(
                     new CallersProcessor(processorThreads, failures),
-                    Backend.callersMost(config.sockets),
-                    () -> tell(backend::full),
+                    Backend.maxCallerConnections(config.maxSockets),
+                    () -> enqueue(backend::connectionLimitReached),
                     failures);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -136,30 +136,30 @@
 
     /** Starts to listen. The only failure that is passed on is that of the listener, for example an address in use. */
     public void bind() throws IOException {
-        acceptor.getSessionConfig().setMaxReadBufferSize(READ_MOST);
+        acceptor.getSessionConfig().setMaxReadBufferSize(MAX_READ_BYTES);
         acceptor.getSessionConfig().setWriteTimeout(0); // a caller that reads slowly still gets all its answers
         acceptor.getSessionConfig().setTcpNoDelay(true);
         acceptor.setReuseAddress(true);
         acceptor.setBacklog(BACKLOG);
         acceptor.setCloseOnDeactivation(false); // otherwise closing the listener would reset every caller
         acceptor.setHandler(callerHandler());
-        counts("failed_", failures::counts);
-        counts("callers_", this::pendingBytes);
-        openPeers();
+        addCounters("failed_", failures::counts);
+        addCounters("callers_", this::pendingBytes);
+        openPeerConnectors();
         acceptor.bind(config.listen);
     }
 
-    private void openPeers() {
-        peersProcessor = new SocketProcessor(processorThreads, failures);
-        connector = new PeerConnector(peersProcessor, failures);
-        datagrams = new NioDatagramConnector(peersProcessor);
-        set(connector.getSessionConfig());
+    private void openPeerConnectors() {
+        peerProcessor = new SocketProcessor(processorThreads, failures);
+        connector = new PeerConnector(peerProcessor, failures);
+        datagramConnector = new NioDatagramConnector(peerProcessor);
+        configure(connector.getSessionConfig());
         connector.getSessionConfig().setTcpNoDelay(true);
-        connector.setConnectTimeoutMillis(CONNECT_MILLIS);
+        connector.setConnectTimeoutMillis(CONNECT_TIMEOUT_MS);
         connector.setHandler(peerHandler());
-        datagrams.setHandler(reportHandler());
-        reports = null;
-        reportsOpening = 0;
+        datagramConnector.setHandler(reportHandler());
+        reportSession = null;
+        reportConnectingSince = 0;
     }
 
     /**
@@ -167,24 +167,24 @@
      * the timeout. If it does not, its threads for the peers have ended or hang, and no peer could be reached any more.
      * Links that are up stay with the old processor.
      */
-    private void lookAfterPeers() {
-        long before = now() - 2 * 10L * CONNECT_MILLIS;
-        boolean stuck = !opening.isEmpty() && opening.values().iterator().next() < before
-                || reportsOpening > 0 && reportsOpening < before;
+    private void replaceStuckConnectors() {
+        long before = now() - 2 * 10L * CONNECT_TIMEOUT_MS;
+        boolean stuck = !connectingSince.isEmpty() && connectingSince.values().iterator().next() < before
+                || reportConnectingSince > 0 && reportConnectingSince < before;
         if (stuck) {
             LOG.error("connecting to the peers hangs; the connectors are replaced");
             connector.dispose();
-            datagrams.dispose();
-            openPeers();
-            List<LinkId> lost = List.copyOf(opening.keySet());
-            opening.clear();
-            lost.forEach(link -> backend.down(link, true));
+            datagramConnector.dispose();
+            openPeerConnectors();
+            List<LinkId> unopened = List.copyOf(connectingSince.keySet());
+            connectingSince.clear();
+            unopened.forEach(link -> backend.linkDown(link, true));
         }
     }
 
-    private static void set(IoSessionConfig of) {
-        of.setMaxReadBufferSize(READ_MOST);
-        of.setWriteTimeout(WRITE_SECONDS);
+    private static void configure(IoSessionConfig sessionConfig) {
+        sessionConfig.setMaxReadBufferSize(MAX_READ_BYTES);
+        sessionConfig.setWriteTimeout(WRITE_TIMEOUT_SECONDS);
     }
 
     /** The address it listens on, null while it does not. */
@@ -198,7 +198,7 @@
         List<Runnable> batch = new ArrayList<>();
         while (true) {
             try {
-                round(batch);
+                processBatch(batch);
             } catch (InterruptedException e) {
                 return;
             } catch (RuntimeException | Error e) {
@@ -208,41 +208,41 @@
         }
     }
 
-    private void round(List<Runnable> batch) throws InterruptedException {
+    private void processBatch(List<Runnable> batch) throws InterruptedException {
         batch.clear();
-        long wait = own.isEmpty() ? Math.min(FAR, backend.next() - now()) : 0;
-        arrived.take(batch, wait * 100_000);
-        batch.addAll(own);
-        own.clear();
-        backend.clock(now(), wall());
-        for (Runnable news : batch) {
+        long wait = ownEvents.isEmpty() ? Math.min(MAX_WAIT_TENTHS_MS, backend.nextDeadline() - now()) : 0;
+        eventQueue.take(batch, wait * 100_000);
+        batch.addAll(ownEvents);
+        ownEvents.clear();
+        backend.updateClock(now(), wallClock());
+        for (Runnable event : batch) {
             try {
-                news.run();
+                event.run();
             } catch (RuntimeException | Error e) {
                 LOG.error("an event was skipped because processing it failed", e);
             }
         }
-        backend.pass();
-        lookAfterPeers();
-        write();
+        backend.runDue();
+        replaceStuckConnectors();
+        writeOutput();
     }
 
     private long now() {
-        return startWall + (System.nanoTime() - startNanos) / 100_000;
+        return startedAt + (System.nanoTime() - startNanos) / 100_000;
     }
 
     /** Tenths of a millisecond since 1970, rounded up, so that ages are rounded up and remaining times down. */
-    private static long wall() {
+    private static long wallClock() {
         Instant t = Instant.now();
         return t.getEpochSecond() * 10_000 + (t.getNano() + 99_999) / 100_000;
     }
 
     /** Queues an event for the decision thread. Any thread may call it; its own events need no lock. */
-    private void tell(Runnable news) {
-        if (Thread.currentThread() == deciding) {
-            own.add(news);
+    private void enqueue(Runnable event) {
+        if (Thread.currentThread() == decisionThread) {
+            ownEvents.add(event);
         } else {
-            arrived.put(news);
+            eventQueue.put(event);
         }
     }
 
@@ -257,8 +257,8 @@
     }
 
     /** Queues an event of a caller's connection behind the earlier ones of that connection. */
-    private void tell(IoSession caller, Runnable news) {
-        arrived.put(inbox(caller), news);
+    private void enqueue(IoSession caller, Runnable event) {
+        eventQueue.put(inbox(caller), event);
     }
 
     /** Wakes MINA's thread too, which would otherwise notice only on its next pass that it may read again. */
@@ -267,52 +267,52 @@
         ((NioSession) session).getProcessor().flush((NioSession) session);
     }
 
-    private void write() {
-        toWrite.forEach((session, bytes) -> {
-            session.setAttribute(WRITTEN, session.getScheduledWriteBytes() == 0 ? session.getWrittenBytes() : -1L);
-            if (toEnd.contains(session)) {
-                session.setAttribute(WAITS);
+    private void writeOutput() {
+        pendingOutput.forEach((session, bytes) -> {
+            session.setAttribute(BYTES_BEFORE_LAST_WRITE, session.getScheduledWriteBytes() == 0 ? session.getWrittenBytes() : -1L);
+            if (pendingHalfCloses.contains(session)) {
+                session.setAttribute(WAKE_WHEN_SENT);
             }
             session.write(IoBuffer.wrap(bytes.toByteArray()));
-            if (session.getScheduledWriteBytes() > UNWRITTEN_MOST && session.getAttribute(SLOT) != null) {
-                session.setAttribute(WAITS);
-                standing.add(session);
-                arrived.stands(inbox(session), true);
+            if (session.getScheduledWriteBytes() > MAX_UNWRITTEN_BYTES && session.getAttribute(CONNECTION) != null) {
+                session.setAttribute(WAKE_WHEN_SENT);
+                backloggedCallers.add(session);
+                eventQueue.setOutputBacklogged(inbox(session), true);
             }
         });
-        toWrite.clear();
-        goneOut();
-        toEnd.removeIf(
-                session -> !session.isConnected() || session.getScheduledWriteBytes() == 0 && endOutput(session));
+        pendingOutput.clear();
+        checkBackloggedCallers();
+        pendingHalfCloses.removeIf(
+                session -> !session.isConnected() || session.getScheduledWriteBytes() == 0 && shutdownOutput(session));
     }
 
     /** Whether no byte of the last output for this session has left the process. */
-    private boolean unwritten(IoSession session) {
-        return toWrite.remove(session) != null
-                || session.getAttribute(WRITTEN) instanceof Long before && before == session.getWrittenBytes();
+    private boolean nothingSent(IoSession session) {
+        return pendingOutput.remove(session) != null
+                || session.getAttribute(BYTES_BEFORE_LAST_WRITE) instanceof Long before && before == session.getWrittenBytes();
     }
 
     /**
      * Resumes reading from callers whose output has been sent. If the unwritten output of all takes too much memory,
      * closes the connection with the most of it.
      */
-    private void goneOut() {
-        standing.removeIf(session -> {
-            boolean over = !session.isConnected() || session.getScheduledWriteBytes() <= UNWRITTEN_MOST;
-            if (over) {
-                arrived.stands(inbox(session), false);
+    private void checkBackloggedCallers() {
+        backloggedCallers.removeIf(session -> {
+            boolean resumed = !session.isConnected() || session.getScheduledWriteBytes() <= MAX_UNWRITTEN_BYTES;
+            if (resumed) {
+                eventQueue.setOutputBacklogged(inbox(session), false);
             }
-            return over;
+            return resumed;
         });
-        long all =
-                standing.stream().mapToLong(IoSession::getScheduledWriteBytes).sum();
-        if (all > UNWRITTEN_ALL) {
-            IoSession most = standing.stream()
+        long totalBytes =
+                backloggedCallers.stream().mapToLong(IoSession::getScheduledWriteBytes).sum();
+        if (totalBytes > MAX_TOTAL_UNWRITTEN_BYTES) {
+            IoSession largest = backloggedCallers.stream()
                     .max(Comparator.comparingLong(IoSession::getScheduledWriteBytes))
                     .orElseThrow();
             LOG.warn("a connection is closed: its unread answers take too much memory");
-            backend.unread();
-            most.closeNow();
+            backend.closedWithUnreadAnswers();
+            largest.closeNow();
         }
     }
 
@@ -321,7 +321,7 @@
      * later, and the peer would lose what it had not read yet. MINA has no such operation, so the session's channel is
      * used.
      */
-    private static boolean endOutput(IoSession session) {
+    private static boolean shutdownOutput(IoSession session) {
         try {
             channel(session).shutdownOutput();
         } catch (IOException e) {
@@ -353,9 +353,9 @@
 
             @Override
             public void sessionOpened(IoSession session) {
-                tell(session, () -> {
+                enqueue(session, () -> {
                     ConnectionId slot = backend.accepted();
-                    session.setAttribute(SLOT, slot);
+                    session.setAttribute(CONNECTION, slot);
                     callers.put(slot, session);
                 });
             }
@@ -363,33 +363,33 @@
             @Override
             public void exceptionCaught(IoSession session, Throwable cause) {
                 if (!channel(session).socket().isOutputShutdown()) {
-                    tell(backend::reset); // after our half-close some callers reply with a reset, which is not counted
+                    enqueue(backend::connectionReset); // after our half-close some callers reply with a reset, which is not counted
                 }
                 super.exceptionCaught(session, cause);
             }
 
             @Override
             public void messageSent(IoSession session, Object message) {
-                if (session.containsAttribute(WAITS)) {
-                    tell(() -> {}); // makes the decision thread check what has been sent
+                if (session.containsAttribute(WAKE_WHEN_SENT)) {
+                    enqueue(() -> {}); // makes the decision thread check what has been sent
                 }
             }
 
             @Override
             public void messageReceived(IoSession session, Object message) {
                 ByteBuffer bytes = ((IoBuffer) message).buf();
-                tell(session, () -> {
-                    if (session.getAttribute(SLOT) instanceof ConnectionId slot) {
+                enqueue(session, () -> {
+                    if (session.getAttribute(CONNECTION) instanceof ConnectionId slot) {
                         backend.read(slot, bytes);
                     }
                 });
-                Arrivals.reading(inbox(session), false);
+                Arrivals.setReadInProgress(inbox(session), false);
             }
 
             @Override
             public void sessionClosed(IoSession session) {
-                tell(session, () -> {
-                    if (session.removeAttribute(SLOT) instanceof ConnectionId slot) {
+                enqueue(session, () -> {
+                    if (session.removeAttribute(CONNECTION) instanceof ConnectionId slot) {
                         callers.remove(slot);
                         backend.closed(slot);
                     }
@@ -407,11 +407,11 @@
 
             @Override
             public void sessionOpened(IoSession session) {
-                tell(() -> {
+                enqueue(() -> {
                     LinkId link = (LinkId) session.getAttribute(LINK);
-                    if (opening.remove(link) != null) {
+                    if (connectingSince.remove(link) != null) {
                         peers.put(link, session);
-                        backend.up(link);
+                        backend.linkUp(link);
                     } else {
                         session.closeNow(); // dropped while it was being opened
                     }
@@ -421,7 +421,7 @@
             @Override
             public void messageReceived(IoSession session, Object message) {
                 ByteBuffer bytes = ((IoBuffer) message).buf();
-                arrived.putFirst(inbox(session), () -> {
+                eventQueue.putPeerChunk(inbox(session), () -> {
                     LinkId link = (LinkId) session.getAttribute(LINK);
                     if (peers.containsKey(link)) {
                         backend.read(link, bytes);
@@ -431,10 +431,10 @@
 
             @Override
             public void sessionClosed(IoSession session) {
-                arrived.putFirst(inbox(session), () -> {
+                eventQueue.putPeerChunk(inbox(session), () -> {
                     LinkId link = (LinkId) session.getAttribute(LINK);
                     if (peers.remove(link) != null) {
-                        backend.down(link, unwritten(session));
+                        backend.linkDown(link, nothingSent(session));
                     }
                 });
             }
@@ -445,7 +445,7 @@
         return new Handler() {
             @Override
             public void sessionClosed(IoSession session) {
-                tell(() -> reports = reports == session ? null : reports);
+                enqueue(() -> reportSession = reportSession == session ? null : reportSession);
             }
         };
     }
@@ -453,15 +453,15 @@
     // ---- requests of the backend
 
     @Override
-    public void toCaller(ConnectionId caller, byte[] bytes) {
+    public void sendToCaller(ConnectionId caller, byte[] bytes) {
         to(callers.get(caller), bytes);
     }
 
     @Override
-    public void endCaller(ConnectionId caller) {
+    public void halfCloseCaller(ConnectionId caller) {
         IoSession session = callers.get(caller);
         if (session != null) {
-            toEnd.add(session);
+            pendingHalfCloses.add(session);
         }
     }
 
@@ -470,37 +470,37 @@
      * batch.
      */
     @Override
-    public boolean endQuiet(ConnectionId caller) {
+    public boolean halfCloseIfQuiet(ConnectionId caller) {
         IoSession session = callers.get(caller);
         return session == null
-                || !toWrite.containsKey(session)
+                || !pendingOutput.containsKey(session)
                         && session.getScheduledWriteBytes() == 0
                         && SocketProcessor.unreadBytes((NioSession) session) == 0
                         && Arrivals.isEmpty(inbox(session))
-                        && endOutput(session);
+                        && shutdownOutput(session);
     }
 
     @Override
-    public void dropCaller(ConnectionId caller) {
+    public void closeCaller(ConnectionId caller) {
         IoSession session = callers.get(caller);
         if (session != null) {
-            toWrite.remove(session);
+            pendingOutput.remove(session);
             session.closeNow();
         }
     }
 
     @Override
-    public boolean dropStuck() {
-        long before = System.currentTimeMillis() - NO_PROGRESS_MILLIS;
-        IoSession longest = standing.stream()
+    public boolean closeStuckCaller() {
+        long before = System.currentTimeMillis() - MIN_STALL_MS;
+        IoSession longestStalled = backloggedCallers.stream()
                 .filter(s -> s.getLastWriteTime() < before)
                 .min(Comparator.comparingLong(IoSession::getLastWriteTime))
                 .orElse(null);
-        if (longest != null) {
-            standing.remove(longest);
-            longest.closeNow();
+        if (longestStalled != null) {
+            backloggedCallers.remove(longestStalled);
+            longestStalled.closeNow();
         }
-        return longest != null;
+        return longestStalled != null;
     }
 
     /** Runs on a thread of its own, since MINA's unbind blocks until the listener is closed. */
@@ -509,7 +509,7 @@
         Thread t = new Thread(
                 () -> {
                     acceptor.unbind();
-                    tell(backend::listenerClosed);
+                    enqueue(backend::listenerClosed);
                     listenerClosed.complete(null);
                 },
                 "unbind");
@@ -518,108 +518,108 @@
     }
 
     @Override
-    public boolean callersWait() {
-        return acceptor.isShut();
+    public boolean areCallersWaiting() {
+        return acceptor.isSuspended();
     }
 
     @Override
-    public void to(LinkId link, byte[] bytes) {
+    public void sendToPeer(LinkId link, byte[] bytes) {
         to(peers.get(link), bytes);
     }
 
     private void to(IoSession session, byte[] bytes) {
         if (session != null) {
-            toWrite.computeIfAbsent(session, s -> new ByteArrayOutputStream(bytes.length))
+            pendingOutput.computeIfAbsent(session, s -> new ByteArrayOutputStream(bytes.length))
                     .writeBytes(bytes);
         }
     }
 
     @Override
     public void connect(LinkId link, Peer peer, InetSocketAddress at) {
-        opening.put(link, now());
+        connectingSince.put(link, now());
         SocketAddress to =
-                at != null ? at : peer == Peer.STORE ? config.store : kernelAt != null ? kernelAt : config.kernel;
+                at != null ? at : peer == Peer.STORE ? config.store : fleetKernelAddress != null ? fleetKernelAddress : config.kernel;
         if (to == null) { // no store is configured as no workload was expected to call it, but a run does
-            tell(() -> refused(link));
+            enqueue(() -> connectFailed(link));
             return;
         }
         connector
                 .connect(to, (session, future) -> session.setAttribute(LINK, link))
                 .addListener(future -> {
                     if (!((ConnectFuture) future).isConnected()) {
-                        tell(() -> refused(link));
+                        enqueue(() -> connectFailed(link));
                     }
                 });
     }
 
-    private void refused(LinkId link) {
-        if (opening.remove(link) != null) {
-            backend.down(link, true);
+    private void connectFailed(LinkId link) {
+        if (connectingSince.remove(link) != null) {
+            backend.linkDown(link, true);
         }
     }
 
-    private InetSocketAddress announceAt() {
-        return announceAt != null ? announceAt : config.announce;
+    private InetSocketAddress announceAddress() {
+        return fleetAnnounceAddress != null ? fleetAnnounceAddress : config.announce;
     }
 
     @Override
-    public void route(InetSocketAddress kernel, InetSocketAddress announce) {
-        kernelAt = kernel;
-        announceAt = announce;
-        peersMoved();
+    public void setPeerAddresses(InetSocketAddress kernel, InetSocketAddress announce) {
+        fleetKernelAddress = kernel;
+        fleetAnnounceAddress = announce;
+        peerAddressesChanged();
     }
 
-    private void peersMoved() {
-        if (reports != null) {
-            reports.closeNow();
-            reports = null;
+    private void peerAddressesChanged() {
+        if (reportSession != null) {
+            reportSession.closeNow();
+            reportSession = null;
         }
-        backend.moved();
+        backend.addressesChanged();
     }
 
     @Override
-    public void drop(LinkId link) {
-        opening.remove(link);
+    public void closeLink(LinkId link) {
+        connectingSince.remove(link);
         IoSession session = peers.remove(link);
         if (session != null) {
-            toWrite.remove(session);
+            pendingOutput.remove(session);
             session.closeNow();
         }
     }
 
     /** A report that cannot be sent now is dropped; the next one follows soon. */
     @Override
-    public void report(byte[] datagram) {
-        if (reports != null) {
-            reports.write(IoBuffer.wrap(datagram));
-        } else if (reportsOpening == 0) {
-            openReports(datagram);
+    public void sendReport(byte[] datagram) {
+        if (reportSession != null) {
+            reportSession.write(IoBuffer.wrap(datagram));
+        } else if (reportConnectingSince == 0) {
+            openReportSession(datagram);
         }
     }
 
-    private void openReports(byte[] first) {
-        SocketAddress to = announceAt();
+    private void openReportSession(byte[] first) {
+        SocketAddress to = announceAddress();
         try {
-            ConnectFuture opening = datagrams.connect(to);
-            reportsOpening = now();
-            opening.addListener(future -> tell(() -> reportsOpened(opening, to, first)));
+            ConnectFuture connectFuture = datagramConnector.connect(to);
+            reportConnectingSince = now();
+            connectFuture.addListener(future -> enqueue(() -> reportSessionOpened(connectFuture, to, first)));
         } catch (RuntimeException | Error e) {
             failures.add(SocketFailures.Call.CONNECT, e); // the JVM throws an Error if connect is interrupted (EINTR)
         }
     }
 
-    private void reportsOpened(ConnectFuture opening, SocketAddress to, byte[] first) {
-        reportsOpening = 0;
-        if (!opening.isConnected()) {
+    private void reportSessionOpened(ConnectFuture connectFuture, SocketAddress to, byte[] first) {
+        reportConnectingSince = 0;
+        if (!connectFuture.isConnected()) {
             return;
         }
-        if (!to.equals(announceAt())) {
-            opening.getSession().closeNow(); // the service's address has changed in the meantime
-            report(first);
+        if (!to.equals(announceAddress())) {
+            connectFuture.getSession().closeNow(); // the service's address has changed in the meantime
+            sendReport(first);
             return;
         }
-        reports = opening.getSession();
-        reports.write(IoBuffer.wrap(first));
+        reportSession = connectFuture.getSession();
+        reportSession.write(IoBuffer.wrap(first));
     }
 
     // ---- called by other threads
@@ -629,28 +629,28 @@
      *
      * @param how called by the decision thread; must not block
      */
-    public void lookAgain(Runnable how) {
-        lookAgain = how;
+    public void lookAgain(Runnable refresh) {
+        addressRefresh = refresh;
     }
 
     @Override
-    public void lookAgain() {
-        lookAgain.run();
+    public void recheckConfig() {
+        addressRefresh.run();
     }
 
     /**
      * Takes over the addresses of the kernel, the store and the announce service; everything else stays as at the
      * start. Any thread may call it.
      */
-    public void move(Config to) {
-        tell(() -> {
-            if (to.kernel.equals(config.kernel)
-                    && Objects.equals(to.store, config.store)
-                    && to.announce.equals(config.announce)) {
+    public void updatePeerAddresses(Config newConfig) {
+        enqueue(() -> {
+            if (newConfig.kernel.equals(config.kernel)
+                    && Objects.equals(newConfig.store, config.store)
+                    && newConfig.announce.equals(config.announce)) {
                 return;
             }
-            config = to;
-            peersMoved();
+            config = newConfig;
+            peerAddressesChanged();
         });
     }
 
@@ -658,7 +658,7 @@
      * Begins to drain on the notice to shut down. The server accepts and answers until the end. Any thread may call it.
      */
     public void drain() {
-        tell(backend::drain);
+        enqueue(backend::drain);
     }
 
     /**
@@ -671,18 +671,18 @@
      * @param without guards that are disabled, for drills only
      */
     public void joinFleet(
-            FleetClient client, String fleet, long linger, long again, boolean backWhole, Set<Guard> without) {
+            FleetClient client, String fleet, long lingerDuration, long minRetryInterval, boolean withdrawnWhenOut, Set<Guard> disabledGuards) {
         backend.joinFleet(
                 client,
                 fleet,
-                this::tell,
+                this::enqueue,
                 config.listen.getHostString() + ":" + config.listen.getPort(),
-                linger,
-                again,
-                backWhole,
+                lingerDuration,
+                minRetryInterval,
+                withdrawnWhenOut,
                 config.seed,
-                startWall,
-                without);
+                startedAt,
+                disabledGuards);
     }
 
     /**
@@ -691,7 +691,7 @@
      */
     public void leaveFleet() {
         CompletableFuture<Void> left = new CompletableFuture<>();
-        tell(() -> {
+        enqueue(() -> {
             backend.leaveFleet();
             left.complete(null);
         });
@@ -699,13 +699,13 @@
     }
 
     /** Compares these settings with those in force from now on; null for none. Any thread may call it. */
-    public void watch(Settings watched) {
-        tell(() -> backend.watch(watched));
+    public void compareWith(Settings shadow) {
+        enqueue(() -> backend.setShadowSettings(shadow));
     }
 
     /** Runs the action once the listener is closed and nobody can connect any more, or at once if it is. */
-    public void whenListenerCloses(Runnable then) {
-        listenerClosed.thenRun(then);
+    public void onListenerClosed(Runnable action) {
+        listenerClosed.thenRun(action);
     }
 
     /** Bytes between the callers' sockets and the decision thread, in both directions. */
@@ -726,22 +726,22 @@
      * @param prefix put before each name
      * @param figures read by the decision thread
      */
-    public void counts(String prefix, Supplier<Map<String, Long>> figures) {
-        backend.counters().also(prefix, figures);
+    public void addCounters(String prefix, Supplier<Map<String, Long>> figures) {
+        backend.counters().addSource(prefix, figures);
     }
 
     /**
      * Chunks from the peers, and closes of their links, that have arrived and are not processed yet. Any thread may
      * call it.
      */
-    public int peerPieces() {
-        return arrived.peerPieces();
+    public int pendingPeerChunks() {
+        return eventQueue.pendingPeerChunks();
     }
 
     /** The counters as one line of text. Waits at most one second for the decision thread, which must not call it. */
     public String counters() {
         CompletableFuture<String> line = new CompletableFuture<>();
-        tell(() -> line.complete(backend.counters().line()));
+        enqueue(() -> line.complete(backend.counters().line()));
         return line.completeOnTimeout("no counters: the server does not respond", 1, TimeUnit.SECONDS)
                 .join();
     }
--- a/daemon/src/main/java/tallyweir/net/SocketError.java
+++ b/daemon/src/main/java/tallyweir/net/SocketError.java
@@ -27,11 +27,11 @@
     EADDRNOTAVAIL("Cannot assign requested address"),
     OTHER("");
 
-    private static final Set<SocketError> OF_ONE_CONNECTION =
+    private static final Set<SocketError> SINGLE_CONNECTION_ERRORS =
             EnumSet.of(EINTR, EPROTO, EPERM, ECONNABORTED, ECONNRESET, ETIMEDOUT, EHOSTUNREACH, ENETUNREACH);
-    private static final Set<SocketError> END_OF_CONNECTION =
+    private static final Set<SocketError> DISCONNECTS =
             EnumSet.of(EPIPE, ECONNRESET, ETIMEDOUT, ECONNREFUSED, EHOSTUNREACH, ENETUNREACH);
-    private static final Set<SocketError> MAY_PASS = EnumSet.of(EINTR, EIO, ENOMEM, ENFILE, EMFILE, ENOSPC, ENOBUFS);
+    private static final Set<SocketError> TRANSIENT_ERRORS = EnumSet.of(EINTR, EIO, ENOMEM, ENFILE, EMFILE, ENOSPC, ENOBUFS);
 
     private final String message;
 
@@ -40,18 +40,18 @@
     }
 
     /** Whether a failed accept concerns that connection only, so that the next accept may succeed at once. */
-    boolean isOfOneConnection() {
-        return OF_ONE_CONNECTION.contains(this);
+    boolean affectsOneConnection() {
+        return SINGLE_CONNECTION_ERRORS.contains(this);
     }
 
     /** Whether it means only that the peer has disconnected or cannot be reached. */
-    boolean isEndOfConnection() {
-        return END_OF_CONNECTION.contains(this);
+    boolean isDisconnect() {
+        return DISCONNECTS.contains(this);
     }
 
     /** Whether the same call on the same socket may succeed a moment later. */
-    boolean mayPass() {
-        return MAY_PASS.contains(this);
+    boolean isTransient() {
+        return TRANSIENT_ERRORS.contains(this);
     }
 
     /**
--- a/daemon/src/main/java/tallyweir/net/SocketFailures.java
+++ b/daemon/src/main/java/tallyweir/net/SocketFailures.java
@@ -26,52 +26,52 @@
     }
 
     /** How long a socket is kept while its calls keep failing with transient errors, such as a lack of memory. */
-    static final long PATIENCE_NANOS = 1_000_000_000;
+    static final long MAX_RETRY_NANOS = 1_000_000_000;
 
     /** Much shorter than any caller's timeout, but long enough that retries during a shortage do not take up a core. */
-    private static final long PAUSE_NANOS = 1_000_000;
+    private static final long RETRY_PAUSE_NANOS = 1_000_000;
 
     private static final Logger LOG = LoggerFactory.getLogger(SocketFailures.class);
-    private static final long LOG_EVERY_NANOS = 1_000_000_000;
+    private static final long LOG_INTERVAL_NANOS = 1_000_000_000;
     private static final Call[] CALLS = Call.values();
     private static final SocketError[] ERRORS = SocketError.values();
 
     private final AtomicLongArray counts = new AtomicLongArray(CALLS.length * ERRORS.length);
-    private long logNext = System.nanoTime();
-    private long notLogged;
+    private long nextLogAtNanos = System.nanoTime();
+    private long suppressedCount;
 
-    private static int place(Call call, SocketError error) {
+    private static int index(Call call, SocketError error) {
         return call.ordinal() * ERRORS.length + error.ordinal();
     }
 
     /** Counts a failed call, and logs it unless it means only that the peer has disconnected. */
     void add(Call call, Throwable cause) {
         SocketError error = SocketError.of(cause);
-        counts.incrementAndGet(place(call, error));
-        if (!error.isEndOfConnection()) {
+        counts.incrementAndGet(index(call, error));
+        if (!error.isDisconnect()) {
             log(call, error, cause);
         }
     }
 
     private synchronized void log(Call call, SocketError error, Throwable cause) {
         long now = System.nanoTime();
-        if (now - logNext < 0) {
-            notLogged++;
+        if (now - nextLogAtNanos < 0) {
+            suppressedCount++;
             return;
         }
-        logNext = now + LOG_EVERY_NANOS;
+        nextLogAtNanos = now + LOG_INTERVAL_NANOS;
         LOG.atWarn()
                 .addKeyValue("call", call)
                 .addKeyValue("error", error)
                 .addKeyValue("cause", cause)
-                .addKeyValue("left_out", notLogged)
+                .addKeyValue("left_out", suppressedCount)
                 .log("a system call on a socket failed");
-        notLogged = 0;
+        suppressedCount = 0;
     }
 
     /** Waits before a failed call is retried. */
     static void pause() {
-        LockSupport.parkNanos(PAUSE_NANOS);
+        LockSupport.parkNanos(RETRY_PAUSE_NANOS);
     }
 
     /** The counts by call and error, such as {@code accept_enfile}; without those that are zero. */
@@ -79,7 +79,7 @@
         Map<String, Long> byName = new TreeMap<>();
         for (Call call : CALLS) {
             for (SocketError error : ERRORS) {
-                long count = counts.get(place(call, error));
+                long count = counts.get(index(call, error));
                 if (count > 0) {
                     byName.put((call + "_" + error).toLowerCase(Locale.ROOT), count);
                 }
--- a/daemon/src/main/java/tallyweir/net/SocketProcessor.java
+++ b/daemon/src/main/java/tallyweir/net/SocketProcessor.java
@@ -19,25 +19,25 @@
  * second after a failed select, and close the connection after a failed read or write.
  */
 class SocketProcessor extends NioProcessor {
-    private static final AttributeKey FAILS_SINCE = new AttributeKey(SocketProcessor.class, "failing since");
+    private static final AttributeKey FAILING_SINCE = new AttributeKey(SocketProcessor.class, "failing since");
     private static final int END_OF_STREAM = -1; // the channel returns a smaller number for an interrupted call
-    private static final long LOOK_EVERY_MILLIS = 100;
+    private static final long CHECK_INTERVAL_MS = 100;
 
     /** The bytes that a session had read and written, and those unread in its socket, at the last check. */
-    private record Seen(long read, long written, int unread) {
+    private record Progress(long read, long written, int unread) {
         /** Replaces equals, which the JVM links at its first use, possibly when no descriptor is left. */
-        boolean isAs(Seen other) {
+        boolean equalTo(Progress other) {
             return read == other.read && written == other.written && unread == other.unread;
         }
     }
 
-    private static final Seen NOTHING_SEEN = new Seen(-1, -1, 0);
+    private static final Progress NOT_CHECKED = new Progress(-1, -1, 0);
 
     private final SocketFailures failures;
     // Sessions that have read nothing since they were registered with epoll. Any thread that suspends or resumes one
     // adds to it.
-    private final Map<NioSession, Seen> unproven = new ConcurrentHashMap<>();
-    private long nextLook = System.nanoTime();
+    private final Map<NioSession, Progress> unconfirmed = new ConcurrentHashMap<>();
+    private long nextCheckAtNanos = System.nanoTime();
 
     SocketProcessor(Executor executor, SocketFailures failures) {
         super(executor);
@@ -49,8 +49,8 @@
     protected int select(long timeout) throws Exception {
         while (true) {
             try {
-                super.select(unproven.isEmpty() ? timeout : Math.min(timeout, LOOK_EVERY_MILLIS));
-                lookForUnregistered();
+                super.select(unconfirmed.isEmpty() ? timeout : Math.min(timeout, CHECK_INTERVAL_MS));
+                renewLostRegistrations();
                 return selector.selectedKeys().size();
             } catch (IOException e) {
                 failures.add(SocketFailures.Call.SELECT, e);
@@ -63,7 +63,7 @@
     protected void init(NioSession session) throws Exception {
         try {
             super.init(session);
-            unproven.put(session, NOTHING_SEEN);
+            unconfirmed.put(session, NOT_CHECKED);
         } catch (Exception e) {
             failures.add(SocketFailures.Call.REGISTER, e);
             session.getCloseFuture().setClosed();
@@ -75,10 +75,10 @@
     protected int read(NioSession session, IoBuffer into) throws Exception {
         try {
             int read = super.read(session, into);
-            session.removeAttribute(FAILS_SINCE);
+            session.removeAttribute(FAILING_SINCE);
             return read < END_OF_STREAM ? 0 : read;
         } catch (IOException e) {
-            failed(SocketFailures.Call.READ, session, e);
+            retryOrThrow(SocketFailures.Call.READ, session, e);
             return 0;
         }
     }
@@ -87,24 +87,24 @@
     protected int write(NioSession session, IoBuffer from, int length) throws IOException {
         try {
             int written = super.write(session, from, length);
-            session.removeAttribute(FAILS_SINCE);
+            session.removeAttribute(FAILING_SINCE);
             return Math.max(0, written);
         } catch (IOException e) {
-            failed(SocketFailures.Call.WRITE, session, e);
+            retryOrThrow(SocketFailures.Call.WRITE, session, e);
             return 0;
         }
     }
 
     /** Pauses and returns if the call is to be retried; rethrows the cause if not. */
-    private void failed(SocketFailures.Call call, NioSession session, IOException cause) throws IOException {
+    private void retryOrThrow(SocketFailures.Call call, NioSession session, IOException cause) throws IOException {
         if (session.getTransportMetadata().isConnectionless()) {
             throw cause; // the announce service does not take reports at the moment
         }
         failures.add(call, cause);
         long now = System.nanoTime();
-        Object since = session.setAttributeIfAbsent(FAILS_SINCE, now);
-        boolean lasting = since instanceof Long first && now - first > SocketFailures.PATIENCE_NANOS;
-        if (lasting || !SocketError.of(cause).mayPass()) {
+        Object since = session.setAttributeIfAbsent(FAILING_SINCE, now);
+        boolean lasting = since instanceof Long first && now - first > SocketFailures.MAX_RETRY_NANOS;
+        if (lasting || !SocketError.of(cause).isTransient()) {
             throw cause;
         }
         SocketFailures.pause();
@@ -116,7 +116,7 @@
         synchronized (session) {
             super.setInterestedInRead(session, interested);
         }
-        unproven.put(session, NOTHING_SEEN);
+        unconfirmed.put(session, NOT_CHECKED);
     }
 
     /**
@@ -128,49 +128,49 @@
         synchronized (session) {
             super.setInterestedInWrite(session, interested || session.getCurrentWriteRequest() != null);
         }
-        unproven.put(session, NOTHING_SEEN);
+        unconfirmed.put(session, NOT_CHECKED);
     }
 
     /**
      * Registers sessions with epoll again whose registration seems to have failed, as the JVM does not report that. It
      * is assumed to have failed if bytes wait to be read or written and none was transferred between two checks.
      */
-    private void lookForUnregistered() throws IOException {
-        if (System.nanoTime() - nextLook < 0) {
+    private void renewLostRegistrations() throws IOException {
+        if (System.nanoTime() - nextCheckAtNanos < 0) {
             return;
         }
-        nextLook = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LOOK_EVERY_MILLIS);
-        for (NioSession session : List.copyOf(unproven.keySet())) {
+        nextCheckAtNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(CHECK_INTERVAL_MS);
+        for (NioSession session : List.copyOf(unconfirmed.keySet())) {
             SelectionKey key =
-                    session instanceof SocketSession of ? of.getChannel().keyFor(selector) : null;
+                    session instanceof SocketSession socketSession ? socketSession.getChannel().keyFor(selector) : null;
             try {
                 if (key != null && key.isValid()) {
-                    lookAt(session, key);
+                    checkRegistration(session, key);
                 } else {
-                    unproven.remove(session);
+                    unconfirmed.remove(session);
                 }
             } catch (CancelledKeyException e) {
-                unproven.remove(session); // closed in the meantime
+                unconfirmed.remove(session); // closed in the meantime
             }
         }
     }
 
-    private void lookAt(NioSession session, SelectionKey key) throws IOException {
+    private void checkRegistration(NioSession session, SelectionKey key) throws IOException {
         int unread = isInterested(key, SelectionKey.OP_READ) ? unreadBytes(session) : 0;
         boolean unwritten = isInterested(key, SelectionKey.OP_WRITE);
-        Seen now = new Seen(session.getReadBytes(), session.getWrittenBytes(), unread);
-        Seen before = unproven.put(session, now);
-        if (before == NOTHING_SEEN) {
+        Progress now = new Progress(session.getReadBytes(), session.getWrittenBytes(), unread);
+        Progress before = unconfirmed.put(session, now);
+        if (before == NOT_CHECKED) {
             return;
         }
         if (before.read != now.read && !unwritten) {
-            unproven.remove(session);
-        } else if (now.isAs(before) && (unread > 0 || unwritten)) {
+            unconfirmed.remove(session);
+        } else if (now.equalTo(before) && (unread > 0 || unwritten)) {
             if (unread > 0) { // for output alone the peer may just be slow to read
                 failures.add(
                         SocketFailures.Call.REGISTER, new IOException("not notified of a socket with unread bytes"));
             }
-            registerAgain(session, key);
+            renewRegistration(session, key);
         }
     }
 
@@ -178,7 +178,7 @@
         return (key.interestOps() & operation) != 0;
     }
 
-    private void registerAgain(NioSession session, SelectionKey key) throws IOException {
+    private void renewRegistration(NioSession session, SelectionKey key) throws IOException {
         synchronized (session) {
             int wanted = key.interestOps();
             key.interestOps(0);
--- a/daemon/src/main/java/tallyweir/store/Replies.java
+++ b/daemon/src/main/java/tallyweir/store/Replies.java
@@ -5,8 +5,8 @@
 
 /** An incremental parser of the store's replies. The input may be split at any byte. */
 public final class Replies {
-    static final int LINE_MOST = 128;
-    static final int BODY_MOST = 64 << 10;
+    static final int MAX_LINE_BYTES = 128;
+    static final int MAX_BODY_BYTES = 64 << 10;
     private static final byte[] NONE = {};
 
     /** Receives the events of the parser. */
@@ -17,10 +17,10 @@
          * @param word its result: OK, BUSY, ERR, LATE or VOID
          * @param body empty unless the result is OK
          */
-        void replied(JobId job, String word, byte[] body);
+        void onReply(JobId job, String word, byte[] body);
 
         /** The stream is invalid from here on; no further event follows. */
-        void bad(String reason);
+        void onInvalidStream(String reason);
     }
 
     private final Sink sink;
@@ -28,7 +28,7 @@
     private JobId job;
     private byte[] body; // the body being read, including its line end; null between replies
     private int bodyRead;
-    private boolean over;
+    private boolean stopped;
 
     public Replies(Sink sink) {
         this.sink = sink;
@@ -36,20 +36,20 @@
 
     /** Parses all remaining bytes, unless the stream is invalid. */
     public void read(ByteBuffer in) {
-        while (!over && in.hasRemaining()) {
+        while (!stopped && in.hasRemaining()) {
             if (body != null) {
                 int count = Math.min(body.length - bodyRead, in.remaining());
                 in.get(body, bodyRead, count);
                 bodyRead += count;
                 if (bodyRead == body.length) {
-                    bodyEnded();
+                    bodyComplete();
                 }
             } else {
                 char c = (char) (in.get() & 0xff);
                 if (c == '\n') {
-                    lineEnded();
-                } else if (line.length() >= LINE_MOST) {
-                    bad("a line over " + LINE_MOST + " bytes");
+                    lineComplete();
+                } else if (line.length() >= MAX_LINE_BYTES) {
+                    invalidStream("a line over " + MAX_LINE_BYTES + " bytes");
                 } else {
                     line.append(c);
                 }
@@ -57,39 +57,39 @@
         }
     }
 
-    private void lineEnded() {
+    private void lineComplete() {
         String text = line.toString();
         line.setLength(0);
         if (text.matches("[!-~]+ (BUSY|ERR|LATE|VOID)\r")) {
             int space = text.indexOf(' ');
-            sink.replied(new JobId(text.substring(0, space)), text.substring(space + 1, text.length() - 1), NONE);
+            sink.onReply(new JobId(text.substring(0, space)), text.substring(space + 1, text.length() - 1), NONE);
         } else if (text.matches("[!-~]+ OK [0-9]{1,6}\r")) {
             int length = Integer.parseInt(text.substring(text.lastIndexOf(' ') + 1, text.length() - 1));
-            if (length > BODY_MOST) {
-                bad("a reply of " + length + " bytes");
+            if (length > MAX_BODY_BYTES) {
+                invalidStream("a reply of " + length + " bytes");
                 return;
             }
             job = new JobId(text.substring(0, text.indexOf(' ')));
             body = new byte[length + 2];
             bodyRead = 0;
         } else {
-            bad("a line that is no reply: " + text.strip().replaceAll("[^ -~]", "?"));
+            invalidStream("a line that is no reply: " + text.strip().replaceAll("[^ -~]", "?"));
         }
     }
 
-    private void bodyEnded() {
+    private void bodyComplete() {
         byte[] complete = body;
         body = null;
         int length = complete.length - 2;
         if (complete[length] != '\r' || complete[length + 1] != '\n') {
-            bad("a reply body without its line end");
+            invalidStream("a reply body without its line end");
             return;
         }
-        sink.replied(job, "OK", java.util.Arrays.copyOf(complete, length));
+        sink.onReply(job, "OK", java.util.Arrays.copyOf(complete, length));
     }
 
-    private void bad(String reason) {
-        over = true;
-        sink.bad(reason);
+    private void invalidStream(String reason) {
+        stopped = true;
+        sink.onInvalidStream(reason);
     }
 }
--- a/daemon/src/main/java/tallyweir/wirehost/Host.java
+++ b/daemon/src/main/java/tallyweir/wirehost/Host.java
@@ -15,7 +15,7 @@
     private final int backend;
     private Choice choice;
     private JsonGenerator reply;
-    private boolean spoke;
+    private boolean groupStarted;
 
     Host(int backend) {
         this.backend = backend;
@@ -26,14 +26,14 @@
     }
 
     /** Begins the reply to the events of a batch; the group is written with the first action. */
-    void open(JsonGenerator json) {
+    void beginReply(JsonGenerator json) {
         reply = json;
-        spoke = false;
+        groupStarted = false;
     }
 
     /** Ends the reply to the events of a batch. */
-    void close() throws IOException {
-        if (spoke) {
+    void endReply() throws IOException {
+        if (groupStarted) {
             reply.writeEndArray();
             reply.writeEndObject();
         }
@@ -51,22 +51,22 @@
     void configure(Tree params, long seed, long now) {
         Settings settings = new Settings(params);
         choice = new Choice(this, seed, now);
-        settings.start(choice, settings.cold(), true, true, true);
+        settings.start(choice, settings.startsCold(), true, true, true);
     }
 
     /** Reports a failure of the decisions. */
-    void fault(String text) {
-        action("Fault", json -> json.writeStringField("What", text));
+    void reportFault(String text) {
+        writeAction("Fault", json -> json.writeStringField("What", text));
     }
 
     @Override
     public void run(QueryId query) {
-        action("Execute", json -> json.writeNumberField("Id", query.value()));
+        writeAction("Execute", json -> json.writeNumberField("Id", query.value()));
     }
 
     @Override
     public void defer(QueryId query, long retryAfter, boolean terminal) {
-        action("NotNow", json -> {
+        writeAction("NotNow", json -> {
             json.writeNumberField("Id", query.value());
             if (retryAfter > 0) {
                 json.writeNumberField("RetryAfterUs", retryAfter * 100);
@@ -79,79 +79,79 @@
 
     @Override
     public void fail(QueryId query) {
-        action("Lose", json -> json.writeNumberField("Id", query.value()));
+        writeAction("Lose", json -> json.writeNumberField("Id", query.value()));
     }
 
     @Override
-    public void stop(QueryId query) {
-        action("Yank", json -> json.writeNumberField("Id", query.value()));
+    public void cancel(QueryId query) {
+        writeAction("Yank", json -> json.writeNumberField("Id", query.value()));
     }
 
     @Override
     public void call(QueryId query, long timeout) {
-        action("CallDep", json -> {
+        writeAction("CallDep", json -> {
             json.writeNumberField("Id", query.value());
             json.writeNumberField("TimeoutUs", timeout * 100);
         });
     }
 
     @Override
-    public void poorer(QueryId query) {
-        action("FallBack", json -> json.writeNumberField("Id", query.value()));
+    public void degrade(QueryId query) {
+        writeAction("FallBack", json -> json.writeNumberField("Id", query.value()));
     }
 
     @Override
-    public void keep(QueryId query, long duration) {
-        action("RecordKey", json -> {
+    public void retain(QueryId query, long duration) {
+        writeAction("RecordKey", json -> {
             json.writeNumberField("Id", query.value());
             json.writeNumberField("SpanUs", duration * 100);
         });
     }
 
     @Override
-    public void forget(QueryId query) {
-        action("Erase", json -> json.writeNumberField("Id", query.value()));
+    public void discardRetained(QueryId query) {
+        writeAction("Erase", json -> json.writeNumberField("Id", query.value()));
     }
 
     @Override
-    public void reuse(QueryId query) {
-        action("Replay", json -> json.writeNumberField("Id", query.value()));
+    public void replay(QueryId query) {
+        writeAction("Replay", json -> json.writeNumberField("Id", query.value()));
     }
 
     @Override
-    public void health(boolean good, boolean fromState) {
-        action("SetHealth", json -> {
+    public void setHealth(boolean good, boolean fromState) {
+        writeAction("SetHealth", json -> {
             json.writeBooleanField("On", good);
             json.writeBooleanField("FromState", fromState);
         });
     }
 
     @Override
-    public void say(double level) {
-        action("Signal", json -> json.writeNumberField("X", level));
+    public void advertiseLoad(double level) {
+        writeAction("Signal", json -> json.writeNumberField("X", level));
     }
 
     @Override
-    public void closeIdle(long idleDuration) {
-        action("CloseIdle", json -> json.writeNumberField("SpanUs", idleDuration * 100));
+    public void setIdleTimeout(long idleDuration) {
+        writeAction("CloseIdle", json -> json.writeNumberField("SpanUs", idleDuration * 100));
     }
 
     @Override
-    public void wake(long at, TimerId timer) {
-        action("WakeAt", json -> {
+    public void setTimer(long at, TimerId timer) {
+        writeAction("WakeAt", json -> {
             json.writeNumberField("DueAtUs", at * 100);
             json.writeNumberField("Ctx", timer.value());
         });
     }
 
-    private interface Fields {
+    private interface FieldWriter {
         void write(JsonGenerator json) throws IOException;
     }
 
-    private void action(String name, Fields fields) {
+    private void writeAction(String name, FieldWriter fields) {
         try {
-            if (!spoke) {
-                spoke = true;
+            if (!groupStarted) {
+                groupStarted = true;
                 reply.writeStartObject();
                 reply.writeNumberField("Backend", backend);
                 reply.writeArrayFieldStart("actions");
--- a/daemon/src/main/java/tallyweir/wirehost/Lines.java
+++ b/daemon/src/main/java/tallyweir/wirehost/Lines.java
@@ -10,8 +10,8 @@
     private final byte[] chunk = new byte[1 << 16];
     private byte[] line = new byte[1 << 16];
     private int length;
-    private int at;
-    private int end;
+    private int position;
+    private int limit;
 
     Lines(InputStream in) {
         this.in = in;
@@ -22,36 +22,36 @@
      *
      * @return false at the end of the input
      */
-    boolean next() throws IOException {
+    boolean readLine() throws IOException {
         length = 0;
         while (true) {
-            for (int i = at; i < end; i++) {
+            for (int i = position; i < limit; i++) {
                 if (chunk[i] == '\n') {
-                    take(i);
-                    at = i + 1;
+                    append(i);
+                    position = i + 1;
                     return true;
                 }
             }
-            take(end);
-            at = 0;
-            end = in.read(chunk);
-            if (end <= 0) {
-                end = 0;
+            append(limit);
+            position = 0;
+            limit = in.read(chunk);
+            if (limit <= 0) {
+                limit = 0;
                 return length > 0;
             }
         }
     }
 
-    private void take(int lineEnd) {
-        if (length + lineEnd - at > line.length) {
-            line = Arrays.copyOf(line, Math.max(2 * line.length, length + lineEnd - at));
+    private void append(int lineEnd) {
+        if (length + lineEnd - position > line.length) {
+            line = Arrays.copyOf(line, Math.max(2 * line.length, length + lineEnd - position));
         }
-        System.arraycopy(chunk, at, line, length, lineEnd - at);
-        length += lineEnd - at;
+        System.arraycopy(chunk, position, line, length, lineEnd - position);
+        length += lineEnd - position;
     }
 
     /** Whether the line has only white space and control characters. */
-    boolean blank() {
+    boolean isBlank() {
         for (int i = 0; i < length; i++) {
             if (line[i] > ' ' || line[i] < 0) {
                 return false;
--- a/daemon/src/main/java/tallyweir/wirehost/News.java
+++ b/daemon/src/main/java/tallyweir/wirehost/News.java
@@ -15,25 +15,25 @@
 
 /** One event of a batch: parses its fields, which may come in any order, and passes them to the decisions. */
 final class News {
-    private static final long NONE = Long.MIN_VALUE;
+    private static final long ABSENT = Long.MIN_VALUE;
 
     private String name;
-    private long id;
-    private long earlier;
-    private long from;
-    private long age;
-    private long budget;
-    private long predicted;
-    private long took;
-    private long ctx;
+    private long queryId;
+    private long earlierId;
+    private long caller;
+    private long ageUs;
+    private long budgetUs;
+    private long predictedUs;
+    private long durationUs;
+    private long timerId;
     private long seed;
-    private double size;
+    private double sizeKb;
     private double rank;
-    private boolean again;
-    private String resource;
-    private String grade;
+    private boolean retry;
+    private String subject;
+    private String workload;
     private String tenant;
-    private String how;
+    private String outcomeName;
     private Tree params;
     private double coresBusy;
     private double runQueue;
@@ -41,22 +41,22 @@
     /** Parses the object whose start is the current token; unknown fields are ignored. */
     void read(JsonParser in) throws IOException {
         name = null;
-        resource = null;
-        grade = null;
+        subject = null;
+        workload = null;
         tenant = null;
-        how = null;
-        id = NONE;
-        earlier = NONE;
-        from = NONE;
-        age = NONE;
-        budget = NONE;
-        predicted = NONE;
-        took = NONE;
-        ctx = NONE;
-        seed = NONE;
-        size = NONE;
+        outcomeName = null;
+        queryId = ABSENT;
+        earlierId = ABSENT;
+        caller = ABSENT;
+        ageUs = ABSENT;
+        budgetUs = ABSENT;
+        predictedUs = ABSENT;
+        durationUs = ABSENT;
+        timerId = ABSENT;
+        seed = ABSENT;
+        sizeKb = ABSENT;
         rank = 0;
-        again = false;
+        retry = false;
         params = null;
         coresBusy = 0;
         runQueue = 0;
@@ -66,33 +66,33 @@
                 continue;
             }
             switch (field) {
-                case "t" -> name = text(in, field);
-                case "Id" -> id = whole(in, field);
-                case "Earlier" -> earlier = whole(in, field);
-                case "From" -> from = whole(in, field);
-                case "Resource" -> resource = text(in, field);
-                case "Grade" -> grade = text(in, field);
-                case "SizeKb" -> size = number(in, field);
-                case "AgeUs" -> age = whole(in, field);
+                case "t" -> name = string(in, field);
+                case "Id" -> queryId = integer(in, field);
+                case "Earlier" -> earlierId = integer(in, field);
+                case "From" -> caller = integer(in, field);
+                case "Resource" -> subject = string(in, field);
+                case "Grade" -> workload = string(in, field);
+                case "SizeKb" -> sizeKb = number(in, field);
+                case "AgeUs" -> ageUs = integer(in, field);
                 case "Prio" -> rank = number(in, field);
-                case "BudgetUs" -> budget = whole(in, field);
-                case "AgainByClient" -> again = in.currentToken() == JsonToken.VALUE_TRUE;
-                case "ClientGroup" -> tenant = text(in, field);
-                case "PredictedUs" -> predicted = whole(in, field);
-                case "How" -> how = text(in, field);
-                case "TookUs" -> took = whole(in, field);
-                case "Ctx" -> ctx = whole(in, field);
-                case "Nonce64" -> seed = whole(in, field);
+                case "BudgetUs" -> budgetUs = integer(in, field);
+                case "AgainByClient" -> retry = in.currentToken() == JsonToken.VALUE_TRUE;
+                case "ClientGroup" -> tenant = string(in, field);
+                case "PredictedUs" -> predictedUs = integer(in, field);
+                case "How" -> outcomeName = string(in, field);
+                case "TookUs" -> durationUs = integer(in, field);
+                case "Ctx" -> timerId = integer(in, field);
+                case "Nonce64" -> seed = integer(in, field);
                 case "Params" -> {
                     params = Tree.read(in, "Params");
                 }
-                case "Telemetry" -> gauges(in);
+                case "Telemetry" -> readGauges(in);
                 default -> in.skipChildren();
             }
         }
     }
 
-    private void gauges(JsonParser in) throws IOException {
+    private void readGauges(JsonParser in) throws IOException {
         if (in.currentToken() != JsonToken.START_OBJECT) {
             throw new BadInput("Telemetry is not an object");
         }
@@ -115,7 +115,7 @@
      *
      * @param wallUs the time of the batch in microseconds
      */
-    void tell(Host host, long wallUs) {
+    void dispatch(Host instance, long wallUs) {
         if (name == null) {
             throw new BadInput("an entry of news lacks its name t");
         }
@@ -123,50 +123,50 @@
             if (params == null) {
                 throw new BadInput("Configure lacks the object Params");
             }
-            host.configure(params, needed(seed, "Nonce64"), wallUs / 100);
+            instance.configure(params, require(seed, "Nonce64"), wallUs / 100);
             return;
         }
-        Choice choice = host.choice();
+        Choice choice = instance.choice();
         if (choice == null) {
             return;
         }
-        choice.clock(wallUs / 100);
+        choice.setTime(wallUs / 100);
         switch (name) {
-            case "Destroy" -> host.destroy();
+            case "Destroy" -> instance.destroy();
             case "Incoming" ->
-                choice.read(
+                choice.onQueryRead(
                         query(),
-                        earlier == NONE || earlier == 0 ? null : new QueryId(earlier),
-                        new CallerId(from),
-                        resource == null ? null : new SubjectId(resource),
-                        new WorkloadId(needed(grade, "Grade")),
-                        needed(size, "SizeKb"),
-                        age == NONE ? 0 : (age + 99) / 100,
+                        earlierId == ABSENT || earlierId == 0 ? null : new QueryId(earlierId),
+                        new CallerId(caller),
+                        subject == null ? null : new SubjectId(subject),
+                        new WorkloadId(require(workload, "Grade")),
+                        require(sizeKb, "SizeKb"),
+                        ageUs == ABSENT ? 0 : (ageUs + 99) / 100,
                         rank,
-                        budget == NONE ? 0 : budget / 100,
-                        again,
+                        budgetUs == ABSENT ? 0 : budgetUs / 100,
+                        retry,
                         tenant == null ? null : new TenantId(tenant),
-                        predicted == NONE ? 0 : (predicted + 99) / 100);
-            case "Settled" -> choice.ended(query(), outcome());
-            case "NeedsDep" -> choice.standsAtCall(query());
-            case "DepReply" -> choice.callEnded(query(), outcome(), took == NONE ? 0 : (took + 99) / 100);
-            case "Lapsed" -> choice.gone(query());
-            case "Quiesce" -> choice.drain(needed(budget, "BudgetUs") / 100);
+                        predictedUs == ABSENT ? 0 : (predictedUs + 99) / 100);
+            case "Settled" -> choice.onRunEnded(query(), outcome());
+            case "NeedsDep" -> choice.onBlockedOnCall(query());
+            case "DepReply" -> choice.onCallEnded(query(), outcome(), durationUs == ABSENT ? 0 : (durationUs + 99) / 100);
+            case "Lapsed" -> choice.onCallerDisconnected(query());
+            case "Quiesce" -> choice.drain(require(budgetUs, "BudgetUs") / 100);
             case "Fired" -> {
-                needed(ctx, "Ctx");
-                choice.gauges(coresBusy, runQueue);
-                choice.timer(new TimerId(ctx));
+                require(timerId, "Ctx");
+                choice.setGauges(coresBusy, runQueue);
+                choice.onTimer(new TimerId(timerId));
             }
             default -> {}
         }
     }
 
     private QueryId query() {
-        return new QueryId(needed(id, "Id"));
+        return new QueryId(require(queryId, "Id"));
     }
 
     private Outcome outcome() {
-        return switch (needed(how, "How")) {
+        return switch (require(outcomeName, "How")) {
             case "completed" -> Outcome.COMPLETED;
             case "saturated" -> Outcome.SATURATED;
             case "overdue" -> Outcome.OVERDUE;
@@ -178,28 +178,28 @@
         };
     }
 
-    private long needed(long value, String field) {
-        if (value == NONE) {
+    private long require(long value, String field) {
+        if (value == ABSENT) {
             throw new BadInput(name + " lacks the number " + field);
         }
         return value;
     }
 
-    private double needed(double value, String field) {
-        if (value == NONE) {
+    private double require(double value, String field) {
+        if (value == ABSENT) {
             throw new BadInput(name + " lacks the number " + field);
         }
         return value;
     }
 
-    private String needed(String value, String field) {
+    private String require(String value, String field) {
         if (value == null) {
             throw new BadInput(name + " lacks the string " + field);
         }
         return value;
     }
 
-    private static long whole(JsonParser in, String field) throws IOException {
+    private static long integer(JsonParser in, String field) throws IOException {
         if (in.currentToken() != JsonToken.VALUE_NUMBER_INT) {
             throw new BadInput(field + " is not an integer");
         }
@@ -215,7 +215,7 @@
         return in.getDoubleValue();
     }
 
-    private static String text(JsonParser in, String field) throws IOException {
+    private static String string(JsonParser in, String field) throws IOException {
         if (in.currentToken() != JsonToken.VALUE_STRING) {
             throw new BadInput(field + " is not a string");
         }
--- a/daemon/src/main/java/tallyweir/wirehost/WireHost.java
+++ b/daemon/src/main/java/tallyweir/wirehost/WireHost.java
@@ -23,13 +23,13 @@
  * passes each event to its instance and writes one reply per batch.
  */
 public final class WireHost {
-    private final JsonFactory json = JsonFactory.builder()
+    private final JsonFactory jsonFactory = JsonFactory.builder()
             .streamReadConstraints(
                     StreamReadConstraints.builder().maxStringLength(1 << 24).build())
             .build();
-    private final Map<Integer, Host> hosts = new HashMap<>();
+    private final Map<Integer, Host> instances = new HashMap<>();
     private final ByteArrayOutputStream buffer = new ByteArrayOutputStream(1 << 16);
-    private final News news = new News();
+    private final News event = new News();
 
     private WireHost() {}
 
@@ -39,13 +39,13 @@
         Lines lines = new Lines(new BufferedInputStream(in, 1 << 16));
         long lineNumber = 0;
         try {
-            while (lines.next()) {
+            while (lines.readLine()) {
                 lineNumber++;
-                if (lines.blank()) {
+                if (lines.isBlank()) {
                     continue;
                 }
                 host.buffer.reset();
-                host.batch(lines.bytes(), lines.length());
+                host.handleBatch(lines.bytes(), lines.length());
                 host.buffer.write('\n');
                 host.buffer.writeTo(out);
                 out.flush();
@@ -61,9 +61,9 @@
         return 1;
     }
 
-    private void batch(byte[] line, int length) throws IOException {
-        try (JsonParser in = json.createParser(line, 0, length);
-                JsonGenerator reply = json.createGenerator(buffer)) {
+    private void handleBatch(byte[] line, int length) throws IOException {
+        try (JsonParser in = jsonFactory.createParser(line, 0, length);
+                JsonGenerator reply = jsonFactory.createGenerator(buffer)) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
                 throw new BadInput("a batch must be an object");
             }
@@ -79,9 +79,9 @@
                 } else if (name.equals("groups") && value == JsonToken.START_ARRAY) {
                     hasGroups = true;
                     if (wallUs < 0) {
-                        wallUs = wallOf(line, length);
+                        wallUs = findWallUs(line, length);
                     }
-                    groups(in, reply, wallUs);
+                    handleGroups(in, reply, wallUs);
                 } else {
                     in.skipChildren();
                 }
@@ -101,8 +101,8 @@
     }
 
     /** The time of a batch in which WallUs comes after the groups: scans the line for it before the groups are parsed. */
-    private long wallOf(byte[] line, int length) throws IOException {
-        try (JsonParser in = json.createParser(line, 0, length)) {
+    private long findWallUs(byte[] line, int length) throws IOException {
+        try (JsonParser in = jsonFactory.createParser(line, 0, length)) {
             in.nextToken();
             while (in.nextToken() == JsonToken.FIELD_NAME) {
                 if (in.currentName().equals("WallUs") && in.nextToken() == JsonToken.VALUE_NUMBER_INT) {
@@ -115,13 +115,13 @@
         throw new BadInput("the batch lacks the time WallUs");
     }
 
-    private void groups(JsonParser in, JsonGenerator reply, long wallUs) throws IOException {
+    private void handleGroups(JsonParser in, JsonGenerator reply, long wallUs) throws IOException {
         Set<Integer> seen = new HashSet<>();
         while (in.nextToken() != JsonToken.END_ARRAY) {
             if (in.currentToken() != JsonToken.START_OBJECT) {
                 throw new BadInput("an entry of groups is not an object");
             }
-            Host host = null;
+            Host instance = null;
             boolean hasEvents = false;
             while (in.nextToken() == JsonToken.FIELD_NAME) {
                 String name = in.currentName();
@@ -131,26 +131,26 @@
                     if (!seen.add(backend)) {
                         throw new BadInput("Backend " + backend + " occurs twice in groups");
                     }
-                    host = hosts.computeIfAbsent(backend, Host::new);
+                    instance = instances.computeIfAbsent(backend, Host::new);
                 } else if (name.equals("news") && value == JsonToken.START_ARRAY) {
-                    if (host == null) {
+                    if (instance == null) {
                         throw new BadInput("an entry of groups lacks Backend before its news");
                     }
                     hasEvents = true;
-                    host.open(reply);
+                    instance.beginReply(reply);
                     while (in.nextToken() != JsonToken.END_ARRAY) {
                         if (in.currentToken() != JsonToken.START_OBJECT) {
                             throw new BadInput("an entry of news is not an object");
                         }
-                        news.read(in);
-                        tell(host, wallUs);
+                        event.read(in);
+                        dispatch(instance, wallUs);
                     }
-                    host.close();
+                    instance.endReply();
                 } else {
                     in.skipChildren();
                 }
             }
-            if (host == null) {
+            if (instance == null) {
                 throw new BadInput("an entry of groups lacks the number Backend");
             }
             if (!hasEvents) {
@@ -159,13 +159,13 @@
         }
     }
 
-    private void tell(Host host, long wallUs) {
+    private void dispatch(Host instance, long wallUs) {
         try {
-            news.tell(host, wallUs);
+            event.dispatch(instance, wallUs);
         } catch (BadInput | BadSetting e) {
             throw e;
         } catch (RuntimeException e) {
-            host.fault(e + " at " + (e.getStackTrace().length > 0 ? e.getStackTrace()[0] : "?"));
+            instance.reportFault(e + " at " + (e.getStackTrace().length > 0 ? e.getStackTrace()[0] : "?"));
         }
     }
 }
--- a/daemon/src/test/java/tallyweir/CrossingsTest.java
+++ b/daemon/src/test/java/tallyweir/CrossingsTest.java
@@ -3,11 +3,11 @@
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static tallyweir.ServerTest.PATIENCE_MS;
+import static tallyweir.ServerTest.TIMEOUT_MS;
 import static tallyweir.ServerTest.answer;
 import static tallyweir.ServerTest.dial;
 import static tallyweir.ServerTest.listener;
-import static tallyweir.ServerTest.next;
+import static tallyweir.ServerTest.awaitCommand;
 import static tallyweir.ServerTest.query;
 
 import java.io.BufferedReader;
@@ -37,32 +37,32 @@
  * Races between two events on real sockets. Each is forced by holding the decision thread while the other side acts.
  */
 class CrossingsTest {
-    private static final byte[] SPOILT = {7, 7, 7, 7, 7, 7, 7, 7};
+    private static final byte[] MALFORMED = {7, 7, 7, 7, 7, 7, 7, 7};
 
-    private ServerSocket kernelAt;
-    private ServerSocket storeAt;
+    private ServerSocket kernelListener;
+    private ServerSocket storeListener;
     private Server server;
-    private Thread deciding;
+    private Thread decisionThread;
     private Socket kernel;
     private BufferedReader commands;
     private int notices;
-    private volatile CountDownLatch held = new CountDownLatch(0);
-    private volatile CountDownLatch holds = new CountDownLatch(0);
+    private volatile CountDownLatch released = new CountDownLatch(0);
+    private volatile CountDownLatch blocked = new CountDownLatch(0);
     private CompletableFuture<String> counters;
 
     @BeforeEach
     void listen() throws IOException {
-        kernelAt = listener();
-        storeAt = listener();
+        kernelListener = listener();
+        storeListener = listener();
     }
 
     @AfterEach
     void end() throws IOException {
         release();
         // Otherwise the thread would go on connecting to its peers, and reach those of a later test on the same port.
-        deciding.interrupt();
-        kernelAt.close();
-        storeAt.close();
+        decisionThread.interrupt();
+        kernelListener.close();
+        storeListener.close();
         if (kernel != null) {
             kernel.close();
         }
@@ -71,19 +71,19 @@
     /** @param changes replacements in the configuration's text, alternately the old and the new text */
     private void start(int sockets, String... changes) throws Exception {
         String text = BackendTest.CONFIG
-                .replace("127.0.0.1:1\"", "127.0.0.1:" + kernelAt.getLocalPort() + "\"")
-                .replace("127.0.0.1:3\"", "127.0.0.1:" + storeAt.getLocalPort() + "\"")
+                .replace("127.0.0.1:1\"", "127.0.0.1:" + kernelListener.getLocalPort() + "\"")
+                .replace("127.0.0.1:3\"", "127.0.0.1:" + storeListener.getLocalPort() + "\"")
                 .replace("\"sockets\":64", "\"sockets\":" + sockets);
         for (int i = 0; i < changes.length; i += 2) {
             text = text.replace(changes[i], changes[i + 1]);
         }
         byte[] configuration = text.getBytes(UTF_8);
         CompletableFuture<Server> bound = new CompletableFuture<>();
-        deciding = new Thread(() -> {
+        decisionThread = new Thread(() -> {
             Server s = new Server(Config.parse(configuration, Map.of()));
-            s.counts("held_", () -> {
-                holds.countDown();
-                await(held);
+            s.addCounters("held_", () -> {
+                blocked.countDown();
+                await(released);
                 return Map.of();
             });
             try {
@@ -94,19 +94,19 @@
                 bound.completeExceptionally(e);
             }
         });
-        deciding.setDaemon(true);
-        deciding.start();
-        server = bound.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
-        kernel = kernelAt.accept();
-        kernel.setSoTimeout(PATIENCE_MS);
+        decisionThread.setDaemon(true);
+        decisionThread.start();
+        server = bound.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        kernel = kernelListener.accept();
+        kernel.setSoTimeout(TIMEOUT_MS);
         commands = new BufferedReader(new InputStreamReader(kernel.getInputStream(), UTF_8));
-        tell("{\"type\":\"BOOTED\",\"state\":\"old\",\"took\":100000}");
-        next(commands, "SYSINFO");
+        sendNotice("{\"type\":\"BOOTED\",\"state\":\"old\",\"took\":100000}");
+        awaitCommand(commands, "SYSINFO");
     }
 
     private static void await(CountDownLatch latch) {
         try {
-            assertTrue(latch.await(PATIENCE_MS, TimeUnit.MILLISECONDS));
+            assertTrue(latch.await(TIMEOUT_MS, TimeUnit.MILLISECONDS));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -114,27 +114,27 @@
 
     /** Returns once the decision thread is blocked, in the middle of a batch of events. */
     private void hold() {
-        held = new CountDownLatch(1);
-        holds = new CountDownLatch(1);
+        released = new CountDownLatch(1);
+        blocked = new CountDownLatch(1);
         counters = CompletableFuture.supplyAsync(server::counters);
-        await(holds);
+        await(blocked);
     }
 
     private void release() {
-        held.countDown();
+        released.countDown();
     }
 
-    private void tell(String notice) throws IOException {
+    private void sendNotice(String notice) throws IOException {
         kernel.getOutputStream().write((notice + "\n").getBytes(UTF_8));
     }
 
     private void reap(String job) throws IOException {
-        tell("{\"type\":\"REAP\",\"n\":" + ++notices + ",\"job\":\"" + job
+        sendNotice("{\"type\":\"REAP\",\"n\":" + ++notices + ",\"job\":\"" + job
                 + "\",\"state\":\"good\",\"took\":1,\"data\":\"bWFkZQ==\"}");
     }
 
-    private void needs(String job) throws IOException {
-        tell("{\"type\":\"IOREQ\",\"n\":" + ++notices + ",\"job\":\"" + job + "\",\"data\":\"Y2FsbA==\"}");
+    private void requestCall(String job) throws IOException {
+        sendNotice("{\"type\":\"IOREQ\",\"n\":" + ++notices + ",\"job\":\"" + job + "\",\"data\":\"Y2FsbA==\"}");
     }
 
     private static byte[] check(int id) {
@@ -142,7 +142,7 @@
     }
 
     /** The request without the flag that keeps the connection open. */
-    private static byte[] last(byte[] request) {
+    private static byte[] withoutKeepAlive(byte[] request) {
         byte[] bytes = request.clone();
         bytes[10] = 0;
         return bytes;
@@ -150,11 +150,11 @@
 
     /** Closing a socket with unread bytes resets the connection, and the peer loses the answers it has not read yet. */
     @Test
-    void whatWasAnsweredBeforeASpoiltRecordIsReadAndThenAnEndThatIsNoReset() throws Exception {
+    void answersBeforeAMalformedRecordAreReadAndTheConnectionEndsWithoutAReset() throws Exception {
         start(64);
         try (Socket caller = dial(server.address())) {
             hold();
-            caller.getOutputStream().write(Model.join(check(1), SPOILT));
+            caller.getOutputStream().write(Model.join(check(1), MALFORMED));
             CompletableFuture<Void> sent = CompletableFuture.runAsync(() -> {
                 try {
                     caller.getOutputStream().write(new byte[20 << 20]);
@@ -163,7 +163,7 @@
                 }
             });
             release();
-            sent.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
+            sent.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
             assertEquals(200, answer(caller.getInputStream()).status());
             assertEquals(-1, caller.getInputStream().read());
         }
@@ -174,21 +174,21 @@
      * lost.
      */
     @Test
-    void whatIsOwedIsAnsweredBeforeTheConnectionIsClosed() throws Exception {
+    void pendingQueriesAreAnsweredBeforeTheConnectionIsClosed() throws Exception {
         start(64);
         int i = 0;
-        for (byte[] end : List.of(last(check(9)), SPOILT)) {
+        for (byte[] end : List.of(withoutKeepAlive(check(9)), MALFORMED)) {
             String job = "00000000000000a" + i++;
             try (Socket caller = dial(server.address())) {
                 caller.getOutputStream().write(query(1, job));
-                assertTrue(next(commands, "SCHED").contains(job));
+                assertTrue(awaitCommand(commands, "SCHED").contains(job));
                 caller.getOutputStream().write(end);
-                if (end != SPOILT) {
+                if (end != MALFORMED) {
                     assertEquals(9, answer(caller.getInputStream()).id());
                 }
                 caller.getOutputStream().write(check(2));
                 reap(job);
-                Model.Answered w = answer(caller.getInputStream());
+                Model.FcgiAnswer w = answer(caller.getInputStream());
                 assertEquals(List.of(1, 200, "made"), List.of(w.id(), w.status(), w.body()));
                 assertEquals(-1, caller.getInputStream().read(), "later requests are not answered");
             }
@@ -197,14 +197,14 @@
 
     /** A slow reader was closed with all its answers once too many bytes were unwritten. */
     @Test
-    void whoeverReadsSlowlyIsReadNoMoreUntilItHasAllItsAnswers() throws Exception {
+    void aSlowReaderIsNotReadUntilItHasAllItsAnswers() throws Exception {
         start(64);
         int many = 10_000;
         AtomicInteger written = new AtomicInteger();
         try (Socket caller = new Socket()) {
             caller.setReceiveBufferSize(4 << 10);
-            caller.connect(server.address(), PATIENCE_MS);
-            caller.setSoTimeout(PATIENCE_MS);
+            caller.connect(server.address(), TIMEOUT_MS);
+            caller.setSoTimeout(TIMEOUT_MS);
             CompletableFuture<Void> sent = CompletableFuture.runAsync(() -> {
                 try {
                     while (written.get() < many) {
@@ -225,13 +225,13 @@
             for (int i = 0; i < many; i++) {
                 assertEquals(1 + i % 32, answer(caller.getInputStream()).id());
             }
-            sent.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
+            sent.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
     }
 
     /** Connections beyond the limit were accepted and closed at once, and their requests were lost. */
     @Test
-    void whoeverConnectsWhileTheTableIsFullWaitsAndIsAnswered() throws Exception {
+    void aCallerThatConnectsAtTheLimitWaitsAndIsAnswered() throws Exception {
         start(64);
         List<Socket> callers = new ArrayList<>();
         hold();
@@ -241,12 +241,12 @@
             callers.add(s);
         }
         release();
-        assertEquals(List.of(), answeredAll(callers));
+        assertEquals(List.of(), failuresOfAnswers(callers));
     }
 
     /** Connections past the idle timeout were closed although a request on them was still unread. */
     @Test
-    void anIdleConnectionOnWhichARequestLiesIsNotClosed() throws Exception {
+    void anIdleConnectionWithAnUnreadRequestIsNotClosed() throws Exception {
         start(1_024, "\"IdleUs\":30000000", "\"IdleUs\":1000000");
         List<Socket> callers = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
@@ -261,15 +261,15 @@
         }
         TimeUnit.MILLISECONDS.sleep(1_500); // past the idle timeout of all of them
         release();
-        assertEquals(List.of(), answeredAll(callers));
+        assertEquals(List.of(), failuresOfAnswers(callers));
     }
 
     /** When every connection had an unanswered query, a check waited until one of the queries had ended. */
     @Test
-    void aCheckIsAnsweredWhileEveryOtherConnectionIsOwedAnAnswer() throws Exception {
+    void aCheckIsAnsweredWhileEveryOtherConnectionHasAPendingQuery() throws Exception {
         start(64, "\"TargetUs\":1800000", "\"TargetUs\":4600000", "\"Cpus\":2", "\"Cpus\":64"); // all run at once
         List<Socket> callers = new ArrayList<>();
-        for (int i = 0; i < Backend.callersMost(64); i++) {
+        for (int i = 0; i < Backend.maxCallerConnections(64); i++) {
             Socket s = dial(server.address());
             s.getOutputStream().write(query(1, "00000000000000" + (10 + i)));
             callers.add(s);
@@ -281,7 +281,7 @@
             assertEquals(-1, refused.getInputStream().read());
             callers.remove(refused);
         }
-        assertEquals(200, check.get(PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertEquals(200, check.get(TIMEOUT_MS, TimeUnit.MILLISECONDS));
         assertEquals(List.of(), answered(callers), "no other connection was closed: " + server.counters());
         for (Socket s : callers) {
             s.close();
@@ -308,7 +308,7 @@
     }
 
     /** Reads an answer from each and closes it; returns the failures. */
-    private static List<String> answeredAll(List<Socket> callers) {
+    private static List<String> failuresOfAnswers(List<Socket> callers) {
         List<String> lost = new ArrayList<>();
         for (Socket s : callers) {
             try (s) {
@@ -325,33 +325,33 @@
      * and is sent again.
      */
     @Test
-    void aCallOfWhichNothingWasWrittenGoesAnotherWay() throws Exception {
+    void aCallThatWasNeverWrittenIsSentOnAnotherLink() throws Exception {
         start(64);
         String first = "00000000000000b1";
         String second = "00000000000000b2";
         try (Socket caller = dial(server.address())) {
             caller.getOutputStream().write(query(1, first));
-            command("SCHED");
+            awaitCommandAnsweringGauges("SCHED");
             caller.getOutputStream().write(ofWorkload("u", query(2, second)));
-            command("SCHED");
-            needs(first);
-            Socket link = storeAt.accept();
+            awaitCommandAnsweringGauges("SCHED");
+            requestCall(first);
+            Socket link = storeListener.accept();
             replyTo(first, link);
-            command("IODONE");
+            awaitCommandAnsweringGauges("IODONE");
             hold(); // in time, as an idle link is dropped after half a second
-            int before = server.peerPieces();
-            needs(second);
-            arrived(before + 1);
+            int before = server.pendingPeerChunks();
+            requestCall(second);
+            awaitQueuedPeerChunks(before + 1);
             link.close();
-            arrived(before + 2);
+            awaitQueuedPeerChunks(before + 2);
             release();
-            CompletableFuture<Socket> accepted = CompletableFuture.supplyAsync(() -> accept(storeAt));
+            CompletableFuture<Socket> accepted = CompletableFuture.supplyAsync(() -> accept(storeListener));
             while (!accepted.isDone()) { // calls are retried when the gauges are read
-                answerGauges(next(commands, "SYSINFO"));
+                answerGauges(awaitCommand(commands, "SYSINFO"));
             }
             try (Socket other = accepted.get()) {
                 replyTo(second, other);
-                command("IODONE");
+                awaitCommandAnsweringGauges("IODONE");
                 for (String job : List.of(first, second)) {
                     reap(job);
                     assertEquals(200, answer(caller.getInputStream()).status());
@@ -363,14 +363,14 @@
     }
 
     private static void replyTo(String job, Socket link) throws IOException {
-        link.setSoTimeout(PATIENCE_MS);
+        link.setSoTimeout(TIMEOUT_MS);
         BufferedReader calls = new BufferedReader(new InputStreamReader(link.getInputStream(), UTF_8));
         assertTrue(calls.readLine().startsWith("CALL " + job));
         link.getOutputStream().write((job + " OK 5\r\nreply\r\n").getBytes(UTF_8));
     }
 
     /** The next command of that type. Requests for gauges before it are answered, or the server would drop the link. */
-    private String command(String type) throws IOException {
+    private String awaitCommandAnsweringGauges(String type) throws IOException {
         String line = commands.readLine();
         while (!line.contains("\"" + type + "\"")) {
             answerGauges(line);
@@ -382,7 +382,7 @@
     private void answerGauges(String line) throws IOException {
         if (line.contains("\"SYSINFO\"")) {
             String tag = line.replaceAll(".*\"ref\":\"(\\w+)\".*", "$1");
-            tell("{\"type\":\"INFO\",\"ref\":\"" + tag + "\",\"gauges\":[0.1,1]}");
+            sendNotice("{\"type\":\"INFO\",\"ref\":\"" + tag + "\",\"gauges\":[0.1,1]}");
         }
     }
 
@@ -401,10 +401,10 @@
     }
 
     /** Returns once this many chunks of the peers are queued while the decision thread is held. */
-    private void arrived(int pieces) {
+    private void awaitQueuedPeerChunks(int pieces) {
         Awaitility.await()
-                .atMost(Duration.ofMillis(PATIENCE_MS))
+                .atMost(Duration.ofMillis(TIMEOUT_MS))
                 .pollInterval(Duration.ofMillis(1))
-                .until(() -> server.peerPieces() == pieces);
+                .until(() -> server.pendingPeerChunks() == pieces);
     }
 }
--- a/daemon/src/test/java/tallyweir/ParsersTest.java
+++ b/daemon/src/test/java/tallyweir/ParsersTest.java
@@ -45,63 +45,63 @@
         Reader[] reader = {null};
         reader[0] = new Reader(new Reader.Sink() {
             @Override
-            public boolean begun(RequestId id) {
+            public boolean onBegin(RequestId id) {
                 return true;
             }
 
             @Override
-            public void request(RequestId id, Fields fields, byte[] body, boolean keep) {
-                out.add("request " + id.value() + " " + fields.text(Fields.PATH) + " " + new String(body, ISO_8859_1)
+            public void onRequest(RequestId id, Fields fields, byte[] body, boolean keep) {
+                out.add("request " + id.value() + " " + fields.string(Fields.PATH) + " " + new String(body, ISO_8859_1)
                         + " " + keep);
                 done(id);
             }
 
             @Override
-            public void refused(RequestId id, Reader.Refusal reason, boolean keep) {
+            public void onRefused(RequestId id, Reader.Refusal reason, boolean keep) {
                 out.add("refused " + id.value() + " " + reason);
                 done(id);
             }
 
             @Override
-            public void aborted(RequestId id) {
+            public void onAbort(RequestId id) {
                 out.add("aborted " + id.value());
                 done(id);
             }
 
             private void done(RequestId id) {
                 if (answersAtOnce) {
-                    reader[0].done(id);
+                    reader[0].release(id);
                 }
             }
 
             @Override
-            public void reply(byte[] record) {
+            public void onManagementReply(byte[] record) {
                 out.add("reply " + record[1] + " "
                         + new String(record, 8, record.length - 8, ISO_8859_1).replace("\0", ""));
             }
 
             @Override
-            public void bad(String reason) {
+            public void onInvalidStream(String reason) {
                 out.add("bad " + reason);
             }
         });
         return reader[0];
     }
 
-    private List<String> of(byte[]... parts) {
+    private List<String> parseRequests(byte[]... parts) {
         out.clear();
         split(Model.join(parts), 5, reader(true)::read);
         return List.copyOf(out);
     }
 
     @Property(tries = 200, seed = "7", shrinking = ShrinkingMode.OFF)
-    void requestsComeOutWholeHoweverTheyAreSplit(@ForAll long seed, @ForAll boolean longLengths) {
+    void requestsAreCompleteHoweverTheInputIsSplit(@ForAll long seed, @ForAll boolean longLengths) {
         SplittableRandom random = new SplittableRandom(seed);
         List<String> expected = new ArrayList<>();
         byte[] stream = {};
         for (int i = 0; i < 5; i++) {
             int id = 1 + random.nextInt(0xffff);
-            String body = "b".repeat(random.nextInt(3) == 0 ? 0 : random.nextInt(Reader.BODY_MOST + 1));
+            String body = "b".repeat(random.nextInt(3) == 0 ? 0 : random.nextInt(Reader.MAX_BODY_BYTES + 1));
             stream = Model.join(
                     stream,
                     Model.request(
@@ -119,12 +119,12 @@
         out.clear();
         split(stream, seed, reader::read);
         assertEquals(expected, out);
-        assertEquals(0, reader.open());
+        assertEquals(0, reader.openCount());
         assertTrue(reader.betweenRecords());
     }
 
     @Property(tries = 300, seed = "11", shrinking = ShrinkingMode.OFF)
-    void spoiltStreamsThrowNothingAndKeepNoMoreThanTheirLimits(@ForAll long seed) {
+    void corruptStreamsThrowNothingAndStayWithinLimits(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         byte[] stream = {};
         for (int i = 0; i < 6; i++) {
@@ -146,7 +146,7 @@
         Reader reader = reader(random.nextInt(2) == 0);
         out.clear();
         split(stream, seed, reader::read);
-        assertTrue(reader.open() <= Reader.OPEN_MOST);
+        assertTrue(reader.openCount() <= Reader.MAX_OPEN_REQUESTS);
         assertTrue(
                 out.stream().filter(o -> o.startsWith("bad")).count() <= 1,
                 "no further event after the stream is invalid");
@@ -159,35 +159,35 @@
         byte[] begun = Arrays.copyOf(a, 19);
         assertEquals(
                 List.of("request 2 /do/b two true", "request 1 /do/a one true"),
-                of(begun, b, Arrays.copyOfRange(a, 19, a.length)));
+                parseRequests(begun, b, Arrays.copyOfRange(a, 19, a.length)));
         assertEquals(
                 List.of("aborted 1", "request 1 /do/a one true"),
-                of(begun, Model.record(2, 1, 0, new byte[0]), Model.record(5, 1, 0, new byte[9]), a));
+                parseRequests(begun, Model.record(2, 1, 0, new byte[0]), Model.record(5, 1, 0, new byte[9]), a));
     }
 
     @Test
-    void whatIsTooBigOrUnreadableIsRefusedOnceAndTheNextGoesOn() {
+    void oversizedAndInvalidRequestsAreRefusedOnceAndTheNextIsRead() {
         byte[] next = Model.request(1, "x".getBytes(UTF_8), false, 0, "SCRIPT_NAME", "/do/a");
         String accepted = "request 1 /do/a x true";
         assertEquals(
                 List.of("refused 1 TOO_BIG", accepted),
-                of(Model.request(1, new byte[Reader.BODY_MOST + 1], false, 9, "SCRIPT_NAME", "/do/a"), next));
+                parseRequests(Model.request(1, new byte[Reader.MAX_BODY_BYTES + 1], false, 9, "SCRIPT_NAME", "/do/a"), next));
         assertEquals(
                 List.of("refused 1 TOO_BIG", accepted),
-                of(Model.request(1, new byte[0], true, 0, "A", "a".repeat(Reader.PARAMS_MOST)), next));
+                parseRequests(Model.request(1, new byte[0], true, 0, "A", "a".repeat(Reader.MAX_PARAMS_BYTES)), next));
         byte[] begin = Model.record(1, 1, 0, new byte[] {0, 1, 1, 0, 0, 0, 0, 0});
         assertEquals(
                 List.of("refused 1 PARAMS", accepted),
-                of(
+                parseRequests(
                         begin,
                         Model.record(4, 1, 0, new byte[] {9, 9, 1}),
                         Model.record(4, 1, 0, new byte[0]),
                         Model.record(5, 1, 0, new byte[0]),
                         next));
-        assertEquals(List.of("refused 1 PARAMS", accepted), of(begin, Model.record(5, 1, 0, new byte[0]), next));
+        assertEquals(List.of("refused 1 PARAMS", accepted), parseRequests(begin, Model.record(5, 1, 0, new byte[0]), next));
         assertEquals(
                 List.of("refused 1 ROLE", accepted),
-                of(Model.record(1, 1, 0, new byte[] {0, 2, 1, 0, 0, 0, 0, 0}), next));
+                parseRequests(Model.record(1, 1, 0, new byte[] {0, 2, 1, 0, 0, 0, 0, 0}), next));
     }
 
     /**
@@ -195,7 +195,7 @@
      * being retained; beyond the limit the stream is invalid.
      */
     @Test
-    void whatBelongsToNoRequestIsPassedOverButNotForEver() {
+    void bytesOfNoRequestAreSkippedUpToALimit() {
         Reader reader = reader(true);
         byte[] chunk = Model.record(5, 1, 0, new byte[60_000]);
         reader.read(ByteBuffer.wrap(Model.record(1, 1, 0, new byte[] {0, 1, 1, 0, 0, 0, 0, 0})));
@@ -212,82 +212,82 @@
     }
 
     @Test
-    void onlySoManyRequestsAreOpenOnAConnection() {
+    void openRequestsOfAConnectionAreLimited() {
         Reader reader = reader(false);
-        for (int id = 1; id <= Reader.OPEN_MOST + 1; id++) {
+        for (int id = 1; id <= Reader.MAX_OPEN_REQUESTS + 1; id++) {
             reader.read(ByteBuffer.wrap(Model.record(1, id, 0, new byte[] {0, 1, 1, 0, 0, 0, 0, 0})));
         }
-        assertEquals(List.of("refused " + (Reader.OPEN_MOST + 1) + " OVERLOADED"), out);
+        assertEquals(List.of("refused " + (Reader.MAX_OPEN_REQUESTS + 1) + " OVERLOADED"), out);
     }
 
     @Test
     void managementRecordsAreAnswered() {
         assertEquals(
                 List.of("reply 10 \17\1FCGI_MPXS_CONNS1", "reply 11 \115"),
-                of(
+                parseRequests(
                         Model.record(9, 0, 1, Model.pair("FCGI_MPXS_CONNS", "", false)),
                         Model.record(77, 0, 0, new byte[0])));
     }
 
     @Test
-    void aBadRecordEndsTheStream() {
+    void invalidRecordEndsTheStream() {
         byte[] begin = Model.record(1, 1, 0, new byte[] {0, 1, 1, 0, 0, 0, 0, 0});
         byte[] version = begin.clone();
         version[0] = 2;
-        assertEquals(List.of("bad a record of version 2"), of(version, begin, begin));
-        assertEquals(List.of("bad request 1 begins while it is open"), of(begin, begin, begin));
-        assertEquals(List.of("bad a begin record of 7 bytes"), of(Model.record(1, 1, 0, new byte[7])));
-        assertEquals(1, of(Model.record(9, 0, 0, new byte[] {50})).size());
-        assertEquals(1, of(Model.record(9, 0, 0, new byte[2_000])).size());
-        assertEquals(1, of(Model.record(4, 0, 0, new byte[2])).size());
+        assertEquals(List.of("bad a record of version 2"), parseRequests(version, begin, begin));
+        assertEquals(List.of("bad request 1 begins while it is open"), parseRequests(begin, begin, begin));
+        assertEquals(List.of("bad a begin record of 7 bytes"), parseRequests(Model.record(1, 1, 0, new byte[7])));
+        assertEquals(1, parseRequests(Model.record(9, 0, 0, new byte[] {50})).size());
+        assertEquals(1, parseRequests(Model.record(9, 0, 0, new byte[2_000])).size());
+        assertEquals(1, parseRequests(Model.record(4, 0, 0, new byte[2])).size());
     }
 
     // ---- the kernel
 
     private final Notices notices = new Notices(new Notices.Sink() {
         @Override
-        public void booted(boolean coldStart, long uptime) {
+        public void onBooted(boolean coldStart, long uptime) {
             out.add("booted " + coldStart + " " + uptime);
         }
 
         @Override
-        public void ended(long n, JobId job, String state, byte[] result) {
+        public void onRunEnded(long n, JobId job, String state, byte[] result) {
             out.add("ended " + n + " " + job.value() + " " + state + " " + new String(result, UTF_8));
         }
 
         @Override
-        public void needs(long n, JobId job, byte[] body) {
+        public void onCall(long n, JobId job, byte[] body) {
             out.add("needs " + n + " " + job.value() + " " + new String(body, UTF_8));
         }
 
         @Override
-        public void gauges(String tag, double[] values) {
+        public void onGauges(String tag, double[] values) {
             out.add("gauges " + tag + " " + Arrays.toString(values));
         }
 
         @Override
-        public void notDone(String command, JobId job) {
+        public void onCommandFailed(String command, JobId job) {
             out.add("not done " + command + " " + job.value());
         }
 
         @Override
-        public void remark(long n, String text) {
+        public void onMessage(long n, String text) {
             out.add("remark " + n);
         }
 
         @Override
-        public void unknown(String reason) {
+        public void onUnknownNotice(String reason) {
             out.add("unknown");
         }
 
         @Override
-        public void bad(String reason) {
+        public void onInvalidStream(String reason) {
             out.add("bad");
         }
     });
 
     @Property(tries = 20, seed = "3", shrinking = ShrinkingMode.OFF)
-    void noticesComeOutHoweverTheyAreSplit(@ForAll long seed) {
+    void noticesAreReadHoweverTheInputIsSplit(@ForAll long seed) {
         String result = Base64.getEncoder().encodeToString("made".getBytes(UTF_8));
         String lines = "{\"type\":\"BOOTED\",\"state\":\"new\",\"took\":12.34}\n"
                 + "{\"n\":1,\"new\":[{}],\"type\":\"REAP\",\"job\":\"j\",\"state\":\"good\",\"took\":3,\"data\":\""
@@ -316,7 +316,7 @@
     }
 
     @Test
-    void aLineWithoutEndIsBadOnce() {
+    void endlessLineIsReportedOnce() {
         for (int i = 0; i < 40; i++) {
             notices.read(ByteBuffer.wrap(new byte[5_000]));
         }
@@ -339,19 +339,19 @@
     private Replies replies() {
         return new Replies(new Replies.Sink() {
             @Override
-            public void replied(JobId job, String word, byte[] body) {
+            public void onReply(JobId job, String word, byte[] body) {
                 out.add(job.value() + " " + word + " " + new String(body, ISO_8859_1));
             }
 
             @Override
-            public void bad(String reason) {
+            public void onInvalidStream(String reason) {
                 out.add("bad");
             }
         });
     }
 
     @Property(tries = 20, seed = "5", shrinking = ShrinkingMode.OFF)
-    void repliesComeOutHoweverTheyAreSplit(@ForAll long seed) {
+    void repliesAreReadHoweverTheInputIsSplit(@ForAll long seed) {
         out.clear();
         split(
                 "a1 OK 5\r\nx\r\ny \r\nb BUSY\r\na1 OK 0\r\n\r\nc VOID\r\nd ERR\r\ne LATE\r\nf WHAT\r\ng BUSY\r\n"
@@ -362,7 +362,7 @@
     }
 
     @Test
-    void repliesThatAreTooLongOrDoNotEndAreBadOnce() {
+    void oversizedAndUnterminatedRepliesAreReportedOnce() {
         Replies replies = replies();
         replies.read(ByteBuffer.wrap("a OK 3\r\nabcde".getBytes(UTF_8)));
         replies.read(ByteBuffer.wrap("b BUSY\r\n".getBytes(UTF_8)));
--- a/daemon/src/test/java/tallyweir/ProcessTest.java
+++ b/daemon/src/test/java/tallyweir/ProcessTest.java
@@ -4,14 +4,14 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static tallyweir.ServerTest.PATIENCE_MS;
+import static tallyweir.ServerTest.TIMEOUT_MS;
 import static tallyweir.ServerTest.answer;
 import static tallyweir.ServerTest.check;
 import static tallyweir.ServerTest.dial;
 import static tallyweir.ServerTest.listener;
-import static tallyweir.ServerTest.listens;
-import static tallyweir.ServerTest.logged;
-import static tallyweir.ServerTest.program;
+import static tallyweir.ServerTest.awaitAddress;
+import static tallyweir.ServerTest.awaitLine;
+import static tallyweir.ServerTest.startProgram;
 import static tallyweir.ServerTest.query;
 import static tallyweir.ServerTest.signal;
 
@@ -86,11 +86,11 @@
         }
 
         void await(String type) throws InterruptedException {
-            assertTrue(hears(type, PATIENCE_MS), type);
+            assertTrue(receives(type, TIMEOUT_MS), type);
         }
 
         /** Whether a command of that type arrives; false once no command at all has arrived for that long. */
-        boolean hears(String type, int millis) throws InterruptedException {
+        boolean receives(String type, int millis) throws InterruptedException {
             String line = commands.poll(millis, TimeUnit.MILLISECONDS);
             while (line != null && !line.contains("\"" + type + "\"")) {
                 line = commands.poll(millis, TimeUnit.MILLISECONDS);
@@ -98,7 +98,7 @@
             return line != null;
         }
 
-        void tell(String type, int n, String job, String data) throws IOException {
+        void sendNotice(String type, int n, String job, String data) throws IOException {
             send("{\"type\":\"" + type + "\",\"n\":" + n + ",\"job\":\"" + job
                     + "\",\"state\":\"good\",\"took\":1,\"data\":\"" + data + "\"}");
         }
@@ -111,7 +111,7 @@
      */
     @Test
     @Timeout(60)
-    void idleClientsWithoutEndKeepNeitherPeersNorCallersOut() throws Exception {
+    void idleCallersWithoutLimitDoNotShutOutPeersOrOtherCallers() throws Exception {
         long jars = Stream.of(System.getProperty("java.class.path").split(":"))
                 .filter(p -> p.endsWith(".jar"))
                 .count();
@@ -126,11 +126,11 @@
                 ServerSocket storeListener = listener();
                 DatagramSocket announce = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
             Files.writeString(file, config(first, storeListener, closedPort));
-            Process backend = program("ulimit -n " + (64 + jars) + "; ", file, dir.resolve("none"));
+            Process backend = startProgram("ulimit -n " + (64 + jars) + "; ", file, dir.resolve("none"));
             try (BufferedReader log = backend.inputReader(UTF_8);
                     Socket old = first.accept()) {
                 new KernelEnd(old).await("OPEN");
-                InetSocketAddress at = listens(log);
+                InetSocketAddress at = awaitAddress(log);
                 for (int i = 0; i < 300; i++) {
                     idleCallers.add(dial(at));
                 }
@@ -139,15 +139,15 @@
                 try (Socket kernel = second.accept();
                         Socket caller = dial(at)) {
                     KernelEnd end = new KernelEnd(kernel);
-                    announce.setSoTimeout(PATIENCE_MS);
+                    announce.setSoTimeout(TIMEOUT_MS);
                     announce.receive(new DatagramPacket(new byte[64], 64));
-                    String job = running(caller, end);
-                    end.tell("IOREQ", 1, job, "Y2FsbA==");
+                    String job = awaitRunningQuery(caller, end);
+                    end.sendNotice("IOREQ", 1, job, "Y2FsbA==");
                     try (Socket link = storeListener.accept()) {
                         link.getOutputStream().write((job + " OK 5\r\nreply\r\n").getBytes(UTF_8));
                         end.await("IODONE");
                     }
-                    end.tell("REAP", 2, job, "bWFkZQ==");
+                    end.sendNotice("REAP", 2, job, "bWFkZQ==");
                     assertEquals(200, answer(caller.getInputStream()).status());
                     assertEquals(200, check(at));
                 }
@@ -166,12 +166,12 @@
      * Sends queries until one runs. One that waited too long behind the other connections is refused; the next waits
      * less.
      */
-    private static String running(Socket caller, KernelEnd end) throws Exception {
+    private static String awaitRunningQuery(Socket caller, KernelEnd end) throws Exception {
         for (int i = 1; ; i++) {
             String job = String.format("%016x", 160 + i);
             caller.getOutputStream().write(query(i, job));
             while (caller.getInputStream().available() == 0) {
-                if (end.hears("SCHED", 20)) {
+                if (end.receives("SCHED", 20)) {
                     return job;
                 }
             }
@@ -183,7 +183,7 @@
      * Servers are killed and restarted side by side, with the same names and addresses, before their kernels are up.
      */
     @Test
-    void nineInTenThatBeginAgainSideBySideAreReadyInTime() throws Exception {
+    void nineInTenOfServersRestartedTogetherAreReadyInTime() throws Exception {
         int serverCount = 12;
         List<Process> backends = new ArrayList<>();
         List<Path> files = new ArrayList<>();
@@ -191,13 +191,13 @@
         try {
             for (int i = 0; i < serverCount; i++) {
                 Process first =
-                        program(Files.writeString(dir.resolve("c" + i), BackendTest.CONFIG), dir.resolve("none"));
+                        startProgram(Files.writeString(dir.resolve("c" + i), BackendTest.CONFIG), dir.resolve("none"));
                 backends.add(first);
             }
             for (int i = 0; i < serverCount; i++) {
                 InetSocketAddress at;
                 try (BufferedReader log = backends.get(i).inputReader(UTF_8)) {
-                    at = listens(log);
+                    at = awaitAddress(log);
                 }
                 files.add(Files.writeString(
                         dir.resolve("c" + i),
@@ -206,11 +206,11 @@
             }
             long from = System.nanoTime();
             for (int i = 0; i < serverCount; i++) {
-                backends.set(i, program(files.get(i), dir.resolve("none")));
+                backends.set(i, startProgram(files.get(i), dir.resolve("none")));
             }
             List<CompletableFuture<Long>> ready = new ArrayList<>();
             for (Process p : backends) {
-                ready.add(CompletableFuture.supplyAsync(() -> ready(p, from), Executors.newCachedThreadPool(r -> {
+                ready.add(CompletableFuture.supplyAsync(() -> millisUntilReady(p, from), Executors.newCachedThreadPool(r -> {
                     Thread t = new Thread(r);
                     t.setDaemon(true);
                     return t;
@@ -228,9 +228,9 @@
         assertTrue(millis.get(serverCount * 9 / 10) <= 10_000, millis.toString());
     }
 
-    private static long ready(Process backend, long from) {
+    private static long millisUntilReady(Process backend, long from) {
         try (BufferedReader log = backend.inputReader(UTF_8)) {
-            assertEquals(200, check(listens(log)));
+            assertEquals(200, check(awaitAddress(log)));
             return (System.nanoTime() - from) / 1_000_000;
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -239,34 +239,34 @@
 
     /** Before the kill every connection has ended without a reset, nothing is left unread and nobody can connect. */
     @Test
-    void theNoticeToLeaveTwiceWithAQueryInHand() throws Exception {
+    void twoNoticesToShutDownWithAPendingQuery() throws Exception {
         try (ServerSocket kernelListener = listener();
                 ServerSocket storeListener = listener()) {
             Path file = Files.writeString(
                     dir.resolve("config.json"),
                     config(kernelListener, storeListener, 2).replace("\"stop_ms\":3200", "\"stop_ms\":2500"));
-            Process backend = program(file, dir.resolve("none"));
+            Process backend = startProgram(file, dir.resolve("none"));
             try (BufferedReader log = backend.inputReader(UTF_8);
                     Socket kernel = kernelListener.accept()) {
                 KernelEnd end = new KernelEnd(kernel);
-                InetSocketAddress at = listens(log);
-                logged(log, "the kernel is up");
+                InetSocketAddress at = awaitAddress(log);
+                awaitLine(log, "the kernel is up");
                 try (Socket caller = dial(at);
                         Socket idle = dial(at)) {
                     caller.getOutputStream().write(query(1, "00000000000000aa"));
                     end.await("SCHED");
                     signal("TERM", backend);
-                    logged(log, "shutting down");
+                    awaitLine(log, "shutting down");
                     signal("TERM", backend);
                     assertEquals(503, check(at), "at once after the notice");
-                    end.tell("REAP", 1, "00000000000000aa", "bWFkZQ==");
+                    end.sendNotice("REAP", 1, "00000000000000aa", "bWFkZQ==");
                     assertEquals(200, answer(caller.getInputStream()).status());
                     caller.getOutputStream().write(Model.request(2, new byte[0], false, 0, "SCRIPT_NAME", "/check"));
                     assertEquals(
                             503, answer(caller.getInputStream()).status(), "the connection stays open and is answered");
                     assertEquals(-1, caller.getInputStream().read());
                     assertEquals(-1, idle.getInputStream().read());
-                    logged(log, "final counters");
+                    awaitLine(log, "final counters");
                     assertThrows(ConnectException.class, () -> dial(at).close());
                     assertTrue(backend.isAlive());
                 }
@@ -278,22 +278,22 @@
 
     /** Closing the listener ended every connection, also those with a pending answer. */
     @Test
-    void aQueryInHandIsAnsweredAfterTheListenerIsClosed() throws Exception {
+    void aPendingQueryIsAnsweredAfterTheListenerIsClosed() throws Exception {
         try (ServerSocket kernelListener = listener();
                 ServerSocket storeListener = listener()) {
             Path file = Files.writeString(dir.resolve("config.json"), config(kernelListener, storeListener, 2));
-            Process backend = program(file, dir.resolve("none"));
+            Process backend = startProgram(file, dir.resolve("none"));
             try (BufferedReader log = backend.inputReader(UTF_8);
                     Socket kernel = kernelListener.accept()) {
                 KernelEnd end = new KernelEnd(kernel);
-                InetSocketAddress at = listens(log);
-                logged(log, "the kernel is up");
+                InetSocketAddress at = awaitAddress(log);
+                awaitLine(log, "the kernel is up");
                 try (Socket caller = dial(at)) {
                     caller.getOutputStream().write(query(1, "00000000000000aa", "u"));
                     end.await("SCHED");
                     signal("TERM", backend);
-                    logged(log, "listener closed");
-                    end.tell("REAP", 1, "00000000000000aa", "bWFkZQ==");
+                    awaitLine(log, "listener closed");
+                    end.sendNotice("REAP", 1, "00000000000000aa", "bWFkZQ==");
                     assertEquals(200, answer(caller.getInputStream()).status());
                     assertEquals(-1, caller.getInputStream().read(), "then the connection ends");
                 }
--- a/daemon/src/test/java/tallyweir/ServerTest.java
+++ b/daemon/src/test/java/tallyweir/ServerTest.java
@@ -33,10 +33,10 @@
 
 /** The configuration, and one server on loopback sockets whose kernel is played by the test. */
 public class ServerTest {
-    static final int PATIENCE_MS = 20_000; // only bounds a failing test; no test measures time by it
+    static final int TIMEOUT_MS = 20_000; // only bounds a failing test; no test measures time by it
 
     /** A configuration with one class, which is one-shot, without tenants, calls and therefore a store. */
-    private static final String NOTHING_BELOW = """
+    private static final String CONFIG_WITHOUT_STORE = """
             {"name":"n3","listen":"127.0.0.1:0","kernel":"127.0.0.1:1","announce":"127.0.0.1:2",
              "seed":"8c1f30d27a5be964","stop_ms":3200,"limits":{"cores":1.0,"memory_mb":192,"sockets":64},
              "settings":{"Classes":[{"Name":"c","Effect":"unsafe","TargetUs":1800000,"DeadlineUs":4600000,"Worth":1}],
@@ -44,17 +44,17 @@
                "Gauges":["core_use","on_cores"],"ClassCalls":[false]},"RoundUs":5000,"Servers":1,
               "Rules":{"AnswerSlackUs":60000,"DrainGraceUs":1000000,"FallMultiple":8,"FallUs":3000000}}}""";
 
-    private final List<Thread> begun = new ArrayList<>();
+    private final List<Thread> decisionThreads = new ArrayList<>();
 
     /**
      * Otherwise the threads would go on connecting to their peers, and reach those of a later test on the same port.
      */
     @AfterEach
     void end() {
-        begun.forEach(Thread::interrupt);
+        decisionThreads.forEach(Thread::interrupt);
     }
 
-    private static void faulty(String from, String to, String key) {
+    private static void assertFaulty(String from, String to, String key) {
         String text = BackendTest.CONFIG.replace(from, to);
         assertTrue(!text.equals(BackendTest.CONFIG), from);
         BadSetting e = assertThrows(BadSetting.class, () -> Config.parse(text.getBytes(UTF_8), Map.of()));
@@ -63,28 +63,28 @@
 
     @Test
     void aFaultyKeyIsNamed() {
-        faulty("\"name\":\"n3\"", "\"name\":\"a b\"", "name");
-        faulty("127.0.0.1:0", "here:80", "listen");
-        faulty("127.0.0.1:1", "127.0.0.1:99999", "kernel");
-        faulty("\"store\":\"127.0.0.1:3\",", "", "store");
-        faulty("\"announce\":\"127.0.0.1:2\"", "\"announce\":7", "announce");
-        faulty("8c1f30d27a5be964", "x", "seed");
-        faulty("3200", "-1", "stop_ms");
-        faulty("\"sockets\":64", "\"sockets\":6", "limits.sockets");
-        faulty("\"Classes\"", "\"Others\"", "settings.Classes");
-        faulty("\"TargetUs\":1800000", "\"TargetUs\":\"x\"", "settings.Classes[0].TargetUs");
-        faulty("\"Cpus\":2", "\"Cpus\":2.5", "settings.FamilyInfo.Cpus");
-        faulty("\"MemLimitKb\":9000,", "", "settings.FamilyInfo.MemLimitKb");
-        faulty("\"QuotaPerS\":80", "\"QuotaPerS\":[]", "settings.Projects[0].QuotaPerS");
-        faulty("\"Rules\":{", "\"Rules\":[{", "JSON");
-        assertNull(Config.parse(NOTHING_BELOW.getBytes(UTF_8), Map.of()).store);
+        assertFaulty("\"name\":\"n3\"", "\"name\":\"a b\"", "name");
+        assertFaulty("127.0.0.1:0", "here:80", "listen");
+        assertFaulty("127.0.0.1:1", "127.0.0.1:99999", "kernel");
+        assertFaulty("\"store\":\"127.0.0.1:3\",", "", "store");
+        assertFaulty("\"announce\":\"127.0.0.1:2\"", "\"announce\":7", "announce");
+        assertFaulty("8c1f30d27a5be964", "x", "seed");
+        assertFaulty("3200", "-1", "stop_ms");
+        assertFaulty("\"sockets\":64", "\"sockets\":6", "limits.sockets");
+        assertFaulty("\"Classes\"", "\"Others\"", "settings.Classes");
+        assertFaulty("\"TargetUs\":1800000", "\"TargetUs\":\"x\"", "settings.Classes[0].TargetUs");
+        assertFaulty("\"Cpus\":2", "\"Cpus\":2.5", "settings.FamilyInfo.Cpus");
+        assertFaulty("\"MemLimitKb\":9000,", "", "settings.FamilyInfo.MemLimitKb");
+        assertFaulty("\"QuotaPerS\":80", "\"QuotaPerS\":[]", "settings.Projects[0].QuotaPerS");
+        assertFaulty("\"Rules\":{", "\"Rules\":[{", "JSON");
+        assertNull(Config.parse(CONFIG_WITHOUT_STORE.getBytes(UTF_8), Map.of()).store);
         BadSetting e = assertThrows(BadSetting.class, () -> Config.read(Map.of()));
         assertTrue(e.getMessage().contains("EDGE_CONFIG"));
     }
 
     static ServerSocket listener() throws IOException {
         ServerSocket at = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"));
-        at.setSoTimeout(PATIENCE_MS);
+        at.setSoTimeout(TIMEOUT_MS);
         return at;
     }
 
@@ -92,13 +92,13 @@
         return Config.parse(BackendTest.CONFIG.getBytes(UTF_8), Map.of());
     }
 
-    private Server started(int kernelPort, int announcePort) throws Exception {
-        return started(BackendTest.CONFIG
+    private Server startServer(int kernelPort, int announcePort) throws Exception {
+        return startServer(BackendTest.CONFIG
                 .replace("127.0.0.1:1\"", "127.0.0.1:" + kernelPort + "\"")
                 .replace("127.0.0.1:2\"", "127.0.0.1:" + announcePort + "\""));
     }
 
-    private Server started(String config) throws Exception {
+    private Server startServer(String config) throws Exception {
         CompletableFuture<Server> bound = new CompletableFuture<>();
         Thread decisionThread = new Thread(() -> {
             Server server = new Server(Config.parse(config.getBytes(UTF_8), Map.of()));
@@ -112,8 +112,8 @@
         });
         decisionThread.setDaemon(true);
         decisionThread.start();
-        begun.add(decisionThread);
-        return bound.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
+        decisionThreads.add(decisionThread);
+        return bound.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
     public static int check(SocketAddress at) throws IOException {
@@ -125,13 +125,13 @@
 
     static Socket dial(SocketAddress at) throws IOException {
         Socket s = new Socket();
-        s.connect(at, PATIENCE_MS);
-        s.setSoTimeout(PATIENCE_MS);
+        s.connect(at, TIMEOUT_MS);
+        s.setSoTimeout(TIMEOUT_MS);
         return s;
     }
 
     /** Reads records up to the end of the next answer. */
-    static Model.Answered answer(InputStream in) throws IOException {
+    static Model.FcgiAnswer answer(InputStream in) throws IOException {
         byte[] all = {};
         while (true) {
             byte[] head = in.readNBytes(8);
@@ -174,7 +174,7 @@
                 "0.5");
     }
 
-    static String next(BufferedReader from, String type) throws IOException {
+    static String awaitCommand(BufferedReader from, String type) throws IOException {
         String line = from.readLine();
         while (!line.contains("\"" + type + "\"")) {
             line = from.readLine();
@@ -183,11 +183,11 @@
     }
 
     @Test
-    void aQueryGoesThroughToTheKernelAndItsResultBackAlsoUnderTheNoticeToLeave() throws Exception {
+    void aQueryRunsInTheKernelAndItsResultIsReturnedAlsoWhileDraining() throws Exception {
         try (ServerSocket kernelListener = listener();
                 DatagramSocket announce = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
-            Server server = started(kernelListener.getLocalPort(), announce.getLocalPort());
-            announce.setSoTimeout(PATIENCE_MS);
+            Server server = startServer(kernelListener.getLocalPort(), announce.getLocalPort());
+            announce.setSoTimeout(TIMEOUT_MS);
             DatagramPacket report = new DatagramPacket(new byte[64], 64);
             announce.receive(report);
             assertEquals("announce n3 true", new String(report.getData(), 0, report.getLength(), UTF_8));
@@ -197,17 +197,17 @@
                 BufferedReader commands = new BufferedReader(new InputStreamReader(kernel.getInputStream(), UTF_8));
                 assertEquals("{\"type\":\"OPEN\",\"n\":0}", commands.readLine());
                 kernel.getOutputStream().write("{\"type\":\"BOOTED\",\"state\":\"old\",\"took\":1}\n".getBytes(UTF_8));
-                next(commands, "SYSINFO");
+                awaitCommand(commands, "SYSINFO");
                 for (int i = 1; i < 3; i++) {
                     String job = "000000000000000" + i;
                     caller.getOutputStream().write(query(7, job));
-                    assertTrue(next(commands, "SCHED")
+                    assertTrue(awaitCommand(commands, "SCHED")
                             .contains("\"job\":\"" + job + "\",\"kind\":\"c\",\"data\":\"YXNrZWQ=\""));
                     kernel.getOutputStream()
                             .write(("{\"type\":\"REAP\",\"n\":" + i + ",\"job\":\"" + job
                                             + "\",\"state\":\"good\",\"took\":1,\"data\":\"bWFkZQ==\"}\n")
                                     .getBytes(UTF_8));
-                    Model.Answered w = answer(caller.getInputStream());
+                    Model.FcgiAnswer w = answer(caller.getInputStream());
                     assertEquals(List.of(7, 200, "made"), List.of(w.id(), w.status(), w.body()));
                     server.drain(); // queries that arrive within the drain grace still run
                 }
@@ -224,19 +224,19 @@
      * again.
      */
     @Test
-    void runningOutOfDescriptorsEndsWhenTheyAreGivenBack(@TempDir Path dir) throws Exception {
+    void theServerAcceptsAgainOnceDescriptorsAreFree(@TempDir Path dir) throws Exception {
         Path config = Files.writeString(
                 dir.resolve("config.json"), BackendTest.CONFIG.replace("\"sockets\":64", "\"sockets\":1024"));
-        Process backend = program("ulimit -n 100; ", config, dir.resolve("none"));
+        Process backend = startProgram("ulimit -n 100; ", config, dir.resolve("none"));
         try (BufferedReader log = backend.inputReader(UTF_8)) {
-            InetSocketAddress at = listens(log);
+            InetSocketAddress at = awaitAddress(log);
             assertEquals(200, check(at)); // loads the classes, which needs descriptors if they are in a directory
             List<Socket> idleCallers = new ArrayList<>();
             for (int i = 0; i < 150; i++) {
                 idleCallers.add(new Socket());
-                idleCallers.get(i).connect(at, PATIENCE_MS);
+                idleCallers.get(i).connect(at, TIMEOUT_MS);
             }
-            logged(log, "Too many open files");
+            awaitLine(log, "Too many open files");
             for (Socket s : idleCallers) {
                 s.close();
             }
@@ -248,37 +248,37 @@
 
     /** SIGHUP used to end the process. It has to apply new addresses, and a faulty file must change nothing. */
     @Test
-    void aNewConfigurationIsTakenOnTheSignal(@TempDir Path dir) throws Exception {
+    void aNewConfigurationIsAppliedOnTheSignal(@TempDir Path dir) throws Exception {
         Path file = dir.resolve("config.json");
         try (ServerSocket first = listener();
                 ServerSocket second = listener();
                 DatagramSocket announce = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
             Files.writeString(
                     file, BackendTest.CONFIG.replace("127.0.0.1:1\"", "127.0.0.1:" + first.getLocalPort() + "\""));
-            Process backend = program(file, dir.resolve("none"));
+            Process backend = startProgram(file, dir.resolve("none"));
             try (BufferedReader log = backend.inputReader(UTF_8);
                     Socket old = first.accept()) {
                 old.getOutputStream()
                         .write(("{\"type\":\"BOOTED\",\"state\":\"old\",\"took\":1}\n"
                                         + "{\"type\":\"DMESG\",\"n\":7,\"state\":\"hello\"}\n")
                                 .getBytes(UTF_8));
-                logged(log, "the kernel is up");
+                awaitLine(log, "the kernel is up");
                 Files.writeString(file, "{\"name\":\"n3\"}");
-                hangUp(backend);
-                assertTrue(logged(log, "the old one stays in force").contains("listen is"));
+                sendHangup(backend);
+                assertTrue(awaitLine(log, "the old one stays in force").contains("listen is"));
                 Files.writeString(
                         file,
                         BackendTest.CONFIG
                                 .replace("127.0.0.1:1\"", "127.0.0.1:" + second.getLocalPort() + "\"")
                                 .replace("127.0.0.1:2\"", "127.0.0.1:" + announce.getLocalPort() + "\""));
-                hangUp(backend);
+                sendHangup(backend);
                 try (Socket kernel = second.accept()) {
-                    kernel.setSoTimeout(PATIENCE_MS);
+                    kernel.setSoTimeout(TIMEOUT_MS);
                     assertEquals(
                             "{\"type\":\"OPEN\",\"n\":7}",
                             new String(kernel.getInputStream().readNBytes(22), UTF_8).strip());
                 }
-                announce.setSoTimeout(PATIENCE_MS);
+                announce.setSoTimeout(TIMEOUT_MS);
                 announce.receive(new DatagramPacket(new byte[64], 64));
                 assertTrue(backend.isAlive());
             } finally {
@@ -292,24 +292,24 @@
      * without its kernel.
      */
     @Test
-    void whoeverMissesItsKernelLooksForItAgain(@TempDir Path dir) throws Exception {
+    void theConfigurationIsReadAgainWhenTheKernelCannotBeReached(@TempDir Path dir) throws Exception {
         Path file = dir.resolve("config.json");
         ServerSocket first = listener();
         try (ServerSocket second = listener()) {
-            Files.writeString(file, moved(first));
-            Process backend = program(file, dir.resolve("none"));
+            Files.writeString(file, configWithKernel(first));
+            Process backend = startProgram(file, dir.resolve("none"));
             try (BufferedReader log = backend.inputReader(UTF_8)) {
                 Socket old = first.accept();
                 old.getOutputStream().write("{\"type\":\"BOOTED\",\"state\":\"old\",\"took\":1}\n".getBytes(UTF_8));
-                logged(log, "the kernel is up");
+                awaitLine(log, "the kernel is up");
                 first.close();
                 old.close();
-                assertTrue(logged(log, "cannot be reached").contains("KERNEL"));
-                Files.writeString(file, moved(second)); // without a signal
+                assertTrue(awaitLine(log, "cannot be reached").contains("KERNEL"));
+                Files.writeString(file, configWithKernel(second)); // without a signal
                 try (Socket kernel = second.accept()) {
                     assertEquals('{', kernel.getInputStream().read());
                 }
-                logged(log, "a peer is there again");
+                awaitLine(log, "a peer is there again");
             } finally {
                 backend.destroyForcibly();
             }
@@ -321,27 +321,27 @@
      * one is applied.
      */
     @Test
-    void aFileThatIsNotWholeYetIsReadAgainAndTheLastOfTwoMovesCounts(@TempDir Path dir) throws Exception {
+    void anIncompleteFileIsReadAgainAndTheLastOfTwoChangesIsApplied(@TempDir Path dir) throws Exception {
         Path file = dir.resolve("config.json");
         try (ServerSocket first = listener();
                 ServerSocket second = listener();
                 ServerSocket third = listener()) {
-            Files.writeString(file, moved(first));
-            Process backend = program(file, dir.resolve("none"));
+            Files.writeString(file, configWithKernel(first));
+            Process backend = startProgram(file, dir.resolve("none"));
             try (BufferedReader log = backend.inputReader(UTF_8);
                     Socket old = first.accept()) {
                 old.getOutputStream().write("{\"type\":\"BOOTED\",\"state\":\"old\",\"took\":1}\n".getBytes(UTF_8));
-                logged(log, "the kernel is up");
-                Files.writeString(file, moved(second).substring(0, 200));
-                hangUp(backend);
-                logged(log, "stays in force");
-                Files.writeString(file, moved(second));
+                awaitLine(log, "the kernel is up");
+                Files.writeString(file, configWithKernel(second).substring(0, 200));
+                sendHangup(backend);
+                awaitLine(log, "stays in force");
+                Files.writeString(file, configWithKernel(second));
                 try (Socket kernel = second.accept()) {
                     kernel.getOutputStream()
                             .write("{\"type\":\"BOOTED\",\"state\":\"old\",\"took\":1}\n".getBytes(UTF_8));
-                    hangUp(backend);
-                    Files.writeString(file, moved(third));
-                    hangUp(backend);
+                    sendHangup(backend);
+                    Files.writeString(file, configWithKernel(third));
+                    sendHangup(backend);
                     try (Socket last = third.accept()) {
                         assertEquals('{', last.getInputStream().read());
                     }
@@ -357,18 +357,18 @@
      * the file.
      */
     @Test
-    void aMoveIsTakenThoughTheSignalIsIgnoredSinceTheStart(@TempDir Path dir) throws Exception {
+    void aNewAddressIsAppliedThoughTheSignalIsIgnored(@TempDir Path dir) throws Exception {
         Path file = dir.resolve("config.json");
         try (ServerSocket first = listener();
                 ServerSocket second = listener()) {
-            Files.writeString(file, moved(first));
-            Process backend = program("trap '' HUP; ", file, dir.resolve("none"));
+            Files.writeString(file, configWithKernel(first));
+            Process backend = startProgram("trap '' HUP; ", file, dir.resolve("none"));
             try (BufferedReader log = backend.inputReader(UTF_8);
                     Socket old = first.accept()) {
                 old.getOutputStream().write("{\"type\":\"BOOTED\",\"state\":\"old\",\"took\":1}\n".getBytes(UTF_8));
-                logged(log, "the kernel is up");
-                Files.writeString(file, moved(second));
-                hangUp(backend);
+                awaitLine(log, "the kernel is up");
+                Files.writeString(file, configWithKernel(second));
+                sendHangup(backend);
                 try (Socket kernel = second.accept()) {
                     assertEquals('{', kernel.getInputStream().read());
                 }
@@ -379,13 +379,13 @@
         }
     }
 
-    private static String moved(ServerSocket to) {
+    private static String configWithKernel(ServerSocket to) {
         return BackendTest.CONFIG.replace("127.0.0.1:1\"", "127.0.0.1:" + to.getLocalPort() + "\"");
     }
 
     /** Shadow settings are checked at the start. On the signal a faulty key is logged and the old settings stay. */
     @Test
-    void watchedSettingsAreCheckedAndTakenOnTheSignal(@TempDir Path dir) throws Exception {
+    void shadowSettingsAreCheckedAndAppliedOnTheSignal(@TempDir Path dir) throws Exception {
         Path operators = dir.resolve("operators.json");
         String watch = "{\"watch\":{\"settings\":{\"FamilyInfo\":{\"Cpus\":%s}}}}";
         try (ServerSocket kernelListener = listener()) {
@@ -393,33 +393,33 @@
                     dir.resolve("config.json"),
                     BackendTest.CONFIG.replace("127.0.0.1:1\"", "127.0.0.1:" + kernelListener.getLocalPort() + "\""));
             Files.writeString(operators, watch.formatted("0.5"));
-            Process refused = program(file, operators);
+            Process refused = startProgram(file, operators);
             assertTrue(new String(refused.getInputStream().readAllBytes(), UTF_8)
                     .contains("watch.settings.FamilyInfo.Cpus is 0.5"));
             assertEquals(2, refused.waitFor());
             Files.writeString(operators, watch.formatted("1"));
-            Process backend = program(file, operators);
+            Process backend = startProgram(file, operators);
             try (BufferedReader log = backend.inputReader(UTF_8);
                     Socket kernel = kernelListener.accept()) {
                 BufferedReader commands = new BufferedReader(new InputStreamReader(kernel.getInputStream(), UTF_8));
-                InetSocketAddress at = listens(log);
+                InetSocketAddress at = awaitAddress(log);
                 kernel.getOutputStream().write("{\"type\":\"BOOTED\",\"state\":\"old\",\"took\":1}\n".getBytes(UTF_8));
-                logged(log, "the kernel is up");
+                awaitLine(log, "the kernel is up");
                 try (Socket two = dial(at)) {
                     two.getOutputStream().write(Model.join(query(1, "00000000000000aa"), query(2, "00000000000000ab")));
-                    next(commands, "SCHED");
-                    next(commands, "SCHED");
-                    assertEquals(1, watched(at), "with one core the second query would have to wait");
+                    awaitCommand(commands, "SCHED");
+                    awaitCommand(commands, "SCHED");
+                    assertEquals(1, shadowRuns(at), "with one core the second query would have to wait");
                     Files.writeString(operators, watch.formatted("\"x\""));
-                    hangUp(backend);
-                    assertTrue(logged(log, "the shadow settings were not reloaded")
+                    sendHangup(backend);
+                    assertTrue(awaitLine(log, "the shadow settings were not reloaded")
                             .contains("watch.settings.FamilyInfo.Cpus"));
-                    logged(log, "configuration reloaded"); // new addresses are applied all the same
-                    assertEquals(1, watched(at), "the old shadow settings stay");
+                    awaitLine(log, "configuration reloaded"); // new addresses are applied all the same
+                    assertEquals(1, shadowRuns(at), "the old shadow settings stay");
                     Files.writeString(operators, "{}");
-                    hangUp(backend);
-                    logged(log, "configuration reloaded");
-                    assertEquals(-1, watched(at), "no shadow settings");
+                    sendHangup(backend);
+                    awaitLine(log, "configuration reloaded");
+                    assertEquals(-1, shadowRuns(at), "no shadow settings");
                 }
             } finally {
                 backend.destroyForcibly();
@@ -428,7 +428,7 @@
     }
 
     /** The counter of runs that the shadow settings would have decided otherwise, -1 if it is not printed. */
-    private static long watched(SocketAddress at) throws IOException {
+    private static long shadowRuns(SocketAddress at) throws IOException {
         try (Socket s = dial(at)) {
             s.getOutputStream().write(Model.request(1, new byte[0], false, 0, "SCRIPT_NAME", "/counters"));
             return answer(s.getInputStream())
@@ -441,8 +441,8 @@
         }
     }
 
-    static Process program(Path config, Path operators) throws IOException {
-        return program("", config, operators);
+    static Process startProgram(Path config, Path operators) throws IOException {
+        return startProgram("", config, operators);
     }
 
     /**
@@ -451,7 +451,7 @@
      *
      * @param before shell commands to run before the program
      */
-    static Process program(String before, Path config, Path operators) throws IOException {
+    static Process startProgram(String before, Path config, Path operators) throws IOException {
         String exec = before.contains("HUP") ? "exec " : "exec env --default-signal=HUP ";
         ProcessBuilder of = new ProcessBuilder(
                 "sh",
@@ -464,12 +464,12 @@
         return of.redirectErrorStream(true).start();
     }
 
-    static InetSocketAddress listens(BufferedReader log) throws IOException {
+    static InetSocketAddress awaitAddress(BufferedReader log) throws IOException {
         return new InetSocketAddress(
-                "127.0.0.1", Integer.parseInt(logged(log, "listens").replaceAll(".*address=\\S*:([0-9]+) .*", "$1")));
+                "127.0.0.1", Integer.parseInt(awaitLine(log, "listens").replaceAll(".*address=\\S*:([0-9]+) .*", "$1")));
     }
 
-    static String logged(BufferedReader log, String what) throws IOException {
+    static String awaitLine(BufferedReader log, String what) throws IOException {
         String line = log.readLine();
         while (!line.contains(what)) {
             line = log.readLine();
@@ -477,7 +477,7 @@
         return line;
     }
 
-    static void hangUp(Process program) throws Exception {
+    static void sendHangup(Process program) throws Exception {
         signal("HUP", program);
     }
 
@@ -494,28 +494,28 @@
      * all the same has to fail.
      */
     @Test
-    void whereNothingCallsBelowThereNeedsToBeNoStore() throws Exception {
+    void noStoreIsNeededIfNoWorkloadCallsIt() throws Exception {
         try (ServerSocket kernelListener = listener()) {
-            Server server = started(
-                    NOTHING_BELOW.replace("127.0.0.1:1\"", "127.0.0.1:" + kernelListener.getLocalPort() + "\""));
+            Server server = startServer(
+                    CONFIG_WITHOUT_STORE.replace("127.0.0.1:1\"", "127.0.0.1:" + kernelListener.getLocalPort() + "\""));
             try (Socket kernel = kernelListener.accept();
                     Socket caller = dial(server.address())) {
                 BufferedReader commands = new BufferedReader(new InputStreamReader(kernel.getInputStream(), UTF_8));
                 kernel.getOutputStream()
                         .write("{\"type\":\"BOOTED\",\"state\":\"old\",\"took\":100000}\n".getBytes(UTF_8));
-                next(commands, "SYSINFO");
+                awaitCommand(commands, "SYSINFO");
                 caller.getOutputStream().write(query(1, "00000000000000aa"));
-                next(commands, "SCHED");
+                awaitCommand(commands, "SCHED");
                 kernel.getOutputStream()
                         .write("{\"type\":\"IOREQ\",\"n\":1,\"job\":\"00000000000000aa\",\"data\":\"\"}\n"
                                 .getBytes(UTF_8));
                 caller.getOutputStream().write(query(2, "00000000000000ab"));
-                next(commands, "SCHED");
+                awaitCommand(commands, "SCHED");
                 kernel.getOutputStream()
                         .write(("{\"type\":\"REAP\",\"n\":2,\"job\":\"00000000000000ab\",\"state\":\"good\",\"took\":1,"
                                         + "\"data\":\"bWFkZQ==\"}\n")
                                 .getBytes(UTF_8));
-                Model.Answered w = answer(caller.getInputStream());
+                Model.FcgiAnswer w = answer(caller.getInputStream());
                 assertEquals(List.of(2, 200, "made"), List.of(w.id(), w.status(), w.body()));
                 w = answer(caller.getInputStream());
                 assertEquals(List.of(1, 500), List.of(w.id(), w.status()));
@@ -524,16 +524,16 @@
     }
 
     @Test
-    void theKernelMayComeUpLateAndItsLinkMayBreak() throws Exception {
+    void theKernelMayStartLateAndItsLinkMayBreak() throws Exception {
         try (ServerSocket kernelListener = listener()) {
-            Server server = started(kernelListener.getLocalPort(), 2);
+            Server server = startServer(kernelListener.getLocalPort(), 2);
             try (Socket caller = dial(server.address())) {
                 caller.getOutputStream().write(query(1, "00000000000000aa"));
                 assertEquals(503, answer(caller.getInputStream()).status(), "the kernel is not up yet");
             }
             for (int i = 0; i < 2; i++) {
                 try (Socket kernel = kernelListener.accept()) {
-                    kernel.setSoTimeout(PATIENCE_MS);
+                    kernel.setSoTimeout(TIMEOUT_MS);
                     byte[] first = kernel.getInputStream().readNBytes(22);
                     assertEquals("{\"type\":\"OPEN\",\"n\":" + i + "}", new String(first, UTF_8).strip());
                     kernel.getOutputStream()
--- a/daemon/src/test/java/tallyweir/WatchTest.java
+++ b/daemon/src/test/java/tallyweir/WatchTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import tallyweir.BackendTest.Round;
+import tallyweir.BackendTest.Simulation;
 import tallyweir.config.BadSetting;
 import tallyweir.config.Config;
 import tallyweir.config.Operators;
@@ -25,34 +25,34 @@
 
 /** Shadow settings beside those in force: differences are counted, and nothing else is affected. */
 class WatchTest {
-    private static final String OTHERS = """
+    private static final String SHADOW_SETTINGS = """
             {"Callers":{"MarksRetry":false},"Rules":{"FallMultiple":5},"Permissions":{"MaxRetryAfterUs":200000},
              "FamilyInfo":{"PassesDeadline":false,"TellsGone":false,"Signal":"threshold","Halt":"suspend","CallsOut":0.05,
               "ClassSkipWorth":[0.3,0,0],"IdleUs":3000000,"MemLimitKb":1500}}""";
 
-    private static Settings watched(String others) {
-        return Operators.parse((others == null ? "{}" : "{\"watch\":{\"settings\":" + others + "}}").getBytes(UTF_8))
-                .watched(Config.parse(BackendTest.CONFIG.getBytes(UTF_8), Map.of()).settings);
+    private static Settings parseShadow(String shadowSettings) {
+        return Operators.parse((shadowSettings == null ? "{}" : "{\"watch\":{\"settings\":" + shadowSettings + "}}").getBytes(UTF_8))
+                .shadowSettings(Config.parse(BackendTest.CONFIG.getBytes(UTF_8), Map.of()).settings);
     }
 
-    private static Round day(String others, long seed) {
-        Round r = new Round();
-        r.backend.watch(watched(others));
+    private static Simulation runDay(String shadowSettings, long seed) {
+        Simulation r = new Simulation();
+        r.backend.setShadowSettings(parseShadow(shadowSettings));
         r.boot();
-        steps(r, new SplittableRandom(seed));
-        r.pass(60_000);
+        runSteps(r, new SplittableRandom(seed));
+        r.advance(60_000);
         return r;
     }
 
-    private static void steps(Round r, SplittableRandom random) {
+    private static void runSteps(Simulation r, SplittableRandom random) {
         for (int i = 0; i < 160; i++) {
             BackendTest.step(r, random);
             r.check();
-            r.closings();
+            r.closePending();
         }
     }
 
-    private static Map<String, Long> counts(Round r) {
+    private static Map<String, Long> counts(Simulation r) {
         return r.backend.counters().all().entrySet().stream()
                 .filter(e -> e.getKey().startsWith("watch_"))
                 .collect(Collectors.toMap(e -> e.getKey().substring(6), Map.Entry::getValue));
@@ -60,9 +60,9 @@
 
     /** Guards against a shadow that sends, answers or retains anything: output and all other counters are the same without it. */
     @Property(tries = 60, seed = "20261203", shrinking = ShrinkingMode.OFF)
-    void whatIsWatchedIsNeverFelt(@ForAll long seed) {
-        Round without = day(null, seed);
-        Round with = day(OTHERS, seed);
+    void shadowSettingsHaveNoEffect(@ForAll long seed) {
+        Simulation without = runDay(null, seed);
+        Simulation with = runDay(SHADOW_SETTINGS, seed);
         assertEquals(without.log, with.log);
         assertEquals(Map.of(), counts(without));
         assertFalse(counts(with).isEmpty());
@@ -72,10 +72,10 @@
     }
 
     @Property(tries = 60, seed = "20261204", shrinking = ShrinkingMode.OFF)
-    void theSettingsInForceWatchedGiveOnlyZeros(@ForAll long seed) {
+    void shadowEqualToTheSettingsInForceCountsNoDifference(@ForAll long seed) {
         String all = BackendTest.CONFIG.substring(BackendTest.CONFIG.indexOf("\"settings\":") + 11);
         for (String same : List.of("{}", all.substring(0, all.length() - 1))) {
-            Map<String, Long> counts = counts(day(same, seed));
+            Map<String, Long> counts = counts(runDay(same, seed));
             assertEquals(12, counts.size());
             assertTrue(counts.values().stream().allMatch(n -> n == 0), "" + counts);
         }
@@ -98,10 +98,10 @@
             say;    {"FamilyInfo":{"Signal":"threshold"}}
             idle;   {"FamilyInfo":{"IdleUs":2000000}}
             """)
-    void eachKindIsCounted(String kind, String others) {
+    void eachKindIsCounted(String kind, String shadowSettings) {
         long n = 0;
         for (long seed = 1; seed <= 60 && n == 0; seed++) {
-            n = counts(day(others, seed)).get(kind);
+            n = counts(runDay(shadowSettings, seed)).get(kind);
         }
         assertTrue(n > 0, kind);
     }
@@ -111,50 +111,50 @@
      * but still occupies a core of the shadow.
      */
     @Test
-    void whatPartsWaysCountsOnceAndIsOverForBoth() {
-        Round r = new Round();
-        r.backend.watch(watched("{\"FamilyInfo\":{\"Cpus\":1}}"));
+    void aDifferenceCountsOnceAndTheQueryEndsForBoth() {
+        Simulation r = new Simulation();
+        r.backend.setShadowSettings(parseShadow("{\"FamilyInfo\":{\"Cpus\":1}}"));
         r.boot();
-        int conn = r.open();
+        int conn = r.openCaller();
         for (int i = 0; i < 3; i++) {
-            String one = r.ask(conn, "c", "b", 20_000, null).job;
-            String two = r.ask(conn, "c", "b", 20_000, null).job;
+            String one = r.request(conn, "c", "b", 20_000, null).job;
+            String two = r.request(conn, "c", "b", 20_000, null).job;
             assertEquals(i + 1, counts(r).get("run"), "with one core the second query would wait");
-            r.reap(i == 0 ? one : two, "good", "made");
-            r.reap(i == 0 ? two : one, "good", "made");
+            r.endRun(i == 0 ? one : two, "good", "made");
+            r.endRun(i == 0 ? two : one, "good", "made");
         }
         assertEquals(3, counts(r).get("run"));
     }
 
     /** A deferred retry gets the advice not to try elsewhere; where callers do not mark retries, it does not. */
     @Test
-    void marksThatAreNotToComeAreNotHeard() {
-        Round r = new Round();
-        r.backend.watch(watched("{\"Callers\":{\"MarksRetry\":false}}"));
+    void shadowThatExpectsNoRetryMarksIgnoresThem() {
+        Simulation r = new Simulation();
+        r.backend.setShadowSettings(parseShadow("{\"Callers\":{\"MarksRetry\":false}}"));
         r.boot();
-        r.ask(r.open(), "c", "b", 20_000, null);
-        r.pass(3_000);
-        r.reap(r.jobs.keySet().iterator().next(), "good", "made");
-        r.ask(r.open(), "c", "b", 20_000, null);
-        r.ask(r.open(), "c", "b", 2_000, null, "HTTP_ATTEMPT_AGAIN", "1");
+        r.request(r.openCaller(), "c", "b", 20_000, null);
+        r.advance(3_000);
+        r.endRun(r.jobs.keySet().iterator().next(), "good", "made");
+        r.request(r.openCaller(), "c", "b", 20_000, null);
+        r.request(r.openCaller(), "c", "b", 2_000, null, "HTTP_ATTEMPT_AGAIN", "1");
         assertEquals(1, counts(r).get("told"), "" + counts(r));
     }
 
     @Test
-    void whatIsWatchedCanBeTakenUpAndLaidDownAtAnyTime() {
-        Round r = new Round();
+    void shadowSettingsCanBeSetAndRemovedAtAnyTime() {
+        Simulation r = new Simulation();
         SplittableRandom random = new SplittableRandom(5);
         r.boot();
-        steps(r, random);
+        runSteps(r, random);
         assertEquals(Map.of(), counts(r));
-        r.backend.watch(watched(OTHERS));
-        steps(r, random);
+        r.backend.setShadowSettings(parseShadow(SHADOW_SETTINGS));
+        runSteps(r, random);
         assertTrue(counts(r).values().stream().anyMatch(n -> n > 0), "" + counts(r));
-        r.backend.watch(watched("{}"));
+        r.backend.setShadowSettings(parseShadow("{}"));
         assertTrue(counts(r).values().stream().allMatch(n -> n == 0), "new shadow settings start with counts of zero");
-        r.backend.watch(null);
+        r.backend.setShadowSettings(null);
         assertEquals(Map.of(), counts(r));
-        assertEquals(0, r.number("faults"));
+        assertEquals(0, r.counter("faults"));
     }
 
     @ParameterizedTest
@@ -166,8 +166,8 @@
             {"Classes":[{"Name":"c","Effect":"write"}]}; watch.settings.Classes[0].Effect is 'write'
             {"Classes":[{"Name":"c","Effect":"safe"}]};  watch.settings.Classes lacks the class
             """)
-    void aFaultyKeyIsNamed(String others, String expected) {
-        String message = assertThrows(BadSetting.class, () -> watched(others)).getMessage();
+    void aFaultyKeyIsNamed(String shadowSettings, String expected) {
+        String message = assertThrows(BadSetting.class, () -> parseShadow(shadowSettings)).getMessage();
         assertTrue(message.contains(expected), message);
     }
 }
--- a/daemon/src/test/java/tallyweir/WireTest.java
+++ b/daemon/src/test/java/tallyweir/WireTest.java
@@ -35,7 +35,7 @@
         return out.toString(StandardCharsets.UTF_8).split("\n");
     }
 
-    private void refused(String line, String field) {
+    private void assertRefused(String line, String field) {
         out.reset();
         err.reset();
         assertEquals(1, serve(START + line));
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void answersEachBatchAndLeavesAtTheEndOfInput() {
+    void answersEachBatchAndExitsAtEndOfInput() {
         String read = "{\"t\":\"Incoming\",\"Id\":77,\"Grade\":\"c\",\"SizeKb\":20,\"Earlier\":null,\"New\":[1,{}]}";
         assertEquals(0, serve("{\"WallUs\":5,\"groups\":[]}\n" + START + batch(9000, read)));
         assertEquals("{\"groups\":[]}", replies()[0]);
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void newsOfNobodyAndUnknownNewsAreLeftAlone() {
+    void unknownInstancesAndEventsAreIgnored() {
         String events = "{\"t\":\"Settled\",\"Id\":5,\"How\":\"completed\"},{\"t\":\"Later\",\"X\":{\"Y\":[]}},"
                 + "{\"t\":\"Lapsed\",\"Id\":6},{\"t\":\"NeedsDep\",\"Id\":7},{\"t\":\"DepReply\",\"Id\":8,\"How\":\"errored\"}";
         assertEquals(0, serve(batch(1, events) + START + batch(2, events)));
@@ -65,22 +65,22 @@
     }
 
     @Test
-    void saysWhichFieldIsWrongAndStops() {
-        refused("{\"groups\":[]}\n", "WallUs");
-        refused("{\"WallUs\":1}\n", "groups");
-        refused("[]\n", "object");
-        refused("{\"WallUs\":1,\"groups\":[{\"news\":[]}]}\n", "Backend");
-        refused("{\"WallUs\":1,\"groups\":[{\"Backend\":3}]}\n", "news");
-        refused(batch(1, "{\"Id\":5}"), "t");
-        refused(batch(1, "{\"t\":\"Incoming\",\"Grade\":\"c\",\"SizeKb\":20}"), "Id");
-        refused(batch(1, "{\"t\":\"Incoming\",\"Id\":5,\"Grade\":\"c\",\"SizeKb\":null}"), "SizeKb");
-        refused(batch(1, "{\"t\":\"Incoming\",\"Id\":\"x\",\"Grade\":\"c\",\"SizeKb\":1}"), "Id");
-        refused(batch(1, "{\"t\":\"Settled\",\"Id\":5}"), "How");
-        refused("{\"WallUs\":1,\"groups\":[\n", "batch");
+    void reportsTheInvalidFieldAndExits() {
+        assertRefused("{\"groups\":[]}\n", "WallUs");
+        assertRefused("{\"WallUs\":1}\n", "groups");
+        assertRefused("[]\n", "object");
+        assertRefused("{\"WallUs\":1,\"groups\":[{\"news\":[]}]}\n", "Backend");
+        assertRefused("{\"WallUs\":1,\"groups\":[{\"Backend\":3}]}\n", "news");
+        assertRefused(batch(1, "{\"Id\":5}"), "t");
+        assertRefused(batch(1, "{\"t\":\"Incoming\",\"Grade\":\"c\",\"SizeKb\":20}"), "Id");
+        assertRefused(batch(1, "{\"t\":\"Incoming\",\"Id\":5,\"Grade\":\"c\",\"SizeKb\":null}"), "SizeKb");
+        assertRefused(batch(1, "{\"t\":\"Incoming\",\"Id\":\"x\",\"Grade\":\"c\",\"SizeKb\":1}"), "Id");
+        assertRefused(batch(1, "{\"t\":\"Settled\",\"Id\":5}"), "How");
+        assertRefused("{\"WallUs\":1,\"groups\":[\n", "batch");
     }
 
     @Test
-    void aFailureInTheDecisionsIsSaidAsFault() {
+    void failureOfTheDecisionsIsReportedAsFault() {
         String read = "{\"t\":\"Incoming\",\"Id\":77,\"Grade\":\"nobody\",\"SizeKb\":20}";
         assertEquals(0, serve(START + batch(9000, read)));
         assertTrue(replies()[1].contains("\"t\":\"Fault\""), replies()[1]);
--- a/daemon/src/test/java/tallyweir/backend/FleetMembershipTest.java
+++ b/daemon/src/test/java/tallyweir/backend/FleetMembershipTest.java
@@ -39,15 +39,15 @@
                "Gauges":["core_use","on_cores"],"PassesDeadline":true,"ClassCalls":[true]},
               "RoundUs":5000,"Permissions":{"RetryAfter":true,"MaxRetryAfterUs":1000000},
               "Rules":{"AnswerSlackUs":60000,"DrainGraceUs":1000000,"FallMultiple":8,"FallUs":3000000}}}""";
-    private static final Table FIRST =
+    private static final Table FIRST_TABLE =
             table("{\"stores\":[{\"address\":\"1.0.0.1:1\"}],\"kernels\":{\"n3\":\"1.0.0.9:4\"},"
                     + "\"announce\":\"1.0.0.8:5\",\"caps\":{\"t\":3}}");
-    private static final long LEASE = 100_000;
-    private static final long SOON = 1_000;
+    private static final long LEASE_TENTHS_MS = 100_000;
+    private static final long REPORT_INTERVAL_TENTHS_MS = 1_000;
 
     private final IdleLinks links = new IdleLinks();
     private final RecordedFleetClient client = new RecordedFleetClient();
-    private final Deque<Runnable> told = new ArrayDeque<>(); // callbacks for the deciding thread
+    private final Deque<Runnable> callbacks = new ArrayDeque<>(); // callbacks for the deciding thread
     private final Backend backend;
     private long now = 1_000_000;
     private RevisionRoot inForce = RevisionRoot.NONE;
@@ -56,7 +56,7 @@
 
     FleetMembershipTest() {
         backend = new Backend(links, Config.parse(CONFIG.getBytes(UTF_8), Map.of()), now, now);
-        backend.joinFleet(client, "test", told::add, "127.0.0.1:7", 0, 1_000, false, 1, 1, Set.of());
+        backend.joinFleet(client, "test", callbacks::add, "127.0.0.1:7", 0, 1_000, false, 1, 1, Set.of());
     }
 
     private static Table table(String json) {
@@ -68,15 +68,15 @@
     }
 
     /** Runs rounds of the deciding thread for a duration in tenths of a millisecond; the fleet answers at once. */
-    private void rounds(long duration) {
+    private void runRounds(long duration) {
         for (long end = now + duration; now < end; now += 100) {
-            backend.clock(now, now);
-            backend.pass();
+            backend.updateClock(now, now);
+            backend.runDue();
             while (!client.sent.isEmpty()) {
                 answer(client.sent.poll());
             }
-            while (!told.isEmpty()) {
-                told.poll().run();
+            while (!callbacks.isEmpty()) {
+                callbacks.poll().run();
             }
         }
     }
@@ -84,97 +84,97 @@
     private void answer(RecordedFleetClient.Sent sent) {
         if (sent.command() instanceof Command.Join join) {
             assertEquals("test", join.fleet());
-            sent.answer(new Answer.Joined(new Incarnation(1), 4, 0.5, SOON));
+            sent.answer(new Answer.Joined(new Incarnation(1), 4, 0.5, REPORT_INTERVAL_TENTHS_MS));
         } else {
             Command.Report report = assertInstanceOf(Command.Report.class, sent.command());
             reports.add(report);
-            sent.answer(new Answer.Told(report.number(), LEASE, LEASE, true, inForce, 0, proposed, Map.of(), SOON));
+            sent.answer(new Answer.ReportAccepted(report.reportNumber(), LEASE_TENTHS_MS, LEASE_TENTHS_MS, true, inForce, 0, proposed, Map.of(), REPORT_INTERVAL_TENTHS_MS));
         }
     }
 
-    private Command.Report last() {
+    private Command.Report lastReport() {
         return reports.get(reports.size() - 1);
     }
 
     @Test
     void aRevisionInForceIsFetchedUsedAndReportedByTheRootOfItsTable() {
-        inForce = revision(1, FIRST);
-        rounds(5_000);
-        assertEquals(RevisionId.NONE, last().acting(), "it does not act on a revision before it has its table");
+        inForce = revision(1, FIRST_TABLE);
+        runRounds(5_000);
+        assertEquals(RevisionId.NONE, lastReport().actingRevision(), "it does not act on a revision before it has its table");
         RecordedFleetClient.Fetch fetch = client.fetches.poll();
         assertEquals(Table.EMPTY.root(), fetch.have().root());
         assertEquals(inForce, fetch.wanted());
-        fetch.answer(FIRST);
-        rounds(5_000);
-        assertEquals(inForce.id(), last().acting());
-        assertEquals(FIRST.root(), last().inForce());
+        fetch.answer(FIRST_TABLE);
+        runRounds(5_000);
+        assertEquals(inForce.id(), lastReport().actingRevision());
+        assertEquals(FIRST_TABLE.root(), lastReport().tableDigest());
         assertEquals(new InetSocketAddress("1.0.0.9", 4), links.kernel);
         assertEquals(new InetSocketAddress("1.0.0.8", 5), links.announce);
         assertTrue(client.fetches.isEmpty());
     }
 
     @Test
-    void theNextIsFetchedFromTheOneInUseAndACapAloneLeavesAllElseAsItIs() {
+    void theNextRevisionIsFetchedFromTheOneInUseAndAChangedCapReroutesNothing() {
         aRevisionInForceIsFetchedUsedAndReportedByTheRootOfItsTable();
         Key cap = new Key(Kind.CAP, "t");
-        Table second = FIRST.apply(List.of(new Change(cap, FIRST.get(cap), Optional.of(new Value.Cap(4)))));
+        Table second = FIRST_TABLE.apply(List.of(new Change(cap, FIRST_TABLE.get(cap), Optional.of(new Value.Cap(4)))));
         proposed = revision(2, second);
-        rounds(5_000);
+        runRounds(5_000);
         RecordedFleetClient.Fetch fetch = client.fetches.poll();
-        assertEquals(FIRST.root(), fetch.have().root());
+        assertEquals(FIRST_TABLE.root(), fetch.have().root());
         fetch.answer(second);
-        rounds(5_000);
-        assertEquals(proposed.id(), last().checked());
-        assertEquals("", last().cannot());
-        assertEquals(FIRST.root(), last().inForce(), "only checked so far");
+        runRounds(5_000);
+        assertEquals(proposed.id(), lastReport().checkedRevision());
+        assertEquals("", lastReport().rejectReason());
+        assertEquals(FIRST_TABLE.root(), lastReport().tableDigest(), "only checked so far");
         inForce = proposed;
         proposed = RevisionRoot.NONE;
-        rounds(5_000);
-        assertEquals(second.root(), last().inForce());
+        runRounds(5_000);
+        assertEquals(second.root(), lastReport().tableDigest());
         assertTrue(client.fetches.isEmpty(), "the checked revision is used without another fetch");
-        assertEquals(1, links.routed);
+        assertEquals(1, links.routeCount);
     }
 
     @Test
-    void aProposedRevisionThatItCannotActOnIsToldWithTheReason() {
+    void anUnusableProposedRevisionIsReportedWithTheReason() {
         Table unknown = table("{\"stores\":[{\"address\":\"1.0.0.1:1\",\"workloads\":[\"z\"]}]}");
         proposed = revision(1, unknown);
-        rounds(2_000);
+        runRounds(2_000);
         client.fetches.poll().answer(unknown);
-        rounds(5_000);
-        assertEquals(proposed.id(), last().checked());
-        assertTrue(last().cannot().contains("z is unknown"), last().cannot());
+        runRounds(5_000);
+        assertEquals(proposed.id(), lastReport().checkedRevision());
+        assertTrue(lastReport().rejectReason().contains("z is unknown"), lastReport().rejectReason());
         inForce = proposed; // although this server rejected it
-        rounds(5_000);
-        assertEquals(RevisionId.NONE, last().acting());
+        runRounds(5_000);
+        assertEquals(RevisionId.NONE, lastReport().actingRevision());
     }
 
     @Test
-    void aFetchThatFailsIsTriedAgainBeforeItIsToldThatItCannot() {
-        proposed = revision(1, FIRST);
+    void aFailedFetchIsRetriedBeforeTheRevisionIsReportedUnusable() {
+        proposed = revision(1, FIRST_TABLE);
         Fault damaged =
-                new Fault.DigestMismatch(FIRST.root().value(), Digest.of("x").value());
+                new Fault.DigestMismatch(FIRST_TABLE.root().value(), Digest.of("x").value());
         int fetches = 0;
-        for (int i = 0; i < 100 && cannotSoFar().equals(""); i++) {
-            rounds(1_000);
+        for (int i = 0; i < 100 && reportedReason().equals(""); i++) {
+            runRounds(1_000);
             if (!client.fetches.isEmpty()) {
                 fetches++;
                 client.fetches.poll().fail(damaged);
             }
         }
         assertEquals(5, fetches);
-        assertTrue(last().cannot().contains("hashes to"), last().cannot());
+        assertTrue(lastReport().rejectReason().contains("hashes to"), lastReport().rejectReason());
         inForce = proposed;
-        rounds(2_000);
+        runRounds(2_000);
         client.fetches.poll().fail(damaged);
-        rounds(2_000);
-        assertEquals(RevisionId.NONE, last().acting());
-        client.fetches.poll().answer(FIRST);
-        rounds(2_000);
-        assertEquals(FIRST.root(), last().inForce(), "the fetch is retried until it succeeds");
+        runRounds(2_000);
+        assertEquals(RevisionId.NONE, lastReport().actingRevision());
+        client.fetches.poll().answer(FIRST_TABLE);
+        runRounds(2_000);
+        assertEquals(FIRST_TABLE.root(), lastReport().tableDigest(), "the fetch is retried until it succeeds");
     }
 
-    private String cannotSoFar() {
-        return reports.isEmpty() ? "" : last().cannot();
+    private String reportedReason() {
+        return reports.isEmpty() ? "" : lastReport().rejectReason();
     }
 }
--- a/daemon/src/test/java/tallyweir/backend/FleetMemoryProbe.java
+++ b/daemon/src/test/java/tallyweir/backend/FleetMemoryProbe.java
@@ -19,7 +19,7 @@
     static final int CAPS = 400_000;
 
     private static final int WORKLOADS = 1_000;
-    private static final int AT_ONCE = 10_000;
+    private static final int CHANGES_PER_BATCH = 10_000;
     private static final int DIFFERENCE = 1_000;
     private static final int COLLECTIONS = 5;
 
@@ -27,17 +27,17 @@
 
     /** Prints whether the parts are correct, their bytes, and the bytes with the prepared parts of the next revision. */
     public static void main(String[] args) {
-        long before = used();
+        long before = usedBytes();
         Table table = table();
         Routes routes = Routes.of(table, workloads());
         TableCaps caps = new TableCaps(table);
-        long inUse = used() - before;
+        long inUse = usedBytes() - before;
 
         Table next = table.apply(difference());
         Routes nextRoutes = routes.with(next, table.differenceTo(next));
-        long withNext = used() - before;
+        long withNext = usedBytes() - before;
 
-        boolean correct = routes.size() == ROUTES
+        boolean correct = routes.storeCount() == ROUTES
                 && nextRoutes.table().size() == ROUTES + CAPS
                 && caps.of(new TenantId(cap(7).name())) == 1;
         System.out.println(correct + " " + inUse + " " + withNext);
@@ -51,7 +51,7 @@
                     i < ROUTES
                             ? put(store(i), new Value.Weight(1 + i % 1_000))
                             : put(cap(i - ROUTES), new Value.Cap(1)));
-            if (changes.size() == AT_ONCE) {
+            if (changes.size() == CHANGES_PER_BATCH) {
                 table = table.apply(changes);
                 changes.clear();
             }
@@ -92,7 +92,7 @@
         return all;
     }
 
-    private static long used() {
+    private static long usedBytes() {
         long min = Long.MAX_VALUE;
         for (int i = 0; i < COLLECTIONS; i++) {
             System.gc();
--- a/daemon/src/test/java/tallyweir/backend/FleetMemoryTest.java
+++ b/daemon/src/test/java/tallyweir/backend/FleetMemoryTest.java
@@ -10,7 +10,7 @@
 
 /** Limits the heap use of a large revision, measured in a process with the heap size and collector of a server. */
 class FleetMemoryTest {
-    private static final long MOST = 16 << 20;
+    private static final long MAX_HEAP_BYTES = 16 << 20;
 
     @Test
     void thirtyOneThousandRoutesAndFourHundredThousandCapsStayUnderTheLimit() throws IOException, InterruptedException {
@@ -31,7 +31,7 @@
         long inUse = Long.parseLong(figures[1]);
         long withNext = Long.parseLong(figures[2]);
         System.out.println("heap of the fleet parts: " + inUse + " bytes, with the next revision " + withNext);
-        assertTrue(inUse < MOST, "in use: " + inUse);
-        assertTrue(withNext < MOST, "with the next revision: " + withNext);
+        assertTrue(inUse < MAX_HEAP_BYTES, "in use: " + inUse);
+        assertTrue(withNext < MAX_HEAP_BYTES, "with the next revision: " + withNext);
     }
 }
--- a/daemon/src/test/java/tallyweir/backend/IdleLinks.java
+++ b/daemon/src/test/java/tallyweir/backend/IdleLinks.java
@@ -8,24 +8,24 @@
 final class IdleLinks implements Links {
     InetSocketAddress kernel;
     InetSocketAddress announce;
-    int routed;
+    int routeCount;
 
     @Override
-    public void toCaller(ConnectionId caller, byte[] bytes) {}
+    public void sendToCaller(ConnectionId caller, byte[] bytes) {}
 
     @Override
-    public void endCaller(ConnectionId caller) {}
+    public void halfCloseCaller(ConnectionId caller) {}
 
     @Override
-    public boolean endQuiet(ConnectionId caller) {
+    public boolean halfCloseIfQuiet(ConnectionId caller) {
         return false;
     }
 
     @Override
-    public void dropCaller(ConnectionId caller) {}
+    public void closeCaller(ConnectionId caller) {}
 
     @Override
-    public boolean dropStuck() {
+    public boolean closeStuckCaller() {
         return false;
     }
 
@@ -33,7 +33,7 @@
     public void stopListening() {}
 
     @Override
-    public boolean callersWait() {
+    public boolean areCallersWaiting() {
         return false;
     }
 
@@ -41,21 +41,21 @@
     public void connect(LinkId link, Peer peer, InetSocketAddress at) {}
 
     @Override
-    public void route(InetSocketAddress kernel, InetSocketAddress announce) {
+    public void setPeerAddresses(InetSocketAddress kernel, InetSocketAddress announce) {
         this.kernel = kernel;
         this.announce = announce;
-        routed++;
+        routeCount++;
     }
 
     @Override
-    public void to(LinkId link, byte[] bytes) {}
+    public void sendToPeer(LinkId link, byte[] bytes) {}
 
     @Override
-    public void drop(LinkId link) {}
+    public void closeLink(LinkId link) {}
 
     @Override
-    public void report(byte[] datagram) {}
+    public void sendReport(byte[] datagram) {}
 
     @Override
-    public void lookAgain() {}
+    public void recheckConfig() {}
 }
--- a/daemon/src/test/java/tallyweir/backend/RecordedFleetClient.java
+++ b/daemon/src/test/java/tallyweir/backend/RecordedFleetClient.java
@@ -16,20 +16,20 @@
 /** Records commands and fetches, which the test answers. */
 final class RecordedFleetClient implements FleetClient {
     /** A command without an answer yet. */
-    record Sent(Command command, Executor deciding, Consumer<Answer> to, Runnable failed) {
+    record Sent(Command command, Executor executor, Consumer<Answer> onAnswer, Runnable onFailure) {
         void answer(Answer answer) {
-            deciding.execute(() -> to.accept(answer));
+            executor.execute(() -> onAnswer.accept(answer));
         }
     }
 
     /** A fetch without a result yet. */
-    record Fetch(Table have, RevisionRoot wanted, Executor deciding, Consumer<Table> to, Consumer<Fault> failed) {
+    record Fetch(Table have, RevisionRoot wanted, Executor executor, Consumer<Table> onTable, Consumer<Fault> onFailure) {
         void answer(Table table) {
-            deciding.execute(() -> to.accept(table));
+            executor.execute(() -> onTable.accept(table));
         }
 
         void fail(Fault fault) {
-            deciding.execute(() -> failed.accept(fault));
+            executor.execute(() -> onFailure.accept(fault));
         }
     }
 
--- a/daemon/src/test/java/tallyweir/backend/RoutesTest.java
+++ b/daemon/src/test/java/tallyweir/backend/RoutesTest.java
@@ -46,69 +46,69 @@
     }
 
     @Test
-    void aServerSaysWhyItCannotActOnOne() {
-        assertEquals("", routes("{}").cannot());
-        assertEquals("", routes("{\"stores\":[{\"address\":\"1.2.3.4:5\"}]}").cannot());
+    void unusableRoutesHaveAReason() {
+        assertEquals("", routes("{}").unusableReason());
+        assertEquals("", routes("{\"stores\":[{\"address\":\"1.2.3.4:5\"}]}").unusableReason());
         assertTrue(routes("{\"stores\":[{\"address\":\"1.2.3.4:5\",\"workloads\":[\"a\",\"z\"]}]}")
-                .cannot()
+                .unusableReason()
                 .contains("z is unknown"));
         assertTrue(routes("{\"stores\":[{\"address\":\"1.2.3.4:5\",\"workloads\":[\"a\"]}]}")
-                .cannot()
+                .unusableReason()
                 .contains("no store serves the workload b"));
     }
 
     @Test
-    void storesAreDrawnByTheirWeightsAmongThoseThatServeTheWorkload() {
+    void storesArePickedByWeightAmongThoseThatServeTheWorkload() {
         Routes routes = routes("{\"stores\":[{\"address\":\"1.0.0.1:1\",\"weight\":3},"
                 + "{\"address\":\"1.0.0.2:1\",\"workloads\":[\"a\"],\"weight\":5},"
                 + "{\"address\":\"1.0.0.3:1\",\"workloads\":[\"a\",\"b\"],\"weight\":2},"
                 + "{\"address\":\"1.0.0.4:1\",\"workloads\":[\"z\"],\"weight\":1000}]}");
-        Map<String, Integer> drawn = new HashMap<>();
+        Map<String, Integer> picked = new HashMap<>();
         SplittableRandom random = new SplittableRandom(1);
         for (int i = 0; i < 100_000; i++) {
-            drawn.merge(routes.store(A, random).getAddress().getHostAddress(), 1, Integer::sum);
+            picked.merge(routes.pickStore(A, random).getAddress().getHostAddress(), 1, Integer::sum);
         }
-        assertEquals(Set.of("1.0.0.1", "1.0.0.2", "1.0.0.3"), drawn.keySet());
-        assertEquals(0.3, drawn.get("1.0.0.1") / 1e5, 0.01);
-        assertEquals(0.5, drawn.get("1.0.0.2") / 1e5, 0.01);
-        assertEquals(0.2, drawn.get("1.0.0.3") / 1e5, 0.01);
-        assertEquals(2, routes.stores(B).size());
-        assertNull(Routes.none(OWN).store(A, random));
+        assertEquals(Set.of("1.0.0.1", "1.0.0.2", "1.0.0.3"), picked.keySet());
+        assertEquals(0.3, picked.get("1.0.0.1") / 1e5, 0.01);
+        assertEquals(0.5, picked.get("1.0.0.2") / 1e5, 0.01);
+        assertEquals(0.2, picked.get("1.0.0.3") / 1e5, 0.01);
+        assertEquals(2, routes.storesFor(B).size());
+        assertNull(Routes.empty(OWN).pickStore(A, random));
         assertNull(routes("{\"stores\":[{\"address\":\"1.0.0.1:1\",\"workloads\":[\"a\"]}]}")
-                .store(B, random));
+                .pickStore(B, random));
     }
 
     @Test
-    void addressesOfBothFamiliesAreDrawnAsTheyWereGiven() {
+    void addressesOfBothFamiliesAreKept() {
         Routes routes = routes("{\"stores\":[{\"address\":\"250.1.2.3:65535\"},{\"address\":\"[fe80::1]:80\"}]}");
         assertEquals(
                 Set.of(new InetSocketAddress("250.1.2.3", 65_535), new InetSocketAddress("fe80::1", 80)),
-                Set.copyOf(routes.stores(A).stream().map(WeightedStore::address).toList()));
+                Set.copyOf(routes.storesFor(A).stream().map(WeightedStore::address).toList()));
     }
 
     @Test
-    void whatDoesNotDifferIsShared() {
+    void unchangedGroupsAreShared() {
         Routes before =
                 routes("{\"stores\":[{\"address\":\"1.0.0.1:1\"},{\"address\":\"1.0.0.2:1\",\"workloads\":[\"a\"]},"
                         + "{\"address\":\"1.0.0.3:1\",\"workloads\":[\"b\"]}],\"caps\":{\"t\":1}}");
         Table table = before.table();
         Change cap = new Change(new Key(Kind.CAP, "t"), Optional.of(new Value.Cap(1)), Optional.empty());
         Routes capped = before.with(table.apply(List.of(cap)), List.of(cap));
-        assertSame(before.ofAll(), capped.ofAll());
-        assertSame(before.ofSome(), capped.ofSome());
+        assertSame(before.forAllWorkloads(), capped.forAllWorkloads());
+        assertSame(before.byWorkload(), capped.byWorkload());
         assertEquals(table.apply(List.of(cap)).root(), capped.table().root());
 
         Change store = put(table, "1.0.0.2:1 a", 7);
         Routes next = before.with(table.apply(List.of(store)), List.of(store));
-        assertSame(before.ofAll(), next.ofAll());
-        assertSame(before.ofSome().get(B), next.ofSome().get(B));
+        assertSame(before.forAllWorkloads(), next.forAllWorkloads());
+        assertSame(before.byWorkload().get(B), next.byWorkload().get(B));
         assertEquals(
                 List.of(new WeightedStore(new InetSocketAddress("1.0.0.2", 1), 7)),
-                next.ofSome().get(A).stores());
+                next.byWorkload().get(A).stores());
     }
 
     @Test
-    void changesInAnyOrderComeToWhatTheWholeTableComesTo() {
+    void incrementalChangesGiveTheSameRoutesAsTheWholeTable() {
         SplittableRandom random = new SplittableRandom(7);
         Table table = Table.EMPTY;
         Routes routes = Routes.of(table, OWN);
@@ -122,12 +122,12 @@
             }
             table = table.apply(changes.values());
             routes = routes.with(table, changes.values());
-            Routes whole = Routes.of(table, OWN);
-            assertEquals(whole.size(), routes.size());
-            assertEquals(whole.unknown(), routes.unknown());
-            assertEquals(whole.cannot(), routes.cannot());
+            Routes rebuilt = Routes.of(table, OWN);
+            assertEquals(rebuilt.storeCount(), routes.storeCount());
+            assertEquals(rebuilt.unknownWorkloads(), routes.unknownWorkloads());
+            assertEquals(rebuilt.unusableReason(), routes.unusableReason());
             for (WorkloadId workload : List.of(A, B, Z)) {
-                assertEquals(sorted(whole.stores(workload)), sorted(routes.stores(workload)));
+                assertEquals(sorted(rebuilt.storesFor(workload)), sorted(routes.storesFor(workload)));
             }
         }
     }
@@ -138,7 +138,7 @@
     }
 
     @Test
-    void namesInATableAreThoseOfStores() {
+    void storeKeysListTheirWorkloads() {
         assertEquals(
                 List.of(A, B),
                 StoreName.of(new Key(Kind.STORE, "1.2.3.4:5 a,b")).workloads());
--- a/daemon/src/test/java/tallyweir/cli/LeavingTest.java
+++ b/daemon/src/test/java/tallyweir/cli/LeavingTest.java
@@ -19,17 +19,17 @@
 
 /** The notice to shut down before the server listens, and just after. */
 class LeavingTest {
-    private final ByteArrayOutputStream words = new ByteArrayOutputStream();
-    private final Leaving leaving = new Leaving(200, new PrintStream(words, true, UTF_8));
+    private final ByteArrayOutputStream output = new ByteArrayOutputStream();
+    private final Leaving hook = new Leaving(200, new PrintStream(output, true, UTF_8));
 
     /** A server that was notified during its warm-up would begin to listen, and then end with requests unanswered. */
     @Test
-    void toldBeforeItListensItNeverDoes() throws Exception {
+    void aServerNotifiedBeforeItListensNeverListens() throws Exception {
         Server server = new Server(ServerTest.config());
-        leaving.run();
-        assertFalse(leaving.begins(server, null));
+        hook.run();
+        assertFalse(hook.listenUnlessShutdown(server, null));
         assertNull(server.address());
-        assertEquals("", words.toString(UTF_8));
+        assertEquals("", output.toString(UTF_8));
     }
 
     /**
@@ -37,28 +37,28 @@
      * requests unanswered.
      */
     @Test
-    void toldOnceItListensItSeesEveryoneOff() throws Exception {
-        CompletableFuture<Server> begun = new CompletableFuture<>();
-        Thread deciding = new Thread(() -> {
+    void aServerNotifiedWhileItListensDrains() throws Exception {
+        CompletableFuture<Server> bound = new CompletableFuture<>();
+        Thread decisionThread = new Thread(() -> {
             Server server = new Server(ServerTest.config());
             try {
-                assertTrue(leaving.begins(server, null));
+                assertTrue(hook.listenUnlessShutdown(server, null));
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
-            begun.complete(server);
+            bound.complete(server);
             server.run();
         });
-        deciding.setDaemon(true);
-        deciding.start();
-        Server server = begun.get(20, TimeUnit.SECONDS);
+        decisionThread.setDaemon(true);
+        decisionThread.start();
+        Server server = bound.get(20, TimeUnit.SECONDS);
         assertEquals(200, ServerTest.check(server.address()));
-        Thread told = new Thread(leaving);
-        told.setDaemon(true);
-        told.start();
-        Awaitility.await().until(() -> words.toString(UTF_8).contains("shutting down; connections_accepted="));
-        Awaitility.await().until(() -> words.toString(UTF_8).contains("final counters; "));
-        assertTrue(told.isAlive(), "the hook waits for the kill");
-        deciding.interrupt();
+        Thread hookThread = new Thread(hook);
+        hookThread.setDaemon(true);
+        hookThread.start();
+        Awaitility.await().until(() -> output.toString(UTF_8).contains("shutting down; connections_accepted="));
+        Awaitility.await().until(() -> output.toString(UTF_8).contains("final counters; "));
+        assertTrue(hookThread.isAlive(), "the hook waits for the kill");
+        decisionThread.interrupt();
     }
 }
--- a/daemon/src/test/java/tallyweir/config/ChangeFileTest.java
+++ b/daemon/src/test/java/tallyweir/config/ChangeFileTest.java
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void theExampleChangesTheExampleRevision() throws IOException {
+    void exampleChangeAppliesToExampleRevision() throws IOException {
         Table table = RevisionFile.parse(Files.readAllBytes(Path.of("../deploy/example-revision.json")));
         ChangeFile file = ChangeFile.parse(Files.readAllBytes(Path.of("../deploy/example-change.json")));
         Map<Key, Value> now = new HashMap<>();
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void eachEntryIsChangedOnTheConditionThatItSaysWhatItSaysNow() {
+    void eachChangeRequiresTheCurrentValue() {
         ChangeFile file = parse("{\"put\":{\"caps\":{\"acme\":5}},\"remove\":{\"caps\":[\"globex\"]}}");
         assertEquals(List.of(ACME, GLOBEX), file.keys());
         assertEquals(
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void ofAFaultyOneAllKeysAreNamedAtOnce() {
+    void reportsAllInvalidKeysAtOnce() {
         FleetException e = assertThrows(
                 FleetException.class,
                 () -> parse(
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void whatIsPutAndRemovedOrChangesNothingIsTurnedDown() {
+    void refusesContradictoryAndEmptyChanges() {
         for (String json : new String[] {
             "{\"put\":{\"caps\":{\"acme\":5}},\"remove\":{\"caps\":[\"acme\"]}}",
             "{\"put\":{\"announce\":\"1.2.3.4:5\"},\"remove\":{\"announce\":true}}",
--- a/daemon/src/test/java/tallyweir/config/OperatorsTest.java
+++ b/daemon/src/test/java/tallyweir/config/OperatorsTest.java
@@ -25,15 +25,15 @@
     }
 
     @Test
-    void withoutAFileEverythingIsOff() {
-        assertFalse(Operators.read(Map.of()).hasDurable());
-        assertFalse(parse("{}").hasDurable());
+    void everythingIsOffWithoutAFile() {
+        assertFalse(Operators.read(Map.of()).hasDurableStore());
+        assertFalse(parse("{}").hasDurableStore());
     }
 
     @Test
-    void theExampleIsGood() {
+    void exampleIsValid() {
         Operators o = Operators.read(Path.of("../deploy/operators.example.json"));
-        assertTrue(o.hasDurable());
+        assertTrue(o.hasDurableStore());
         assertEquals(
                 List.of(
                         new Namespace("traces", 1024L << 20, true),
@@ -41,8 +41,8 @@
                         new Namespace("intents", Long.MAX_VALUE, false),
                         new Namespace("audit", Long.MAX_VALUE, false)),
                 o.namespaces());
-        assertTrue(o.keepsResults());
-        assertEquals(Path.of("/mnt/disk2/tallyweir/durable-second"), o.second());
+        assertTrue(o.retainsResults());
+        assertEquals(Path.of("/mnt/disk2/tallyweir/durable-second"), o.secondCopyDir());
     }
 
     @ParameterizedTest
@@ -72,19 +72,19 @@
             {"durable":{"dir":"d","namespaces":[{"name":"results","bound_mb":1}]},"results":{"bound_mb":1}}; durable.namespaces[0].name is 'results'
             {;                                                             not valid JSON
             """)
-    void aFaultyKeyIsNamed(String json, String expected) {
+    void reportsTheInvalidKey(String json, String expected) {
         String message = assertThrows(BadSetting.class, () -> parse(json)).getMessage();
         assertTrue(message.contains(expected), message);
     }
 
     @Test
-    void whatItOpensKeepsWhatIsWritten(@TempDir Path dir) throws IOException {
+    void openedStoreKeepsWrittenRecords(@TempDir Path dir) throws IOException {
         Operators o = parse("{\"durable\":{\"dir\":\"" + dir + "\",\"segment_mb\":1,"
                 + "\"namespaces\":[{\"name\":\"a\",\"bound_mb\":1}]}}");
-        try (FileStore s = o.openDurable()) {
+        try (FileStore s = o.openDurableStore()) {
             s.committer().write(new Batch().put("a", new byte[] {1}, new byte[] {2}));
         }
-        try (FileStore s = o.openDurable()) {
+        try (FileStore s = o.openDurableStore()) {
             assertEquals(2, s.store().get("a", new byte[] {1}).value()[0]);
         }
         assertTrue(Files.isDirectory(dir.resolve("second")));
--- a/daemon/src/test/java/tallyweir/config/RevisionFileTest.java
+++ b/daemon/src/test/java/tallyweir/config/RevisionFileTest.java
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void theExampleHasAnEntryForEachThingThatItNames() throws IOException {
+    void exampleHasAllItsEntries() throws IOException {
         Table table = RevisionFile.parse(Files.readAllBytes(Path.of("../deploy/example-revision.json")));
         assertEquals(
                 Map.of(
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void theOrderOfAFileMakesNoDifferenceAndEveryEntryDoes() {
+    void rootDependsOnEntriesButNotOnTheirOrder() {
         String one =
                 "{\"stores\":[{\"address\":\"1.2.3.4:5\"},{\"address\":\"1.2.3.5:5\",\"workloads\":[\"b\",\"a\"]}]}";
         String other =
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void ofAFaultyOneAllKeysAreNamedAtOnce() {
+    void reportsAllInvalidKeysAtOnce() {
         FleetException e = assertThrows(
                 FleetException.class,
                 () -> parse("{\"stores\":[{\"address\":\"here:80\",\"weight\":0},{\"address\":\"1.2.3.4:5\","
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void whatIsNoObjectOrIsThereTwiceIsTurnedDown() {
+    void refusesNonObjectsAndDuplicates() {
         for (String json : new String[] {
             "",
             "{",
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void aStoreOfManyWorkloadsTakesSeveralEntriesThatTogetherNameEachOnce() {
+    void splitsAStoreOfManyWorkloadsOverSeveralEntries() {
         List<String> workloads = new ArrayList<>();
         for (int i = 0; i < 50; i++) {
             workloads.add("\"workload-" + (100 + i) + "\"");
@@ -110,7 +110,7 @@
         List<String> found = new ArrayList<>();
         table.forEach(entry -> {
             assertEquals(Optional.of(new Value.Weight(7)), table.get(entry.key()));
-            assertTrue(entry.key().name().getBytes(UTF_8).length <= Key.NAME_BYTES_MOST);
+            assertTrue(entry.key().name().getBytes(UTF_8).length <= Key.MAX_NAME_BYTES);
             StoreName.of(entry.key()).workloads().forEach(workload -> found.add("\"" + workload.value() + "\""));
         });
         assertTrue(table.size() > 1);
@@ -118,7 +118,7 @@
     }
 
     @Test
-    void namesOfStoresAreReadAsTheyAreWritten() {
+    void storeNamesRoundTrip() {
         for (String name : new String[] {"1.2.3.4:5", "1.2.3.4:5 a", "1.2.3.4:5 a,b", "[0:0:0:0:0:0:0:1]:80 a"}) {
             assertEquals(name, StoreName.parse("stores", name).get(0).key().name());
         }
--- a/daemon/src/test/java/tallyweir/net/ArrivalsTest.java
+++ b/daemon/src/test/java/tallyweir/net/ArrivalsTest.java
@@ -10,7 +10,7 @@
 
 /** The queue between MINA's threads and the decision thread. */
 class ArrivalsTest {
-    private final Arrivals arrivals = new Arrivals();
+    private final Arrivals queue = new Arrivals();
     private final List<String> log = new ArrayList<>();
 
     private Arrivals.Inbox inbox(String name) {
@@ -18,12 +18,12 @@
     }
 
     private void put(Arrivals.Inbox from, String text) {
-        arrivals.put(from, () -> log.add(text));
+        queue.put(from, () -> log.add(text));
     }
 
     private List<String> taken() throws InterruptedException {
         List<Runnable> taken = new ArrayList<>();
-        arrivals.take(taken, 0);
+        queue.take(taken, 0);
         taken.forEach(Runnable::run);
         List<String> all = List.copyOf(log);
         log.clear();
@@ -39,7 +39,7 @@
         put(a, "a2");
         put(a, "a3");
         put(b, "b1");
-        arrivals.put(() -> log.add("kernel"));
+        queue.put(() -> log.add("kernel"));
         assertEquals(List.of("a suspended", "kernel", "a1", "b1"), taken());
         assertEquals(List.of("a resumed", "a2"), taken());
         assertEquals(List.of("a3"), taken());
@@ -48,27 +48,27 @@
 
     /** An endless reply that is processed more slowly than it arrives must not fill the memory. */
     @Test
-    void aPeerIsNotReadWhileMuchOfItLiesHere() throws InterruptedException {
+    void aPeerIsNotReadWhileItsMaximumOfChunksIsQueued() throws InterruptedException {
         Arrivals.Inbox peer = inbox("store");
-        for (int i = 0; i < Arrivals.PEER_PIECES_MOST; i++) {
-            arrivals.putFirst(peer, () -> {});
+        for (int i = 0; i < Arrivals.MAX_PEER_CHUNKS; i++) {
+            queue.putPeerChunk(peer, () -> {});
         }
         assertEquals(List.of("store suspended"), log);
-        assertEquals(Arrivals.PEER_PIECES_MOST, arrivals.peerPieces());
+        assertEquals(Arrivals.MAX_PEER_CHUNKS, queue.pendingPeerChunks());
         assertEquals(List.of("store suspended", "store resumed"), taken());
-        assertEquals(0, arrivals.peerPieces());
+        assertEquals(0, queue.pendingPeerChunks());
     }
 
     /** A caller is not read while chunks of it are queued, nor while its output cannot be sent. */
     @Test
-    void aCallerIsReadAgainOnceBothAreOver() throws InterruptedException {
+    void aCallerIsReadAgainOnceItsChunksAreTakenAndItsOutputIsSent() throws InterruptedException {
         Arrivals.Inbox a = inbox("a");
-        arrivals.stands(a, true);
+        queue.setOutputBacklogged(a, true);
         put(a, "a1");
         put(a, "a2");
         assertEquals(List.of("a suspended", "a1"), taken());
         assertEquals(List.of("a2"), taken());
-        arrivals.stands(a, false);
+        queue.setOutputBacklogged(a, false);
         assertEquals(List.of("a resumed"), taken());
     }
 
@@ -77,27 +77,27 @@
      * unprocessed too.
      */
     @Test
-    void nothingUnreadOfACallerIsOverlooked() throws InterruptedException {
+    void anInboxIsEmptyOnlyWhenAllItsBytesAreProcessed() throws InterruptedException {
         Arrivals.Inbox a = inbox("a");
-        Arrivals.reading(a, true);
+        Arrivals.setReadInProgress(a, true);
         assertFalse(Arrivals.isEmpty(a));
         put(a, "a1");
-        Arrivals.reading(a, false);
+        Arrivals.setReadInProgress(a, false);
         assertFalse(Arrivals.isEmpty(a));
         List<Runnable> batch = new ArrayList<>();
-        arrivals.take(batch, 0);
+        queue.take(batch, 0);
         assertFalse(Arrivals.isEmpty(a));
         batch.forEach(Runnable::run);
         assertTrue(Arrivals.isEmpty(a));
     }
 
     @Test
-    void aFloodOfCallersWaitsForTheNextRound() throws InterruptedException {
-        for (int i = 0; i < 3 * Arrivals.TURNS_MOST; i++) {
+    void aFloodOfCallersWaitsForTheNextBatch() throws InterruptedException {
+        for (int i = 0; i < 3 * Arrivals.MAX_CALLERS_PER_BATCH; i++) {
             put(inbox("x"), "chunk");
         }
-        assertEquals(Arrivals.TURNS_MOST, taken().size());
-        arrivals.put(() -> log.add("kernel"));
+        assertEquals(Arrivals.MAX_CALLERS_PER_BATCH, taken().size());
+        queue.put(() -> log.add("kernel"));
         assertEquals("kernel", taken().get(0));
     }
 }
