--- a/durable/src/main/java/tallyweir/durable/AdminCommands.java
+++ b/durable/src/main/java/tallyweir/durable/AdminCommands.java
@@ -14,8 +14,8 @@
 
 /** The commands about the store that a process which has one open answers on its {@link AdminSocket}. */
 public final class AdminCommands {
-    private static final String NONE = "-";
-    private static final long LOOK_MS = 20;
+    private static final String ABSENT = "-";
+    private static final long POLL_INTERVAL_MS = 20;
 
     private final Durable store;
     private final Times times;
@@ -27,19 +27,19 @@
 
     /** The commands by name, which is the first word of a request. The map may be extended by the caller. */
     public static Map<String, AdminSocket.Command> of(Durable store, Times times) {
-        AdminCommands v = new AdminCommands(store, times);
+        AdminCommands handlers = new AdminCommands(store, times);
         Map<String, AdminSocket.Command> all = new LinkedHashMap<>();
-        all.put("info", v::info);
-        all.put("get", v::get);
-        all.put("list", v::list);
-        all.put("backup", v::backup);
-        all.put("verify", v::verify);
+        all.put("info", handlers::info);
+        all.put("get", handlers::get);
+        all.put("list", handlers::list);
+        all.put("backup", handlers::backup);
+        all.put("verify", handlers::verify);
         return all;
     }
 
-    private static void need(List<String> words, int many) throws IOException {
-        if (words.size() != many) {
-            throw new IOException(many + " words are needed, not " + words.size());
+    private static void requireWordCount(List<String> words, int count) throws IOException {
+        if (words.size() != count) {
+            throw new IOException(count + " words are needed, not " + words.size());
         }
     }
 
@@ -48,32 +48,32 @@
      * with dots.
      */
     private void info(List<String> words, Consumer<String> line, LongConsumer progress) throws IOException {
-        need(words, 0);
-        flat("", store.info(), line);
-        flat("figures", store.figures().all(), line);
-        flat("times", times.all(System.nanoTime()), line);
+        requireWordCount(words, 0);
+        flatten("", store.info(), line);
+        flatten("figures", store.figures().toMap(), line);
+        flatten("times", times.toMap(System.nanoTime()), line);
     }
 
-    private static void flat(String at, Object value, Consumer<String> line) {
+    private static void flatten(String prefix, Object value, Consumer<String> line) {
         if (value instanceof Map<?, ?> map) {
-            map.forEach((k, v) -> flat(at.isEmpty() ? k.toString() : at + "." + k, v, line));
+            map.forEach((k, v) -> flatten(prefix.isEmpty() ? k.toString() : prefix + "." + k, v, line));
         } else if (value instanceof List<?> list) {
             for (int i = 0; i < list.size(); i++) {
-                flat(at + "." + i, list.get(i), line);
+                flatten(prefix + "." + i, list.get(i), line);
             }
         } else {
-            line.accept(at + "\t" + value);
+            line.accept(prefix + "\t" + value);
         }
     }
 
     /** A record as a line of the admin socket: key, stamp, expiry and value separated by tabs, bytes in hexadecimal. */
-    static String line(Found f) {
+    static String formatRecord(Found f) {
         HexFormat hex = HexFormat.of();
-        return hex.formatHex(f.key()) + "\t" + f.stamp() + "\t" + f.expires() + "\t" + hex.formatHex(f.value());
+        return hex.formatHex(f.key()) + "\t" + f.stamp() + "\t" + f.expiresAt() + "\t" + hex.formatHex(f.value());
     }
 
     /** Parses a record from a line of the admin socket; throws an unchecked exception if it is malformed. */
-    public static Found record(String line) {
+    public static Found parseRecord(String line) {
         String[] w = line.split("\t", -1);
         return new Found(
                 HexFormat.of().parseHex(w[0]),
@@ -82,15 +82,15 @@
                 Long.parseLong(w[2]));
     }
 
-    private static byte[] key(String hex) throws IOException {
+    private static byte[] parseKey(String hex) throws IOException {
         try {
-            return hex.equals(NONE) ? null : HexFormat.of().parseHex(hex);
+            return hex.equals(ABSENT) ? null : HexFormat.of().parseHex(hex);
         } catch (IllegalArgumentException e) {
             throw new IOException("'" + hex + "' is not hexadecimal");
         }
     }
 
-    private static void known(View view, String namespace) throws IOException {
+    private static void requireNamespace(View view, String namespace) throws IOException {
         if (!view.namespaces().contains(namespace)) {
             throw new IOException("there is no namespace " + namespace + ": there are " + view.namespaces());
         }
@@ -98,12 +98,12 @@
 
     /** {@code get NAMESPACE KEY}: the record as one line, or no line if there is none. */
     private void get(List<String> words, Consumer<String> line, LongConsumer progress) throws IOException {
-        need(words, 2);
+        requireWordCount(words, 2);
         try (View view = store.view()) {
-            known(view, words.get(0));
-            Found f = view.get(words.get(0), key(words.get(1)));
+            requireNamespace(view, words.get(0));
+            Found f = view.get(words.get(0), parseKey(words.get(1)));
             if (f != null) {
-                line.accept(line(f));
+                line.accept(formatRecord(f));
             }
         }
     }
@@ -114,19 +114,19 @@
      * tenths of a millisecond since 1970; at most {@code LIMIT} of them. {@code -} leaves a bound open.
      */
     private void list(List<String> words, Consumer<String> line, LongConsumer progress) throws IOException {
-        need(words, 6);
-        long since = number(words.get(3), 0);
-        long until = number(words.get(4), Long.MAX_VALUE);
-        long most = number(words.get(5), Long.MAX_VALUE);
+        requireWordCount(words, 6);
+        long since = parseNumber(words.get(3), 0);
+        long until = parseNumber(words.get(4), Long.MAX_VALUE);
+        long limit = parseNumber(words.get(5), Long.MAX_VALUE);
         boolean byTime = since > 0 || until < Long.MAX_VALUE;
-        byte[] from = key(words.get(1));
+        byte[] from = parseKey(words.get(1));
         try (View view = store.view()) {
-            known(view, words.get(0));
+            requireNamespace(view, words.get(0));
             Iterator<Found> in = byTime
-                    ? view.between(words.get(0), since, Math.min(until, Stamp.LATEST))
-                    : view.range(words.get(0), from == null ? new byte[0] : from, key(words.get(2)));
-            for (long n = 0; in.hasNext() && n < most; n++) {
-                line.accept(line(in.next()));
+                    ? view.writtenBetween(words.get(0), since, Math.min(until, Stamp.MAX_TIME_TENTHS_MS))
+                    : view.range(words.get(0), from == null ? new byte[0] : from, parseKey(words.get(2)));
+            for (long n = 0; in.hasNext() && n < limit; n++) {
+                line.accept(formatRecord(in.next()));
             }
         } catch (UncheckedIOException e) {
             if (e.getCause() instanceof Refused r) {
@@ -136,9 +136,9 @@
         }
     }
 
-    private static long number(String text, long absent) throws IOException {
+    private static long parseNumber(String text, long absent) throws IOException {
         try {
-            return text.equals(NONE) ? absent : Long.parseLong(text);
+            return text.equals(ABSENT) ? absent : Long.parseLong(text);
         } catch (NumberFormatException e) {
             throw new IOException("'" + text + "' is not a number");
         }
@@ -146,8 +146,8 @@
 
     /** {@code backup DIRECTORY}: writes a backup there; one line with the records copied, one with the bytes of each copy. */
     private void backup(List<String> words, Consumer<String> line, LongConsumer progress) throws IOException {
-        need(words, 1);
-        Backup.Made made = Backup.make(store, Path.of(words.get(0)), progress);
+        requireWordCount(words, 1);
+        Backup.BackupResult made = Backup.make(store, Path.of(words.get(0)), progress);
         line.accept("records\t" + made.records());
         line.accept("bytes_of_each_copy\t" + made.bytes());
     }
@@ -157,17 +157,17 @@
      * and repairs what is damaged, then reports what was found in the meantime.
      */
     private void verify(List<String> words, Consumer<String> line, LongConsumer progress) throws IOException {
-        need(words, 0);
+        requireWordCount(words, 0);
         Figures f = store.figures();
-        long repaired = f.get(Figures.Of.REPAIRED);
-        long unrepaired = f.get(Figures.Of.UNREPAIRED);
-        long lost = f.get(Figures.Of.LOST_FRAMES);
-        long bytes = f.get(Figures.Of.SCRUBBED_BYTES);
-        long until = store.scrubSoon();
+        long repaired = f.get(Figures.Counter.REPAIRED);
+        long unrepaired = f.get(Figures.Counter.UNREPAIRED);
+        long lost = f.get(Figures.Counter.LOST_FRAMES);
+        long bytes = f.get(Figures.Counter.SCRUBBED_BYTES);
+        long until = store.requestScrub();
         try {
-            while (f.get(Figures.Of.SCRUBS) < until) {
-                TimeUnit.MILLISECONDS.sleep(LOOK_MS);
-                progress.accept(f.get(Figures.Of.SCRUBBED_BYTES) - bytes);
+            while (f.get(Figures.Counter.SCRUBS) < until) {
+                TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
+                progress.accept(f.get(Figures.Counter.SCRUBBED_BYTES) - bytes);
                 if (store.isClosed()) {
                     throw new Refused(Refused.Cause.CLOSED, "the store was closed before all was compared");
                 }
@@ -176,9 +176,9 @@
             Thread.currentThread().interrupt();
             throw new Refused(Refused.Cause.CLOSED, "the process is ending", e);
         }
-        line.accept("repaired\t" + (f.get(Figures.Of.REPAIRED) - repaired));
-        line.accept("unrepaired\t" + (f.get(Figures.Of.UNREPAIRED) - unrepaired));
-        line.accept("damaged_in_both_copies\t" + (f.get(Figures.Of.LOST_FRAMES) - lost));
-        line.accept("compared_bytes\t" + (f.get(Figures.Of.SCRUBBED_BYTES) - bytes));
+        line.accept("repaired\t" + (f.get(Figures.Counter.REPAIRED) - repaired));
+        line.accept("unrepaired\t" + (f.get(Figures.Counter.UNREPAIRED) - unrepaired));
+        line.accept("damaged_in_both_copies\t" + (f.get(Figures.Counter.LOST_FRAMES) - lost));
+        line.accept("compared_bytes\t" + (f.get(Figures.Counter.SCRUBBED_BYTES) - bytes));
     }
 }
--- a/durable/src/main/java/tallyweir/durable/AdminSocket.java
+++ b/durable/src/main/java/tallyweir/durable/AdminSocket.java
@@ -44,20 +44,20 @@
          * @param line receives each line of the response, which must not contain a line break
          * @param progress receives the progress of long work, in a unit that the command chooses
          */
-        void answer(List<String> words, Consumer<String> line, LongConsumer progress) throws IOException;
+        void execute(List<String> words, Consumer<String> line, LongConsumer progress) throws IOException;
     }
 
-    private static final int AT_ONCE = 4; // requests served at the same time; further ones are refused
-    private static final int LONGEST = 16 << 10;
-    private static final int QUESTION_SECONDS = 5; // for the request line to arrive
+    private static final int MAX_CONCURRENT_REQUESTS = 4; // requests served at the same time; further ones are refused
+    private static final int MAX_REQUEST_CHARS = 16 << 10;
+    private static final int REQUEST_TIMEOUT_SECONDS = 5; // for the request line to arrive
 
     private final Path socket;
     private final Map<String, Command> commands;
     private final ServerSocketChannel server;
-    private final Object file;
-    private final Semaphore room = new Semaphore(AT_ONCE);
+    private final Object fileKey;
+    private final Semaphore requestPermits = new Semaphore(MAX_CONCURRENT_REQUESTS);
     private final ExecutorService workers = Executors.newCachedThreadPool(r -> daemon(r, "durable admin answers"));
-    private final ScheduledExecutorService patience =
+    private final ScheduledExecutorService timeoutExecutor =
             Executors.newSingleThreadScheduledExecutor(r -> daemon(r, "durable admin time-outs"));
 
     /**
@@ -74,16 +74,16 @@
         try {
             server.bind(UnixDomainSocketAddress.of(socket));
             Files.setPosixFilePermissions(socket, PosixFilePermissions.fromString("rw-------"));
-            file = key(socket);
+            fileKey = readFileKey(socket);
         } catch (IOException | RuntimeException e) {
             server.close();
             throw new IOException("no admin socket at " + socket + ": " + e.getMessage(), e);
         }
-        daemon(this::accept, "durable admin socket").start();
+        daemon(this::acceptConnections, "durable admin socket").start();
     }
 
     /** Identifies the file itself, as opposed to a later file of the same name. */
-    private static Object key(Path of) throws IOException {
+    private static Object readFileKey(Path of) throws IOException {
         return Files.readAttributes(of, BasicFileAttributes.class).fileKey();
     }
 
@@ -93,7 +93,7 @@
         return t;
     }
 
-    private void accept() {
+    private void acceptConnections() {
         while (true) {
             try {
                 SocketChannel c = server.accept();
@@ -101,12 +101,12 @@
             } catch (ClosedChannelException | RejectedExecutionException e) {
                 return;
             } catch (IOException e) {
-                rest(); // for example, the process has run out of file descriptors
+                pauseAfterFailure(); // for example, the process has run out of file descriptors
             }
         }
     }
 
-    private static void rest() {
+    private static void pauseAfterFailure() {
         try {
             TimeUnit.MILLISECONDS.sleep(100);
         } catch (InterruptedException e) {
@@ -115,25 +115,25 @@
     }
 
     private void serve(SocketChannel c) {
-        boolean mine = room.tryAcquire();
-        ScheduledFuture<?> late = null;
+        boolean permitted = requestPermits.tryAcquire();
+        ScheduledFuture<?> timeout = null;
         try (c;
                 BufferedReader in =
                         new BufferedReader(new InputStreamReader(Channels.newInputStream(c), StandardCharsets.UTF_8));
                 BufferedWriter out = new BufferedWriter(
                         new OutputStreamWriter(Channels.newOutputStream(c), StandardCharsets.UTF_8))) {
-            late = patience.schedule(() -> close(c), QUESTION_SECONDS, TimeUnit.SECONDS);
-            String question = question(in);
-            late.cancel(false);
-            answer(question, mine, out);
+            timeout = timeoutExecutor.schedule(() -> close(c), REQUEST_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+            String request = readRequest(in);
+            timeout.cancel(false);
+            respond(request, permitted, out);
         } catch (IOException | UncheckedIOException disconnected) {
             return; // the client disconnected, or sent no complete request in time
         } finally {
-            if (late != null) {
-                late.cancel(false);
+            if (timeout != null) {
+                timeout.cancel(false);
             }
-            if (mine) {
-                room.release();
+            if (permitted) {
+                requestPermits.release();
             }
         }
     }
@@ -146,10 +146,10 @@
         }
     }
 
-    private static String question(BufferedReader in) throws IOException {
+    private static String readRequest(BufferedReader in) throws IOException {
         StringBuilder text = new StringBuilder();
         for (int c = in.read(); c != '\n'; c = in.read()) {
-            if (c < 0 || text.length() >= LONGEST) {
+            if (c < 0 || text.length() >= MAX_REQUEST_CHARS) {
                 throw new IOException("no complete request line");
             }
             text.append((char) c);
@@ -157,41 +157,41 @@
         return text.toString();
     }
 
-    private void answer(String question, boolean mine, BufferedWriter out) throws IOException {
-        List<String> words = List.of(question.split("\t", -1));
+    private void respond(String request, boolean permitted, BufferedWriter out) throws IOException {
+        List<String> words = List.of(request.split("\t", -1));
         Command command = commands.get(words.get(0));
         try {
-            if (!mine) {
+            if (!permitted) {
                 throw new IOException("too many requests at once: try again later");
             }
             if (command == null) {
                 throw new IOException("not known here: " + words.get(0));
             }
-            command.answer(
+            command.execute(
                     words.subList(1, words.size()),
-                    line -> say(out, "+" + line, false),
-                    far -> say(out, "*" + far, true));
-            say(out, ".", true);
+                    line -> writeLine(out, "+" + line, false),
+                    done -> writeLine(out, "*" + done, true));
+            writeLine(out, ".", true);
         } catch (IOException | RuntimeException e) {
-            if (e instanceof UncheckedIOException gone && gone.getMessage().equals(GONE)) {
-                throw gone;
+            if (e instanceof UncheckedIOException disconnected && disconnected.getMessage().equals(CLIENT_DISCONNECTED)) {
+                throw disconnected;
             }
-            String why = e instanceof Refused r ? r.why() + ": " + r.getMessage() : String.valueOf(e.getMessage());
-            say(out, "!" + why.replace('\n', ' '), true);
+            String reason = e instanceof Refused r ? r.reason() + ": " + r.getMessage() : String.valueOf(e.getMessage());
+            writeLine(out, "!" + reason.replace('\n', ' '), true);
         }
     }
 
-    private static final String GONE = "the client disconnected";
+    private static final String CLIENT_DISCONNECTED = "the client disconnected";
 
-    private static void say(BufferedWriter out, String line, boolean now) {
+    private static void writeLine(BufferedWriter out, String line, boolean flush) {
         try {
             out.write(line);
             out.write('\n');
-            if (now) {
+            if (flush) {
                 out.flush();
             }
         } catch (IOException e) {
-            throw new UncheckedIOException(GONE, e);
+            throw new UncheckedIOException(CLIENT_DISCONNECTED, e);
         }
     }
 
@@ -204,7 +204,7 @@
      * @param progress receives the progress that the process reports
      * @throws IOException if no process listens there, or with the reason that it gave for refusing
      */
-    public static void ask(Path socket, List<String> words, Consumer<String> line, LongConsumer progress)
+    public static void sendRequest(Path socket, List<String> words, Consumer<String> line, LongConsumer progress)
             throws IOException {
         for (String w : words) {
             if (w.indexOf('\t') >= 0 || w.indexOf('\n') >= 0) {
@@ -216,7 +216,7 @@
                         new BufferedReader(new InputStreamReader(Channels.newInputStream(c), StandardCharsets.UTF_8));
                 BufferedWriter out = new BufferedWriter(
                         new OutputStreamWriter(Channels.newOutputStream(c), StandardCharsets.UTF_8))) {
-            say(out, String.join("\t", words), true);
+            writeLine(out, String.join("\t", words), true);
             for (String l = in.readLine(); l != null; l = in.readLine()) {
                 switch (l.isEmpty() ? ' ' : l.charAt(0)) {
                     case '+' -> line.accept(l.substring(1));
@@ -236,7 +236,7 @@
     }
 
     /** Whether a process accepts connections on the socket. */
-    public static boolean answers(Path socket) {
+    public static boolean isListening(Path socket) {
         try (SocketChannel c = SocketChannel.open(UnixDomainSocketAddress.of(socket))) {
             return c.isConnected();
         } catch (IOException | RuntimeException e) {
@@ -248,14 +248,14 @@
     public void close() {
         try {
             server.close();
-            if (key(socket).equals(file)) {
+            if (readFileKey(socket).equals(fileKey)) {
                 Files.delete(socket); // but not the socket of a process that has taken the store over since
             }
         } catch (IOException e) {
             return; // the next process that opens the store deletes a file left behind
         } finally {
             workers.shutdownNow();
-            patience.shutdownNow();
+            timeoutExecutor.shutdownNow();
         }
     }
 }
--- a/durable/src/main/java/tallyweir/durable/Backup.java
+++ b/durable/src/main/java/tallyweir/durable/Backup.java
@@ -18,8 +18,8 @@
  * operation in the opposite direction.
  */
 public final class Backup {
-    private static final int PIECE = 512 << 10;
-    private static final int SEGMENT = 64 << 20;
+    private static final int CHUNK_BYTES = 512 << 10;
+    private static final int SEGMENT_BYTES = 64 << 20;
 
     private Backup() {}
 
@@ -29,7 +29,7 @@
      * @param records how many records were copied
      * @param bytes the size of each copy of the new store, in bytes
      */
-    public record Made(long records, long bytes) {}
+    public record BackupResult(long records, long bytes) {}
 
     /**
      * Copies a snapshot of a store to a directory.
@@ -37,7 +37,7 @@
      * @param to is created if it does not exist, and must be empty if it does
      * @param progress receives the number of records copied so far
      */
-    public static Made make(Durable from, Path to, LongConsumer progress) throws IOException {
+    public static BackupResult make(Durable from, Path to, LongConsumer progress) throws IOException {
         if (Files.isDirectory(to)) {
             try (Stream<Path> there = Files.list(to)) {
                 if (there.findAny().isPresent()) {
@@ -49,8 +49,8 @@
                 Durable copy = new Durable(
                         new FileDisk(to.resolve("first")),
                         new FileDisk(to.resolve("second")),
-                        Both.IN_TURN,
-                        SEGMENT,
+                        Both.SEQUENTIAL,
+                        SEGMENT_BYTES,
                         from.sector(),
                         0.5,
                         0,
@@ -58,11 +58,11 @@
                                 .map(n -> new Namespace(n, Long.MAX_VALUE, false))
                                 .toList(),
                         ThreadLocalRandom.current().nextLong(),
-                        FileStore::clock,
+                        FileStore::currentTime,
                         Runnable::run,
                         Set.of())) {
             long records = copy(view, copy, progress);
-            return new Made(records, (Long) copy.info().get("bytes_of_each_copy"));
+            return new BackupResult(records, (Long) copy.info().get("bytes_of_each_copy"));
         }
     }
 
@@ -72,12 +72,12 @@
      * @throws Refused AT_BOUND if the target is not empty, or the cause of a failed write to it
      */
     public static long copy(View from, Durable to, LongConsumer progress) throws IOException {
-        if (to.keys() > 0) {
-            throw new Refused(Refused.Cause.AT_BOUND, "the store to copy to is not empty: " + to.keys() + " keys");
+        if (to.keyCount() > 0) {
+            throw new Refused(Refused.Cause.AT_BOUND, "the store to copy to is not empty: " + to.keyCount() + " keys");
         }
         long copied = 0;
         for (String namespace : from.namespaces()) {
-            List<Found> piece = new ArrayList<>();
+            List<Found> chunk = new ArrayList<>();
             long bytes = 0;
             for (Iterator<Found> in = from.range(namespace, new byte[0], null); in.hasNext(); ) {
                 Found f;
@@ -86,12 +86,12 @@
                 } catch (UncheckedIOException e) {
                     throw e.getCause();
                 }
-                piece.add(f);
-                bytes += Format.RECORD + f.key().length + f.value().length;
-                if (bytes >= PIECE || !in.hasNext()) {
-                    to.take(namespace, piece, bytes);
-                    copied += piece.size();
-                    piece.clear();
+                chunk.add(f);
+                bytes += Format.RECORD_HEADER_BYTES + f.key().length + f.value().length;
+                if (bytes >= CHUNK_BYTES || !in.hasNext()) {
+                    to.importRecords(namespace, chunk, bytes);
+                    copied += chunk.size();
+                    chunk.clear();
                     bytes = 0;
                     progress.accept(copied);
                 }
--- a/durable/src/main/java/tallyweir/durable/Batch.java
+++ b/durable/src/main/java/tallyweir/durable/Batch.java
@@ -5,7 +5,7 @@
 
 /** An atomic group of writes: all become readable and durable together, or none does. Not thread-safe. */
 public final class Batch {
-    record Write(String namespace, byte[] key, byte[] value, long expires) {
+    record Write(String namespace, byte[] key, byte[] value, long expiresAt) {
         boolean isDelete() {
             return value == null;
         }
@@ -37,7 +37,7 @@
 
     private Batch add(Write w) {
         writes.add(w);
-        bytes += Format.RECORD + w.key.length + (w.isDelete() ? 0 : w.value.length);
+        bytes += Format.RECORD_HEADER_BYTES + w.key.length + (w.isDelete() ? 0 : w.value.length);
         return this;
     }
 
--- a/durable/src/main/java/tallyweir/durable/Both.java
+++ b/durable/src/main/java/tallyweir/durable/Both.java
@@ -23,7 +23,7 @@
     }
 
     /** Runs the first action, then the second, on the calling thread. */
-    Both IN_TURN = (first, second) -> {
+    Both SEQUENTIAL = (first, second) -> {
         first.run();
         second.run();
     };
--- a/durable/src/main/java/tallyweir/durable/Committer.java
+++ b/durable/src/main/java/tallyweir/durable/Committer.java
@@ -17,43 +17,43 @@
  * Any thread may submit.
  */
 public final class Committer implements AutoCloseable {
-    private static final int STEP = 64 << 10;
-    private static final int REST =
+    private static final int UPKEEP_STEP_BYTES = 64 << 10;
+    private static final int UPKEEP_REST_FACTOR =
             3; // pause after an upkeep step while writers wait, in multiples of the step's duration
-    private static final long IDLE_LOOK = 20_000_000; // between checks for upkeep while nothing is written
+    private static final long IDLE_POLL_INTERVAL_NANOS = 20_000_000; // between checks for upkeep while nothing is written
 
-    private record Waiting(Batch batch, CompletableFuture<Void> answer) {}
+    private record PendingBatch(Batch batch, CompletableFuture<Void> answer) {}
 
     private final Durable store;
-    private final long pendingMost;
-    private final long forceEvery;
-    private final double upkeepRate;
+    private final long maxPendingBytes;
+    private final long minGroupIntervalNanos;
+    private final double upkeepBytesPerNano;
     private final Times times;
     private final ReentrantLock lock = new ReentrantLock();
-    private final Condition news = lock.newCondition();
+    private final Condition wakeUp = lock.newCondition();
     private final Thread thread;
-    private ArrayDeque<Waiting> waiting = new ArrayDeque<>();
-    private long pending;
+    private ArrayDeque<PendingBatch> pendingBatches = new ArrayDeque<>();
+    private long pendingBytes;
     private boolean closing;
-    private volatile IOException upkeepFailed;
+    private volatile IOException lastUpkeepFailure;
     private volatile Runnable onFenced;
 
     /**
-     * @param pendingMost maximum bytes of pending batches; a batch beyond that is refused at once
+     * @param maxPendingBytes maximum bytes of pending batches; a batch beyond that is refused at once
      * @param forceEvery minimum time between two groups in nanoseconds; 0 for no limit but the disk's speed
      * @param upkeepBytesPerSecond maximum bytes per second that upkeep reads and writes
      */
-    public Committer(Durable store, long pendingMost, long forceEvery, long upkeepBytesPerSecond) {
-        this(store, pendingMost, forceEvery, upkeepBytesPerSecond, new Times());
+    public Committer(Durable store, long maxPendingBytes, long minGroupIntervalNanos, long upkeepBytesPerSecond) {
+        this(store, maxPendingBytes, minGroupIntervalNanos, upkeepBytesPerSecond, new Times());
     }
 
     /** Also records how long groups and upkeep steps take. */
-    Committer(Durable store, long pendingMost, long forceEvery, long upkeepBytesPerSecond, Times times) {
+    Committer(Durable store, long maxPendingBytes, long minGroupIntervalNanos, long upkeepBytesPerSecond, Times times) {
         this.store = store;
         this.times = times;
-        this.pendingMost = pendingMost;
-        this.forceEvery = forceEvery;
-        this.upkeepRate = upkeepBytesPerSecond / 1e9;
+        this.maxPendingBytes = maxPendingBytes;
+        this.minGroupIntervalNanos = minGroupIntervalNanos;
+        this.upkeepBytesPerNano = upkeepBytesPerSecond / 1e9;
         thread = new Thread(this::run, "durable committer");
         thread.setDaemon(true);
         thread.start();
@@ -70,21 +70,21 @@
         try {
             if (closing) {
                 refused = new Refused(Cause.CLOSED, "the store is closed");
-            } else if (pending > 0 && pending + batch.bytes() > pendingMost) {
+            } else if (pendingBytes > 0 && pendingBytes + batch.bytes() > maxPendingBytes) {
                 refused = new Refused(
-                        Cause.BUSY, pending + " bytes are waiting for the disk, the maximum is " + pendingMost);
+                        Cause.BUSY, pendingBytes + " bytes are waiting for the disk, the maximum is " + maxPendingBytes);
             } else {
-                pending += batch.bytes();
-                waiting.add(new Waiting(batch, answer));
-                if (waiting.size() == 1) {
-                    news.signal();
+                pendingBytes += batch.bytes();
+                pendingBatches.add(new PendingBatch(batch, answer));
+                if (pendingBatches.size() == 1) {
+                    wakeUp.signal();
                 }
             }
         } finally {
             lock.unlock();
         }
         if (refused != null) {
-            answer.completeExceptionally(store.figures().count(refused));
+            answer.completeExceptionally(store.figures().countRefusal(refused));
         }
         return answer;
     }
@@ -95,7 +95,7 @@
             submit(batch).get();
         } catch (ExecutionException | CompletionException e) {
             if (e.getCause() instanceof Refused r) {
-                throw new Refused(r.why(), r.getMessage(), r);
+                throw new Refused(r.reason(), r.getMessage(), r);
             }
             throw new IllegalStateException(e.getCause());
         } catch (InterruptedException e) {
@@ -105,54 +105,54 @@
     }
 
     /** Sets an action to run once, on the committer's thread, when another process has taken the store over. */
-    public void onFenced(Runnable then) {
-        onFenced = then;
+    public void onFenced(Runnable action) {
+        onFenced = action;
     }
 
     /** The failure of the latest upkeep step, or null if that step succeeded. */
-    public IOException upkeepFailed() {
-        return upkeepFailed;
+    public IOException lastUpkeepFailure() {
+        return lastUpkeepFailure;
     }
 
     private void run() {
-        long lastGroup = System.nanoTime() - forceEvery;
-        long lastUpkeep = System.nanoTime();
-        long restUntil = lastUpkeep;
-        double allowance = STEP;
-        boolean due = true;
+        long lastGroupAt = System.nanoTime() - minGroupIntervalNanos;
+        long lastUpkeepAt = System.nanoTime();
+        long upkeepRestUntil = lastUpkeepAt;
+        double allowanceBytes = UPKEEP_STEP_BYTES;
+        boolean upkeepPending = true;
         while (true) {
-            ArrayDeque<Waiting> group = take(lastGroup, due && allowance >= STEP ? 0 : IDLE_LOOK);
+            ArrayDeque<PendingBatch> group = takeGroup(lastGroupAt, upkeepPending && allowanceBytes >= UPKEEP_STEP_BYTES ? 0 : IDLE_POLL_INTERVAL_NANOS);
             if (group == null) {
                 return;
             }
-            if (onFenced != null && store.fenced()) {
+            if (onFenced != null && store.isFenced()) {
                 onFenced.run();
                 onFenced = null;
             }
             if (!group.isEmpty()) {
-                lastGroup = System.nanoTime();
+                lastGroupAt = System.nanoTime();
                 commit(group);
-                times.add(Times.Of.GROUP, lastGroup, System.nanoTime());
+                times.record(Times.Step.GROUP, lastGroupAt, System.nanoTime());
             }
             long now = System.nanoTime();
-            allowance = Math.min(4.0 * STEP, allowance + (now - lastUpkeep) * upkeepRate);
-            lastUpkeep = now;
-            if (allowance >= STEP && (group.isEmpty() || now >= restUntil)) {
-                due = upkeep();
-                times.add(Times.Of.UPKEEP, now, System.nanoTime());
-                allowance -= due ? STEP : 0;
-                restUntil = System.nanoTime() + REST * (System.nanoTime() - now);
+            allowanceBytes = Math.min(4.0 * UPKEEP_STEP_BYTES, allowanceBytes + (now - lastUpkeepAt) * upkeepBytesPerNano);
+            lastUpkeepAt = now;
+            if (allowanceBytes >= UPKEEP_STEP_BYTES && (group.isEmpty() || now >= upkeepRestUntil)) {
+                upkeepPending = upkeep();
+                times.record(Times.Step.UPKEEP, now, System.nanoTime());
+                allowanceBytes -= upkeepPending ? UPKEEP_STEP_BYTES : 0;
+                upkeepRestUntil = System.nanoTime() + UPKEEP_REST_FACTOR * (System.nanoTime() - now);
             }
         }
     }
 
     private boolean upkeep() {
         try {
-            boolean did = store.upkeep(STEP);
-            upkeepFailed = null;
-            return did;
+            boolean worked = store.upkeep(UPKEEP_STEP_BYTES);
+            lastUpkeepFailure = null;
+            return worked;
         } catch (IOException e) {
-            upkeepFailed = e;
+            lastUpkeepFailure = e;
             return false;
         }
     }
@@ -161,22 +161,22 @@
      * Takes all pending batches, not before the minimum interval since the last group. Empty if none came within
      * {@code wait} nanoseconds; null once the committer is closed and nothing is pending.
      */
-    private ArrayDeque<Waiting> take(long lastGroup, long wait) {
+    private ArrayDeque<PendingBatch> takeGroup(long lastGroupAt, long maxWaitNanos) {
         lock.lock();
         try {
-            if (waiting.isEmpty() && !closing && wait > 0) {
-                news.awaitNanos(wait);
+            if (pendingBatches.isEmpty() && !closing && maxWaitNanos > 0) {
+                wakeUp.awaitNanos(maxWaitNanos);
             }
-            long early = waiting.isEmpty() ? 0 : lastGroup + forceEvery - System.nanoTime();
-            while (early > 0 && !closing) {
-                news.awaitNanos(early);
-                early = lastGroup + forceEvery - System.nanoTime();
+            long remainingNanos = pendingBatches.isEmpty() ? 0 : lastGroupAt + minGroupIntervalNanos - System.nanoTime();
+            while (remainingNanos > 0 && !closing) {
+                wakeUp.awaitNanos(remainingNanos);
+                remainingNanos = lastGroupAt + minGroupIntervalNanos - System.nanoTime();
             }
-            if (waiting.isEmpty() && closing) {
+            if (pendingBatches.isEmpty() && closing) {
                 return null;
             }
-            ArrayDeque<Waiting> all = waiting;
-            waiting = new ArrayDeque<>();
+            ArrayDeque<PendingBatch> all = pendingBatches;
+            pendingBatches = new ArrayDeque<>();
             return all;
         } catch (InterruptedException e) {
             return new ArrayDeque<>(); // nothing interrupts this thread
@@ -185,10 +185,10 @@
         }
     }
 
-    private void commit(ArrayDeque<Waiting> group) {
+    private void commit(ArrayDeque<PendingBatch> group) {
         List<Batch> batches = new ArrayList<>(group.size());
         long bytes = 0;
-        for (Waiting w : group) {
+        for (PendingBatch w : group) {
             batches.add(w.batch);
             bytes += w.batch.bytes();
         }
@@ -200,7 +200,7 @@
             throw e;
         } finally {
             lock.lock();
-            pending -= bytes;
+            pendingBytes -= bytes;
             lock.unlock();
         }
         // Futures are completed before the next group is taken, so that a caller that writes continuously is part of
@@ -209,9 +209,9 @@
         answer(group, refused);
     }
 
-    private static void answer(ArrayDeque<Waiting> group, List<Refused> refused) {
+    private static void answer(ArrayDeque<PendingBatch> group, List<Refused> refused) {
         int i = 0;
-        for (Waiting w : group) {
+        for (PendingBatch w : group) {
             Refused r = refused.get(i++);
             if (r == null) {
                 w.answer.complete(null);
@@ -226,7 +226,7 @@
     public void close() {
         lock.lock();
         closing = true;
-        news.signalAll();
+        wakeUp.signalAll();
         lock.unlock();
         try {
             thread.join();
--- a/durable/src/main/java/tallyweir/durable/Compaction.java
+++ b/durable/src/main/java/tallyweir/durable/Compaction.java
@@ -11,14 +11,14 @@
     private final Log log;
     private final Segment victim;
     private final Walk walk;
-    private boolean more;
-    private boolean expired;
+    private boolean hasMoreFrames;
+    private boolean foundExpired;
 
     Compaction(Log log, Segment victim) throws IOException {
         this.log = log;
         this.victim = victim;
         walk = new Walk(log, victim, 0, victim.firstFrame, victim.endFrame, false);
-        more = walk.next();
+        hasMoreFrames = walk.next();
     }
 
     Segment victim() {
@@ -31,63 +31,63 @@
      */
     boolean fill(Group g, long bytes, long now) throws IOException {
         long read = 0;
-        expired = false;
-        while (more && g.contentLength() < bytes && read < 4 * bytes) {
-            if (walk.start() > 0) {
+        foundExpired = false;
+        while (hasMoreFrames && g.contentLength() < bytes && read < 4 * bytes) {
+            if (walk.frameOffset() > 0) {
                 read += walk.contentLength();
-                frame(g, now);
+                copyFrame(g, now);
             }
-            more = walk.next();
+            hasMoreFrames = walk.next();
         }
-        if (expired) {
-            g.tellsTime(now);
+        if (foundExpired) {
+            g.writeTime(now);
         }
-        if (!more) {
-            walk.finish();
-            g.dropped(victim.number);
+        if (!hasMoreFrames) {
+            walk.forceRepairs();
+            g.writeDropped(victim.number);
         }
-        return !more;
+        return !hasMoreFrames;
     }
 
-    private void frame(Group g, long now) {
-        int end = walk.content() + walk.contentLength();
-        for (int at = walk.content(); at < end; ) {
-            Format.Rec r = new Format.Rec(walk.buffer(), at);
-            if (!r.whole(end, log.has(Defence.CHECKSUM))) {
+    private void copyFrame(Group g, long now) {
+        int end = walk.contentIndex() + walk.contentLength();
+        for (int at = walk.contentIndex(); at < end; ) {
+            Format.RecordView r = new Format.RecordView(walk.buffer(), at);
+            if (!r.isIntact(end, log.isEnabled(Defence.CHECKSUM))) {
                 return;
             }
             if (r.type() == Format.PUT) {
-                value(g, r, walk.contentPlace() + at - walk.content(), now);
+                copyValue(g, r, walk.contentOffset() + at - walk.contentIndex(), now);
             } else if (r.type() == Format.DELETE) {
-                tombstone(g, r);
+                copyTombstone(g, r);
             }
             at += r.length();
         }
     }
 
-    private void value(Group g, Format.Rec r, long place, long now) {
-        byte[] key = Index.key(r.namespace(), r.key());
+    private void copyValue(Group g, Format.RecordView r, long offset, long now) {
+        byte[] key = Index.indexKey(r.namespace(), r.key());
         Index.Entry e = g.index().get(key);
-        boolean current = e != null && e.segment() == victim.number && e.offset() == place;
-        boolean over = r.expires() != 0 && r.expires() <= now;
-        if (current && !over) {
+        boolean current = e != null && e.segment() == victim.number && e.offset() == offset;
+        boolean isExpired = r.expiresAt() != 0 && r.expiresAt() <= now;
+        if (current && !isExpired) {
             g.move(r);
-            log.figures().add(Figures.Of.MOVED_BYTES, r.length());
-        } else if (over && (current || e == null)) {
-            expired = true;
+            log.figures().add(Figures.Counter.MOVED_BYTES, r.length());
+        } else if (isExpired && (current || e == null)) {
+            foundExpired = true;
             // Without a tombstone, an older version that never expires would be read again once this one is dropped.
-            if (log.has(Defence.EXPIRY_TOMBSTONE) && Upkeep.needed(r.stamp(), victim, log.segments())) {
+            if (log.isEnabled(Defence.EXPIRY_TOMBSTONE) && Upkeep.mayHideOlderValue(r.stamp(), victim, log.segments())) {
                 g.tombstone(r.namespace(), r.key(), r.stamp());
             } else if (current) {
-                g.forget(key);
+                g.removeFromIndex(key);
             }
-            log.figures().add(Figures.Of.EXPIRED, current ? 1 : 0);
+            log.figures().add(Figures.Counter.EXPIRED, current ? 1 : 0);
         }
     }
 
-    private void tombstone(Group g, Format.Rec r) {
-        Index.Entry e = g.index().get(Index.key(r.namespace(), r.key()));
-        if ((e == null || e.stamp() < r.stamp()) && Upkeep.needed(r.stamp(), victim, log.segments())) {
+    private void copyTombstone(Group g, Format.RecordView r) {
+        Index.Entry e = g.index().get(Index.indexKey(r.namespace(), r.key()));
+        if ((e == null || e.stamp() < r.stamp()) && Upkeep.mayHideOlderValue(r.stamp(), victim, log.segments())) {
             g.tombstone(r.namespace(), r.key(), r.stamp());
         }
     }
--- a/durable/src/main/java/tallyweir/durable/Disk.java
+++ b/durable/src/main/java/tallyweir/durable/Disk.java
@@ -7,11 +7,11 @@
 
 /**
  * The operations on one directory of files that the store needs. Only forced changes are durable: file contents after
- * {@link Handle#force}, creations and deletions of names after {@link #forceNames}. Every operation may throw an IOException.
+ * {@link Handle#force}, creations and deletions of names after {@link #forceDirectory}. Every operation may throw an IOException.
  */
 public interface Disk {
     /** The names of all files in the directory, in any order. */
-    List<String> names() throws IOException;
+    List<String> fileNames() throws IOException;
 
     /** Opens an existing file for reading and, where its permissions allow it, for writing. */
     Handle open(String name) throws IOException;
@@ -26,13 +26,13 @@
     void delete(String name) throws IOException;
 
     /** Returns once all creations and deletions of names are on the disk. */
-    void forceNames() throws IOException;
+    void forceDirectory() throws IOException;
 
     /** Takes an exclusive lock, held until the result is closed; fails at once if another process holds it. */
     Closeable lock() throws IOException;
 
     /** The directory's path or another description of it, for messages. */
-    String where();
+    String description();
 
     /** An open file. Positions and sizes are in bytes. Reads may run concurrently with one writer. */
     interface Handle extends Closeable {
@@ -51,8 +51,8 @@
         default int readFully(long at, ByteBuffer into) throws IOException {
             int before = into.position();
             while (into.hasRemaining()) {
-                int got = read(at + into.position() - before, into);
-                if (got < 0) {
+                int count = read(at + into.position() - before, into);
+                if (count < 0) {
                     break;
                 }
             }
@@ -62,11 +62,11 @@
         /** Writes the whole buffer; fails after more than 8 consecutive writes that accept no byte. */
         default void writeFully(long at, ByteBuffer from) throws IOException {
             int before = from.position();
-            int idle = 0;
+            int emptyWrites = 0;
             while (from.hasRemaining()) {
-                int put = write(at + from.position() - before, from);
-                idle = put > 0 ? 0 : idle + 1;
-                if (idle > 8) {
+                int count = write(at + from.position() - before, from);
+                emptyWrites = count > 0 ? 0 : emptyWrites + 1;
+                if (emptyWrites > 8) {
                     throw new IOException("the disk accepts no bytes");
                 }
             }
--- a/durable/src/main/java/tallyweir/durable/Drill.java
+++ b/durable/src/main/java/tallyweir/durable/Drill.java
@@ -17,9 +17,9 @@
 
 /** Fault-injection tests of the store: power cuts, failing disks, damaged files, lost locks. Counts the violations. */
 public final class Drill {
-    static final int SECTOR = 512;
-    static final int SEGMENT = 4_096;
-    private static final double DEAD = 0.4;
+    static final int SECTOR_BYTES = 512;
+    static final int SEGMENT_BYTES = 4_096;
+    private static final double MAX_DEAD_SHARE = 0.4;
 
     /** Results of a part of the drill. Thread-safe, except the argument of {@link #add}, which must not change meanwhile. */
     public static final class Tally {
@@ -28,7 +28,7 @@
         private long torn;
         private long failed;
         private long cutInOpening;
-        private final List<String> wrong = new ArrayList<>();
+        private final List<String> violations = new ArrayList<>();
 
         /** Number of openings of the store. */
         public synchronized long openings() {
@@ -51,11 +51,11 @@
         }
 
         /** Descriptions of the first 20 violations. */
-        public synchronized List<String> wrong() {
-            return List.copyOf(wrong);
+        public synchronized List<String> violations() {
+            return List.copyOf(violations);
         }
 
-        public synchronized boolean good() {
+        public synchronized boolean passed() {
             return lost == 0 && torn == 0 && failed == 0;
         }
 
@@ -65,12 +65,12 @@
             torn += t.torn;
             failed += t.failed;
             cutInOpening += t.cutInOpening;
-            t.wrong.forEach(this::say);
+            t.violations.forEach(this::addViolation);
         }
 
-        private synchronized void say(String what) {
-            if (wrong.size() < 20) {
-                wrong.add(what);
+        private synchronized void addViolation(String what) {
+            if (violations.size() < 20) {
+                violations.add(what);
             }
         }
 
@@ -83,30 +83,30 @@
             cutInOpening++;
         }
 
-        synchronized void opened() {
+        synchronized void countOpening() {
             openings++;
         }
 
         synchronized void failed(String what) {
             failed++;
-            say(what);
+            addViolation(what);
         }
 
-        synchronized void take(List<String> off, String when) {
-            for (String w : off) {
+        synchronized void countViolations(List<String> deviations, String when) {
+            for (String w : deviations) {
                 if (w.startsWith("lost")) {
                     lost++;
                 } else {
                     torn++;
                 }
-                say(when + ": " + w);
+                addViolation(when + ": " + w);
             }
         }
 
-        private synchronized void take(History h, String when) {
+        private synchronized void countViolations(History h, String when) {
             lost += h.lost();
             torn += h.torn();
-            h.wrong().forEach(w -> say(when + ": " + w));
+            h.violations().forEach(w -> addViolation(when + ": " + w));
         }
     }
 
@@ -120,11 +120,11 @@
 
         Machine(long seed) {
             power = new SimDisk.Power(seed);
-            first = new SimDisk(power, SECTOR, "first");
-            second = new SimDisk(power, SECTOR, "second");
+            first = new SimDisk(power, SECTOR_BYTES, "first");
+            second = new SimDisk(power, SECTOR_BYTES, "second");
         }
 
-        void cut(SplittableRandom chance) {
+        void cutPower(SplittableRandom chance) {
             power = new SimDisk.Power(chance.nextLong());
             first = first.afterCut(power, chance);
             second = second.afterCut(power, chance);
@@ -133,7 +133,7 @@
         History history(long seed, Tally t, Set<Defence> without) {
             History[] h = new History[1];
             h[0] = new History(seed, () -> {
-                t.opened();
+                t.countOpening();
                 return open(first, second, h[0]::clock, seed, without);
             });
             return h[0];
@@ -145,12 +145,12 @@
         return new Durable(
                 first,
                 second,
-                Both.IN_TURN,
-                SEGMENT,
-                SECTOR,
-                DEAD,
+                Both.SEQUENTIAL,
+                SEGMENT_BYTES,
+                SECTOR_BYTES,
+                MAX_DEAD_SHARE,
                 10_000,
-                History.SPACES,
+                History.NAMESPACES,
                 seed,
                 clock,
                 Runnable::run,
@@ -165,29 +165,29 @@
      * @param every step between the operations tried: 1 for all, 2 for every second one
      * @param fates number of times each cut is played, with different surviving sectors and names
      */
-    public static Tally cuts(long seed, int steps, int every, int fates, Set<Defence> without) {
+    public static Tally powerCuts(long seed, int steps, int every, int fates, Set<Defence> without) {
         Tally t = new Tally();
         for (long at = 1; ; at += every) {
             boolean through = false;
             for (int fate = 0; fate < fates; fate++) {
-                through |= cut(seed, steps, at, fate, t, without);
+                through |= playCut(seed, steps, at, fate, t, without);
             }
-            if (through || !t.good() && t.wrong().size() >= 20) {
+            if (through || !t.passed() && t.violations().size() >= 20) {
                 return t;
             }
         }
     }
 
     /** Returns true if the history ended before the cut. */
-    private static boolean cut(long seed, int steps, long at, int fate, Tally t, Set<Defence> without) {
+    private static boolean playCut(long seed, int steps, long at, int fate, Tally t, Set<Defence> without) {
         String when = "seed " + seed + ", cut " + at + ", fate " + fate;
         SplittableRandom chance = new SplittableRandom(seed * 1_000_003 + at * 31 + fate);
         Machine m = new Machine(chance.nextLong());
-        m.power.shortIo(fate % 2 == 1);
+        m.power.allowShortIo(fate % 2 == 1);
         History h = m.history(seed, t, without);
         boolean through = false;
         try {
-            m.power.cutAt(at);
+            m.power.cutAtOperation(at);
             try {
                 h.open();
                 h.play(steps);
@@ -195,17 +195,17 @@
             } catch (SimDisk.PowerCut cut) {
                 through = false;
             }
-            m.cut(chance);
+            m.cutPower(chance);
             if (fate > 0) {
-                m.power.cutAt(chance.nextLong(1, 12));
+                m.power.cutAtOperation(chance.nextLong(1, 12));
                 try {
                     h.open();
-                    h.store().upkeep(SEGMENT);
+                    h.store().upkeep(SEGMENT_BYTES);
                     h.store().close();
                 } catch (SimDisk.PowerCut cut) {
                     t.countCutInOpening();
                 }
-                m.cut(chance);
+                m.cutPower(chance);
             }
             h.open();
             h.check();
@@ -216,7 +216,7 @@
         } catch (IOException | RuntimeException e) {
             t.failed(when + ": " + e);
         }
-        t.take(h, when);
+        t.countViolations(h, when);
         return through;
     }
 
@@ -224,10 +224,10 @@
      * Plays histories on disks with temporary faults: failing forces, a full disk, a read-only disk. Each history ends
      * with a power cut.
      */
-    public static Tally faults(long seed, int rounds, Set<Defence> without) {
+    public static Tally diskFaults(long seed, int rounds, Set<Defence> without) {
         Tally t = new Tally();
         SplittableRandom chance = new SplittableRandom(seed);
-        for (int round = 0; round < rounds && t.wrong().size() < 20; round++) {
+        for (int round = 0; round < rounds && t.violations().size() < 20; round++) {
             String when = "seed " + seed + ", round " + round;
             Machine m = new Machine(chance.nextLong());
             History h = m.history(chance.nextLong(), t, without);
@@ -235,9 +235,9 @@
                 h.open();
                 for (int i = 0; i < 6; i++) {
                     h.play(3);
-                    fault(m, h, chance);
+                    playFault(m, h, chance);
                 }
-                m.cut(chance);
+                m.cutPower(chance);
                 h.open();
                 h.check();
                 h.play(4);
@@ -247,22 +247,22 @@
             } catch (IOException | RuntimeException e) {
                 t.failed(when + ": " + e);
             }
-            t.take(h, when);
+            t.countViolations(h, when);
         }
         return t;
     }
 
-    private static void fault(Machine m, History h, SplittableRandom chance) {
+    private static void playFault(Machine m, History h, SplittableRandom chance) {
         switch (chance.nextInt(3)) {
             case 0 -> m.power.failForceOfBoth(chance.nextInt(1, 4));
-            case 1 -> m.power.room(chance.nextInt(0, 3_000));
-            default -> m.power.readOnly(true);
+            case 1 -> m.power.setRemainingBytes(chance.nextInt(0, 3_000));
+            default -> m.power.setReadOnly(true);
         }
         for (int n = chance.nextInt(1, 4); n > 0; n--) {
             h.write();
         }
-        m.power.room(Long.MAX_VALUE);
-        m.power.readOnly(false);
+        m.power.setRemainingBytes(Long.MAX_VALUE);
+        m.power.setReadOnly(false);
         if (chance.nextBoolean()) {
             h.write();
         }
@@ -272,13 +272,13 @@
      * Opens a store a second time while the first holder still runs, as after a lost lock. Everything that any holder
      * acknowledged must be found after a power cut, the later write over the earlier, in whatever order they wrote.
      */
-    public static Tally turns(long seed, int rounds, Set<Defence> without) {
+    public static Tally takeovers(long seed, int rounds, Set<Defence> without) {
         Tally t = new Tally();
         SplittableRandom chance = new SplittableRandom(seed);
-        for (int round = 0; round < rounds && t.wrong().size() < 20; round++) {
+        for (int round = 0; round < rounds && t.violations().size() < 20; round++) {
             String when = "seed " + seed + ", round " + round;
             try {
-                turn(chance, t, without, when);
+                playTakeover(chance, t, without, when);
             } catch (IOException | RuntimeException e) {
                 t.failed(when + ": " + e);
             }
@@ -286,26 +286,26 @@
         return t;
     }
 
-    private static void turn(SplittableRandom chance, Tally t, Set<Defence> without, String when) throws IOException {
+    private static void playTakeover(SplittableRandom chance, Tally t, Set<Defence> without, String when) throws IOException {
         Machine m = new Machine(chance.nextLong());
         long seed = chance.nextLong();
         List<Durable> holders = new ArrayList<>();
         Map<String, Byte> acknowledged = new TreeMap<>();
-        Map<String, List<Byte>> perhaps = new TreeMap<>();
+        Map<String, List<Byte>> unacknowledged = new TreeMap<>();
         byte version = 0;
         for (int step = 0; step < 30; step++) {
             if (holders.isEmpty() || holders.size() < 3 && chance.nextInt(10) == 0) {
                 m.first.breakLock();
                 m.second.breakLock();
                 holders.add(open(m.first, m.second, () -> 17_000_000_000_000L, seed, without));
-                t.opened();
+                t.countOpening();
             }
             Durable d = holders.get(chance.nextInt(holders.size()));
             int kind = chance.nextInt(10);
             if (kind == 0) {
                 d.snapshot();
             } else if (kind == 1) {
-                quiet(d, chance.nextBoolean());
+                upkeepIgnoringFailures(d, chance.nextBoolean());
             } else {
                 String key = "k" + chance.nextInt(6);
                 byte[] value = new byte[chance.nextInt(1, 400)];
@@ -314,37 +314,37 @@
                                 .get(0)
                         == null) {
                     acknowledged.put(key, version);
-                    perhaps.remove(key);
+                    unacknowledged.remove(key);
                 } else {
-                    perhaps.computeIfAbsent(key, k -> new ArrayList<>()).add(version);
+                    unacknowledged.computeIfAbsent(key, k -> new ArrayList<>()).add(version);
                 }
             }
         }
         holders.forEach(Durable::abandon);
-        m.cut(chance);
+        m.cutPower(chance);
         Durable d = open(m.first, m.second, () -> 17_000_000_000_000L, seed, without);
-        t.opened();
+        t.countOpening();
         acknowledged.forEach((key, is) -> {
             try {
                 Found f = d.get("plain", key.getBytes());
                 if (f == null
                         || f.value()[0] != is
-                                && !perhaps.getOrDefault(key, List.of()).contains(f.value()[0])) {
-                    t.take(List.of("lost: " + key + " as " + is), when);
+                                && !unacknowledged.getOrDefault(key, List.of()).contains(f.value()[0])) {
+                    t.countViolations(List.of("lost: " + key + " as " + is), when);
                 }
             } catch (IOException e) {
-                t.take(List.of("lost: " + key + ": " + e.getMessage()), when);
+                t.countViolations(List.of("lost: " + key + ": " + e.getMessage()), when);
             }
         });
         d.abandon();
     }
 
-    private static void quiet(Durable d, boolean all) {
+    private static void upkeepIgnoringFailures(Durable d, boolean all) {
         try {
             if (all) {
                 d.compactAll();
             } else {
-                d.upkeep(SEGMENT);
+                d.upkeep(SEGMENT_BYTES);
             }
         } catch (IOException hindered) {
             return; // a holder that has been fenced off
@@ -356,12 +356,12 @@
      * compacts that segment while the one with the first version stays. The first version must not reappear at any
      * later opening, with or without an index snapshot.
      */
-    public static Tally oldVersions(long seed, int rounds, Set<Defence> without) {
+    public static Tally staleVersions(long seed, int rounds, Set<Defence> without) {
         Tally t = new Tally();
         SplittableRandom chance = new SplittableRandom(seed);
-        for (int round = 0; round < rounds && t.wrong().size() < 20; round++) {
+        for (int round = 0; round < rounds && t.violations().size() < 20; round++) {
             try {
-                oldVersion(chance, t, without, "seed " + seed + ", round " + round);
+                playStaleVersion(chance, t, without, "seed " + seed + ", round " + round);
             } catch (IOException | RuntimeException e) {
                 t.failed("seed " + seed + ", round " + round + ": " + e);
             }
@@ -369,7 +369,7 @@
         return t;
     }
 
-    private static void oldVersion(SplittableRandom chance, Tally t, Set<Defence> without, String when)
+    private static void playStaleVersion(SplittableRandom chance, Tally t, Set<Defence> without, String when)
             throws IOException {
         Machine m = new Machine(chance.nextLong());
         long[] clock = {17_000_000_000_000L};
@@ -377,7 +377,7 @@
         byte[] filler = new byte[chance.nextInt(300, 700)];
         long seed = chance.nextLong();
         Durable d = open(m.first, m.second, () -> clock[0], seed, without);
-        t.opened();
+        t.countOpening();
         d.commit(new Batch().put("plain", key, new byte[] {1}));
         fill(d, "stays", filler, chance.nextInt(8, 24));
         if (chance.nextBoolean()) {
@@ -391,29 +391,29 @@
             d.commit(new Batch().delete("plain", ("goes" + i).getBytes()));
         }
         clock[0] += 2_000;
-        for (int i = 0; i < 200 && d.upkeep(SEGMENT); i++) {
+        for (int i = 0; i < 200 && d.upkeep(SEGMENT_BYTES); i++) {
             if (chance.nextInt(20) == 0) {
                 clock[0] += 601_000;
             }
         }
         for (int opening = 0; opening < 3; opening++) {
             if (d.get("plain", key) != null) {
-                t.take(List.of("returned: an old version of a key"), when + ", opening " + opening);
+                t.countViolations(List.of("returned: an old version of a key"), when + ", opening " + opening);
             }
             if (opening < 2) {
                 if (chance.nextBoolean()) {
                     d.abandon();
-                    m.first.names().stream()
+                    m.first.fileNames().stream()
                             .filter(n -> n.endsWith(".idx"))
                             .toList()
-                            .forEach(m.first::lose);
+                            .forEach(m.first::removeDurable);
                 } else {
                     d.close();
                 }
                 d = open(m.first, m.second, () -> clock[0], seed, without);
-                t.opened();
+                t.countOpening();
                 for (int i = chance.nextInt(20); i > 0; i--) {
-                    d.upkeep(SEGMENT);
+                    d.upkeep(SEGMENT_BYTES);
                 }
             }
         }
@@ -434,7 +434,7 @@
      * @param steps length of the history
      * @param every step between the offsets tried: 1 for all
      */
-    public static Tally damage(Path dir, long seed, int steps, int every, int threads, Set<Defence> without)
+    public static Tally fileDamage(Path dir, long seed, int steps, int every, int threads, Set<Defence> without)
             throws IOException {
         Tally t = new Tally();
         Machine m = new Machine(seed);
@@ -447,15 +447,15 @@
         h.store().snapshot();
         h.write();
         h.store().abandon();
-        List<Case> cases = new ArrayList<>();
+        List<Damage> cases = new ArrayList<>();
         for (int copy = 0; copy < 2; copy++) {
             SimDisk disk = copy == 0 ? m.first : m.second;
-            for (String name : disk.names()) {
+            for (String name : disk.fileNames()) {
                 int size = disk.content(name).length;
-                cases.add(new Case(copy, name, -1, 0));
+                cases.add(new Damage(copy, name, -1, 0));
                 for (int at = 0; at < size; at += every) {
-                    cases.add(new Case(copy, name, at, 0));
-                    cases.add(new Case(copy, name, at, 1 + (at * 37 + (int) seed & 0x7f)));
+                    cases.add(new Damage(copy, name, at, 0));
+                    cases.add(new Damage(copy, name, at, 1 + (at * 37 + (int) seed & 0x7f)));
                 }
             }
         }
@@ -465,9 +465,9 @@
             for (int n = 0; n < threads; n++) {
                 int part = n;
                 parts.add(pool.submit(() -> {
-                    Rig rig = new Rig(m, dir == null ? null : dir.resolve("part-" + part));
-                    for (int i = part; i < cases.size() && t.wrong().size() < 20; i += threads) {
-                        play(rig, cases.get(i), h, t, without);
+                    DamagedCopies rig = new DamagedCopies(m, dir == null ? null : dir.resolve("part-" + part));
+                    for (int i = part; i < cases.size() && t.violations().size() < 20; i += threads) {
+                        playDamage(rig, cases.get(i), h, t, without);
                     }
                     return null;
                 }));
@@ -486,13 +486,13 @@
     }
 
     /** One damage: a file removed (at is -1), truncated at an offset (flip is 0), or a byte changed there. */
-    private record Case(int copy, String name, int at, int flip) {
-        byte[] of(byte[] whole) {
+    private record Damage(int copy, String name, int offset, int flip) {
+        byte[] applyTo(byte[] whole) {
             if (flip == 0) {
-                return Arrays.copyOf(whole, at);
+                return Arrays.copyOf(whole, offset);
             }
             byte[] b = whole.clone();
-            b[at] ^= (byte) flip;
+            b[offset] ^= (byte) flip;
             return b;
         }
 
@@ -500,17 +500,17 @@
         public String toString() {
             return (copy == 0 ? "first/" : "second/")
                     + name
-                    + (at < 0 ? " gone" : flip == 0 ? " cut off at " + at : " changed at " + at);
+                    + (offset < 0 ? " gone" : flip == 0 ? " cut off at " + offset : " changed at " + offset);
         }
     }
 
-    private static void play(Rig rig, Case c, History h, Tally t, Set<Defence> without) throws IOException {
-        Disk[] disks = rig.with(c);
+    private static void playDamage(DamagedCopies rig, Damage c, History h, Tally t, Set<Defence> without) throws IOException {
+        Disk[] disks = rig.disksWith(c);
         try {
-            t.opened();
+            t.countOpening();
             Durable d = open(disks[0], disks[1], h::clock, 1, without);
             try {
-                t.take(h.compare(d), c.toString());
+                t.countViolations(h.compare(d), c.toString());
             } finally {
                 d.abandon();
             }
@@ -520,20 +520,20 @@
     }
 
     /** A copy of a store's files, of which one at a time is damaged. */
-    private static final class Rig {
+    private static final class DamagedCopies {
         private final List<Map<String, byte[]>> files = new ArrayList<>();
         private final Path dir;
 
-        Rig(Machine m, Path dir) throws IOException {
+        DamagedCopies(Machine m, Path dir) throws IOException {
             this.dir = dir;
             for (SimDisk disk : List.of(m.first, m.second)) {
                 Map<String, byte[]> of = new TreeMap<>();
-                disk.names().forEach(name -> of.put(name, disk.content(name)));
+                disk.fileNames().forEach(name -> of.put(name, disk.content(name)));
                 files.add(of);
             }
         }
 
-        Disk[] with(Case c) throws IOException {
+        Disk[] disksWith(Damage c) throws IOException {
             Disk[] disks = new Disk[2];
             for (int copy = 0; copy < 2; copy++) {
                 disks[copy] = dir == null ? memory(copy, c) : directory(copy, c);
@@ -541,23 +541,23 @@
             return disks;
         }
 
-        private Disk memory(int copy, Case c) {
-            SimDisk disk = new SimDisk(new SimDisk.Power(1), SECTOR, "memory");
+        private Disk memory(int copy, Damage c) {
+            SimDisk disk = new SimDisk(new SimDisk.Power(1), SECTOR_BYTES, "memory");
             files.get(copy).forEach((name, bytes) -> {
                 if (copy != c.copy || !name.equals(c.name)) {
-                    disk.load(name, bytes);
-                } else if (c.at >= 0) {
-                    disk.load(name, c.of(bytes));
+                    disk.addDurable(name, bytes);
+                } else if (c.offset >= 0) {
+                    disk.addDurable(name, c.applyTo(bytes));
                 }
             });
             return disk;
         }
 
         /** Writes only files whose content differs from the wanted one. */
-        private Disk directory(int copy, Case c) throws IOException {
+        private Disk directory(int copy, Damage c) throws IOException {
             Path to = dir.resolve(copy == 0 ? "first" : "second");
             FileDisk disk = new FileDisk(to);
-            for (String there : disk.names()) {
+            for (String there : disk.fileNames()) {
                 if (!files.get(copy).containsKey(there) && !there.equals("lock")) {
                     Files.delete(to.resolve(there));
                 }
@@ -565,11 +565,11 @@
             for (Map.Entry<String, byte[]> f : files.get(copy).entrySet()) {
                 Path file = to.resolve(f.getKey());
                 boolean damaged = copy == c.copy && f.getKey().equals(c.name);
-                if (damaged && c.at < 0) {
+                if (damaged && c.offset < 0) {
                     Files.deleteIfExists(file);
                     continue;
                 }
-                byte[] wanted = damaged ? c.of(f.getValue()) : f.getValue();
+                byte[] wanted = damaged ? c.applyTo(f.getValue()) : f.getValue();
                 if (!Files.exists(file) || !Arrays.equals(Files.readAllBytes(file), wanted)) {
                     Files.write(file, wanted);
                 }
--- a/durable/src/main/java/tallyweir/durable/Durable.java
+++ b/durable/src/main/java/tallyweir/durable/Durable.java
@@ -23,27 +23,27 @@
  * such a thread); any number of threads read concurrently without blocking.
  */
 public final class Durable implements AutoCloseable {
-    private static final long SWEEP_AT_BOUND = 10_000; // at most once a second
+    private static final long SWEEP_AT_BOUND_INTERVAL_TENTHS_MS = 10_000; // at most once a second
 
     private final Log log;
     private final Both both;
     private final LongSupplier clock;
-    private final Executor aside;
+    private final Executor background;
     private final Figures figures = new Figures();
     private final List<Closeable> locks = new ArrayList<>();
-    private final Map<String, Integer> numbers = new HashMap<>();
-    private final ConcurrentLinkedQueue<Integer> damaged = new ConcurrentLinkedQueue<>();
+    private final Map<String, Integer> namespaceNumbers = new HashMap<>();
+    private final ConcurrentLinkedQueue<Integer> damagedSegments = new ConcurrentLinkedQueue<>();
     private final Upkeep upkeep;
     private final Scrub scrub;
     private final boolean openedFromSnapshot;
     private Namespace[] namespaces;
     private Compaction compaction;
-    private long compactionWrote;
-    private byte[] sweptTo;
-    private long sweptAtBound = Long.MIN_VALUE / 2;
-    private volatile boolean snapshotInHand;
+    private long compactionWrittenBytes;
+    private byte[] sweepPosition;
+    private long lastSweepAtBoundAt = Long.MIN_VALUE / 2;
+    private volatile boolean snapshotInProgress;
     private volatile State state;
-    private volatile long retirements;
+    private volatile long retirementCount;
     private volatile boolean closed;
 
     /**
@@ -54,8 +54,8 @@
      * @param both how the two copies are written: in turn or concurrently
      * @param segmentBytes maximum segment size, 4,096 to 1 GiB
      * @param sector bytes that the disk writes atomically, 512 to 65,536; must not change once the store exists
-     * @param deadShare share of all bytes that may be dead before segments are compacted, 0 to 1 exclusive
-     * @param scrubEvery interval between scrubs in tenths of a millisecond, 0 for none
+     * @param maxDeadShare share of all bytes that may be dead before segments are compacted, 0 to 1 exclusive
+     * @param scrubInterval interval between scrubs in tenths of a millisecond, 0 for none
      * @param opened namespaces that may be written; other existing ones can only be read
      * @param seed for the random id of a new store
      * @param clock tenths of a millisecond since 1970; may step back
@@ -70,29 +70,29 @@
             Both both,
             int segmentBytes,
             int sector,
-            double deadShare,
-            long scrubEvery,
+            double maxDeadShare,
+            long scrubInterval,
             List<Namespace> opened,
             long seed,
             LongSupplier clock,
-            Executor aside,
-            Set<Defence> without)
+            Executor background,
+            Set<Defence> disabled)
             throws IOException {
         this.both = both;
         this.clock = clock;
-        this.aside = aside;
-        log = new Log(first, second, both, segmentBytes, sector, without, figures);
-        upkeep = new Upkeep(deadShare, segmentBytes, scrubEvery, 600_000, clock.getAsLong());
+        this.background = background;
+        log = new Log(first, second, both, segmentBytes, sector, disabled, figures);
+        upkeep = new Upkeep(maxDeadShare, segmentBytes, scrubInterval, 600_000, clock.getAsLong());
         scrub = new Scrub(log);
         locks.add(first.lock());
         try {
             locks.add(second.lock());
-            takeTurn(first, second);
+            raiseFence(first, second);
             Opening opening = new Opening(log);
             opening.run(new SplittableRandom(seed).nextLong());
             openedFromSnapshot = opening.fromSnapshot();
-            name(opened);
-            state = state(opening.index());
+            assignNumbers(opened);
+            state = buildState(opening.index());
         } catch (IOException | RuntimeException e) {
             log.close();
             unlock();
@@ -101,27 +101,27 @@
     }
 
     /** Raises the fence before the log is read, so that an older holder acknowledges nothing after that. */
-    private void takeTurn(Disk first, Disk second) throws IOException {
-        if (!log.has(Defence.FENCE)) {
+    private void raiseFence(Disk first, Disk second) throws IOException {
+        if (!log.isEnabled(Defence.FENCE)) {
             return;
         }
         Fence fence = new Fence(log.copies() > 1 ? List.of(first, second) : List.of(first));
         log.fence(fence);
         try {
-            fence.raise();
+            fence.increment();
         } catch (Refused r) {
             throw r;
         } catch (IOException e) {
-            figures.add(Figures.Of.TURNS_NOT_TAKEN); // the store can still be read; the first write retries
+            figures.add(Figures.Counter.TURNS_NOT_TAKEN); // the store can still be read; the first write retries
         }
     }
 
     /** Whether another process has taken the store over; from then on all writes here are refused. */
-    public boolean fenced() {
-        return log.fenced();
+    public boolean isFenced() {
+        return log.isFenced();
     }
 
-    private void name(List<Namespace> opened) {
+    private void assignNumbers(List<Namespace> opened) {
         List<String> names = log.names();
         for (Namespace n : opened) {
             if (!names.contains(n.name())) {
@@ -133,16 +133,16 @@
             namespaces[i] = new Namespace(names.get(i), Long.MAX_VALUE, false);
         }
         for (Namespace n : opened) {
-            numbers.put(n.name(), names.indexOf(n.name()));
+            namespaceNumbers.put(n.name(), names.indexOf(n.name()));
             namespaces[names.indexOf(n.name())] = n;
         }
     }
 
-    private State state(Index index) {
+    private State buildState(Index index) {
         long[] used = new long[namespaces.length];
         long[] keys = new long[namespaces.length];
         boolean[] dropOldest = new boolean[1];
-        index.each((namespace, stamp, segment, length, expires) -> {
+        index.forEach((namespace, stamp, segment, length, expires) -> {
             used[namespace] += length;
             keys[namespace]++;
             dropOldest[0] |= namespaces[namespace].dropOldest();
@@ -150,11 +150,11 @@
         List<Index.Entry> ages = new ArrayList<>();
         for (Index.Entry e = dropOldest[0] ? index.atOrAfter(new byte[0]) : null; e != null; e = index.after(e.key())) {
             if (namespaces[e.namespace()].dropOldest()) {
-                ages.add(new Index.Entry(State.age(e.key(), e.stamp()), e.stamp(), 0, 0, 0, 0));
+                ages.add(new Index.Entry(State.ageKey(e.key(), e.stamp()), e.stamp(), 0, 0, 0, 0));
             }
         }
         ages.sort((a, b) -> Arrays.compareUnsigned(a.key(), b.key()));
-        return new State(index, Index.ofSorted(ages), used, keys, log.lastStamp());
+        return new State(index, Index.fromSortedEntries(ages), used, keys, log.lastStamp());
     }
 
     /** The time used for expiry, in tenths of a millisecond since 1970; never behind the last write. */
@@ -172,7 +172,7 @@
     }
 
     /** Number of openings of the store for writing, including this one. */
-    public long opening() {
+    public long openingCount() {
         return log.opening();
     }
 
@@ -187,11 +187,11 @@
         for (int from = 0; from < batches.size(); ) {
             int to = from;
             long bytes = 0;
-            while (to < batches.size() && (to == from || bytes + batches.get(to).bytes() <= Format.GROUP_MOST)) {
+            while (to < batches.size() && (to == from || bytes + batches.get(to).bytes() <= Format.MAX_GROUP_BYTES)) {
                 bytes += batches.get(to).bytes();
                 to++;
             }
-            frame(batches, from, to, Math.min(bytes, Format.BATCH_MOST), answers);
+            commitFrame(batches, from, to, Math.min(bytes, Format.MAX_BATCH_BYTES), answers);
             from = to;
         }
         return Arrays.asList(answers);
@@ -205,37 +205,37 @@
         }
     }
 
-    private void frame(List<Batch> batches, int from, int to, long bytes, Refused[] answers) {
+    private void commitFrame(List<Batch> batches, int from, int to, long bytes, Refused[] answers) {
         try {
             if (closed) {
-                throw figures.count(new Refused(Cause.CLOSED, "the store is closed"));
+                throw figures.countRefusal(new Refused(Cause.CLOSED, "the store is closed"));
             }
-            Group g = new Group(state, log.room(bytes), namespaces, bytes + 2 * Format.FRAME);
+            Group g = new Group(state, log.segmentFor(bytes), namespaces, bytes + 2 * Format.FRAME_HEADER_BYTES);
             long now = now();
-            boolean fits = fits(batches, from, to);
+            boolean fits = fitBounds(batches, from, to);
             if (fits) {
-                g.applyLater();
+                g.deferChanges();
             }
             for (int i = from; i < to; i++) {
-                answers[i] = fits ? addFitting(g, batches.get(i), now) : add(g, batches.get(i), now);
-                if (answers[i] != null && answers[i].why() == Cause.AT_BOUND && mayBeSwept(now)) {
+                answers[i] = fits ? addUnchecked(g, batches.get(i), now) : addChecked(g, batches.get(i), now);
+                if (answers[i] != null && answers[i].reason() == Cause.AT_BOUND && maySweepAtBound(now)) {
                     if (g.records() == 0) {
                         sweepAll(now);
-                        g = new Group(state, log.room(bytes), namespaces, bytes + 2 * Format.FRAME);
-                        answers[i] = add(g, batches.get(i), now);
+                        g = new Group(state, log.segmentFor(bytes), namespaces, bytes + 2 * Format.FRAME_HEADER_BYTES);
+                        answers[i] = addChecked(g, batches.get(i), now);
                     } else {
-                        sweptAtBound = Long.MIN_VALUE / 2; // lets the next group sweep
+                        lastSweepAtBoundAt = Long.MIN_VALUE / 2; // lets the next group sweep
                     }
                 }
             }
             write(g);
             for (int i = from; i < to; i++) {
                 if (answers[i] == null) {
-                    figures.add(Figures.Of.BATCHES);
-                    figures.add(Figures.Of.RECORDS, batches.get(i).writes.size());
-                    figures.add(Figures.Of.RECORD_BYTES, batches.get(i).bytes());
+                    figures.add(Figures.Counter.BATCHES);
+                    figures.add(Figures.Counter.RECORDS, batches.get(i).writes.size());
+                    figures.add(Figures.Counter.RECORD_BYTES, batches.get(i).bytes());
                 } else {
-                    figures.count(answers[i]);
+                    figures.countRefusal(answers[i]);
                 }
             }
         } catch (Refused r) {
@@ -249,104 +249,104 @@
     private void write(Group g) throws Refused {
         if (g.records() > 0) {
             log.append(g.bytes(log.sector()), g.contentLength(), g::apply);
-            upkeep.written(g.contentLength());
-            figures.add(Figures.Of.GROUPS);
+            upkeep.onWritten(g.contentLength());
+            figures.add(Figures.Counter.GROUPS);
         }
-        g.settle(log);
+        g.applyToSegments(log);
         state = g.state();
     }
 
     /** Whether no namespace can exceed its bound even if every record is under a new key. */
-    private boolean fits(List<Batch> batches, int from, int to) {
-        long[] more = new long[namespaces.length];
+    private boolean fitBounds(List<Batch> batches, int from, int to) {
+        long[] addedBytes = new long[namespaces.length];
         for (int i = from; i < to; i++) {
             for (Batch.Write w : batches.get(i).writes) {
-                Integer n = numbers.get(w.namespace());
+                Integer n = namespaceNumbers.get(w.namespace());
                 if (n != null && !w.isDelete()) {
-                    more[n] += Format.RECORD + w.key().length + w.value().length;
+                    addedBytes[n] += Format.RECORD_HEADER_BYTES + w.key().length + w.value().length;
                 }
             }
         }
-        for (int n = 0; n < more.length; n++) {
-            if (more[n] > namespaces[n].boundBytes() - state.used()[n]) {
+        for (int n = 0; n < addedBytes.length; n++) {
+            if (addedBytes[n] > namespaces[n].maxBytes() - state.usedBytes()[n]) {
                 return false;
             }
         }
         return true;
     }
 
-    private Refused addFitting(Group g, Batch b, long now) {
-        Refused wrong = wrong(b);
-        for (int i = 0; wrong == null && i < b.writes.size(); i++) {
+    private Refused addUnchecked(Group g, Batch b, long now) {
+        Refused refusal = validate(b);
+        for (int i = 0; refusal == null && i < b.writes.size(); i++) {
             Batch.Write w = b.writes.get(i);
             if (w.isDelete()) {
-                g.delete(numbers.get(w.namespace()), w.key(), now);
+                g.delete(namespaceNumbers.get(w.namespace()), w.key(), now);
             } else {
-                g.put(numbers.get(w.namespace()), w.key(), w.value(), w.expires(), now);
+                g.put(namespaceNumbers.get(w.namespace()), w.key(), w.value(), w.expiresAt(), now);
             }
         }
-        return wrong;
+        return refusal;
     }
 
-    private Refused add(Group g, Batch b, long now) {
-        Refused wrong = wrong(b);
-        if (wrong != null) {
-            return wrong;
+    private Refused addChecked(Group g, Batch b, long now) {
+        Refused refusal = validate(b);
+        if (refusal != null) {
+            return refusal;
         }
-        g.mark();
-        long[] before = new long[namespaces.length];
+        g.setSavepoint();
+        long[] usedBefore = new long[namespaces.length];
         Set<Integer> touched = new LinkedHashSet<>();
         long first = Stamp.next(g.lastStamp(), now);
         for (Batch.Write w : b.writes) {
-            int n = numbers.get(w.namespace());
+            int n = namespaceNumbers.get(w.namespace());
             if (touched.add(n)) {
-                before[n] = g.used(n);
+                usedBefore[n] = g.usedBytes(n);
             }
             if (w.isDelete()) {
                 g.delete(n, w.key(), now);
             } else {
-                g.put(n, w.key(), w.value(), w.expires(), now);
+                g.put(n, w.key(), w.value(), w.expiresAt(), now);
             }
         }
         for (int n : touched) {
-            while (g.used(n) > namespaces[n].boundBytes() && g.used(n) > before[n]) {
-                byte[] oldest = namespaces[n].dropOldest() ? g.oldest(n, first) : null;
+            while (g.usedBytes(n) > namespaces[n].maxBytes() && g.usedBytes(n) > usedBefore[n]) {
+                byte[] oldest = namespaces[n].dropOldest() ? g.oldestKey(n, first) : null;
                 if (oldest == null) {
-                    g.back();
+                    g.rollBack();
                     return new Refused(
                             Cause.AT_BOUND,
-                            "namespace " + namespaces[n].name() + " holds " + before[n] + " of "
-                                    + namespaces[n].boundBytes() + " bytes and would exceed them");
+                            "namespace " + namespaces[n].name() + " holds " + usedBefore[n] + " of "
+                                    + namespaces[n].maxBytes() + " bytes and would exceed them");
                 }
                 g.delete(n, oldest, now);
-                figures.add(Figures.Of.DROPPED_OLDEST);
+                figures.add(Figures.Counter.DROPPED_OLDEST);
             }
         }
         return null;
     }
 
-    private Refused wrong(Batch b) {
-        String what = b.bytes() > Format.BATCH_MOST
-                ? "a batch of " + b.bytes() + " bytes, the maximum is " + Format.BATCH_MOST
+    private Refused validate(Batch b) {
+        String problem = b.bytes() > Format.MAX_BATCH_BYTES
+                ? "a batch of " + b.bytes() + " bytes, the maximum is " + Format.MAX_BATCH_BYTES
                 : null;
         for (Batch.Write w : b.writes) {
-            if (!numbers.containsKey(w.namespace())) {
-                what = "namespace " + w.namespace() + " was not opened";
-            } else if (w.key().length > Format.KEY_MOST) {
-                what = "a key of " + w.key().length + " bytes, the maximum is " + Format.KEY_MOST;
-            } else if (!w.isDelete() && w.value().length > Format.VALUE_MOST) {
-                what = "a value of " + w.value().length + " bytes, the maximum is " + Format.VALUE_MOST;
+            if (!namespaceNumbers.containsKey(w.namespace())) {
+                problem = "namespace " + w.namespace() + " was not opened";
+            } else if (w.key().length > Format.MAX_KEY_BYTES) {
+                problem = "a key of " + w.key().length + " bytes, the maximum is " + Format.MAX_KEY_BYTES;
+            } else if (!w.isDelete() && w.value().length > Format.MAX_VALUE_BYTES) {
+                problem = "a value of " + w.value().length + " bytes, the maximum is " + Format.MAX_VALUE_BYTES;
             }
         }
-        return what == null ? null : new Refused(Cause.TOO_LONG, what);
+        return problem == null ? null : new Refused(Cause.TOO_LONG, problem);
     }
 
     /** Writes records of another store unchanged, including their stamps. */
-    synchronized void take(String namespace, List<Found> records, long bytes) throws Refused {
-        Group g = new Group(state, log.room(bytes), namespaces, bytes + 2 * Format.FRAME);
-        int n = numbers.get(namespace);
+    synchronized void importRecords(String namespace, List<Found> records, long bytes) throws Refused {
+        Group g = new Group(state, log.segmentFor(bytes), namespaces, bytes + 2 * Format.FRAME_HEADER_BYTES);
+        int n = namespaceNumbers.get(namespace);
         for (Found f : records) {
-            g.take(n, f);
+            g.importRecord(n, f);
         }
         write(g);
     }
@@ -354,35 +354,35 @@
     // ---- reading
 
     /** Number of keys in all namespaces, including expired ones not swept yet. */
-    public long keys() {
+    public long keyCount() {
         return state.index().size();
     }
 
     /** Returns the record of a key, or null if there is none or it has expired. Never blocks on a write. */
     public Found get(String namespace, byte[] key) throws Refused {
         while (true) {
-            Integer n = numbers.get(namespace);
+            Integer n = namespaceNumbers.get(namespace);
             int number = n != null ? n : log.names().indexOf(namespace);
-            Index.Entry e = number < 0 ? null : state.index().get(Index.key(number, key));
-            if (e == null || e.expires() != 0 && e.expires() <= now()) {
+            Index.Entry e = number < 0 ? null : state.index().get(Index.indexKey(number, key));
+            if (e == null || e.expiresAt() != 0 && e.expiresAt() <= now()) {
                 return null;
             }
             Segment s = log.segment(e.segment());
             if (s == null || !s.pin()) {
                 if (closed) {
-                    throw figures.count(new Refused(Cause.CLOSED, "the store is closed"));
+                    throw figures.countRefusal(new Refused(Cause.CLOSED, "the store is closed"));
                 }
                 continue; // compacted concurrently: the next attempt finds the record at its new place
             }
             try {
-                long second = figures.get(Figures.Of.SECOND_READS);
+                long second = figures.get(Figures.Counter.SECOND_READS);
                 Found f = View.found(log, s, e, List.of(), figures);
-                if (figures.get(Figures.Of.SECOND_READS) != second) {
-                    damaged.add(s.number);
+                if (figures.get(Figures.Counter.SECOND_READS) != second) {
+                    damagedSegments.add(s.number);
                 }
                 return f;
             } catch (Refused r) {
-                damaged.add(s.number);
+                damagedSegments.add(s.number);
                 throw r;
             } finally {
                 s.unpin();
@@ -392,30 +392,30 @@
 
     /** Whether a key exists and has not expired. Looks only at the index, without reading the disk. */
     public boolean contains(String namespace, byte[] key) {
-        Integer n = numbers.get(namespace);
-        Index.Entry e = n == null ? null : state.index().get(Index.key(n, key));
-        return e != null && (e.expires() == 0 || e.expires() > now());
+        Integer n = namespaceNumbers.get(namespace);
+        Index.Entry e = n == null ? null : state.index().get(Index.indexKey(n, key));
+        return e != null && (e.expiresAt() == 0 || e.expiresAt() > now());
     }
 
     /** Bytes that an opened namespace may still take; expired records not swept yet count as used. */
-    public long room(String namespace) {
-        int n = numbers.get(namespace);
-        return namespaces[n].boundBytes() - state.used()[n];
+    public long remainingBytes(String namespace) {
+        int n = namespaceNumbers.get(namespace);
+        return namespaces[n].maxBytes() - state.usedBytes()[n];
     }
 
     /** Returns a view of the store as it is now, readable while writes continue. The caller must close it. */
     public View view() {
         while (true) {
-            long before = retirements;
-            State seen = state;
+            long before = retirementCount;
+            State current = state;
             List<Segment> pinned = new ArrayList<>();
             for (Segment s : log.segments()) {
                 if (s.pin()) {
                     pinned.add(s);
                 }
             }
-            if (before == retirements) {
-                return new View(log, seen, pinned, now(), figures);
+            if (before == retirementCount) {
+                return new View(log, current, pinned, now(), figures);
             }
             pinned.forEach(Segment::unpin);
         }
@@ -435,9 +435,9 @@
         int segments = 0;
         for (Segment s : log.segments()) {
             segments++;
-            size += s.end;
-            live += s.live;
-            tombstones += s.tombstones;
+            size += s.endOffset;
+            live += s.liveBytes;
+            tombstones += s.tombstoneBytes;
         }
         info.put("segments", segments);
         info.put("bytes_of_each_copy", size);
@@ -448,10 +448,10 @@
         for (int i = 0; i < namespaces.length; i++) {
             Map<String, Object> of = new java.util.LinkedHashMap<>();
             of.put("namespace", namespaces[i].name());
-            of.put("keys", state.keys()[i]);
-            of.put("bytes", state.used()[i]);
-            if (namespaces[i].boundBytes() < Long.MAX_VALUE) {
-                of.put("bound_bytes", namespaces[i].boundBytes());
+            of.put("keys", state.keyCounts()[i]);
+            of.put("bytes", state.usedBytes()[i]);
+            if (namespaces[i].maxBytes() < Long.MAX_VALUE) {
+                of.put("bound_bytes", namespaces[i].maxBytes());
                 of.put("at_bound", namespaces[i].dropOldest() ? "drop_oldest" : "refuse");
             }
             spaces.add(of);
@@ -469,17 +469,17 @@
      * @return whether there was anything to do
      */
     public synchronized boolean upkeep(long bytes) throws IOException {
-        if (closed || log.fenced()) {
+        if (closed || log.isFenced()) {
             return false;
         }
         long now = now();
         switch (upkeep.next(
-                now, log.segments(), log.active(), log.hasRetired(), !damaged.isEmpty(), compaction != null)) {
+                now, log.segments(), log.active(), log.hasRetired(), !damagedSegments.isEmpty(), compaction != null)) {
             case DELETE -> log.deleteRetired();
-            case MEND -> mend(damaged.poll());
+            case MEND -> repair(damagedSegments.poll());
             case COMPACT -> compact(bytes, now);
-            case CHOOSE -> compaction = new Compaction(log, upkeep.worst(log.segments(), log.active(), false));
-            case SWEEP -> upkeep.sweep(sweep((int) Math.max(1, bytes / 256), now));
+            case CHOOSE -> compaction = new Compaction(log, upkeep.compactionCandidate(log.segments(), log.active(), false));
+            case SWEEP -> upkeep.onSweepStep(sweep((int) Math.max(1, bytes / 256), now));
             case SNAPSHOT -> snapshot();
             case SCRUB -> scrub(bytes);
             default -> {
@@ -489,47 +489,47 @@
         return true;
     }
 
-    private void mend(int segment) throws IOException {
-        damaged.removeIf(d -> d == segment);
+    private void repair(int segment) throws IOException {
+        damagedSegments.removeIf(d -> d == segment);
         Segment s = log.segment(segment);
         if (s != null) {
-            walk(s);
+            verifySegment(s);
         }
     }
 
-    private void walk(Segment s) throws IOException {
+    private void verifySegment(Segment s) throws IOException {
         Walk walk = new Walk(log, s, 0, s.firstFrame, s.endFrame, true);
         while (walk.next()) {
-            figures.add(Figures.Of.SCRUBBED_BYTES, Format.FRAME + walk.contentLength());
+            figures.add(Figures.Counter.SCRUBBED_BYTES, Format.FRAME_HEADER_BYTES + walk.contentLength());
         }
-        walk.finish();
-        figures.add(Figures.Of.LOST_FRAMES, walk.lost());
+        walk.forceRepairs();
+        figures.add(Figures.Counter.LOST_FRAMES, walk.lostFrames());
     }
 
     private void scrub(long bytes) throws IOException {
         try {
-            upkeep.scrub(scrub.step(bytes));
+            upkeep.onScrubStep(scrub.step(bytes));
         } catch (IOException e) {
-            scrub.skip();
+            scrub.skipSegment();
             throw e;
         }
     }
 
     private void compact(long bytes, long now) throws IOException {
-        long before = figures.get(Figures.Of.BYTES_WRITTEN);
+        long before = figures.get(Figures.Counter.BYTES_WRITTEN);
         try {
-            Group g = new Group(state, log.room(bytes), namespaces, bytes);
-            boolean through = compaction.fill(g, bytes, now);
+            Group g = new Group(state, log.segmentFor(bytes), namespaces, bytes);
+            boolean finished = compaction.fill(g, bytes, now);
             write(g);
-            compactionWrote += (figures.get(Figures.Of.BYTES_WRITTEN) - before) / log.copies();
-            if (through) {
-                upkeep.compacted(compaction.victim().end, compactionWrote);
-                compactionWrote = 0;
+            compactionWrittenBytes += (figures.get(Figures.Counter.BYTES_WRITTEN) - before) / log.copies();
+            if (finished) {
+                upkeep.onCompacted(compaction.victim().endOffset, compactionWrittenBytes);
+                compactionWrittenBytes = 0;
                 retire(compaction.victim());
                 compaction = null;
             }
         } catch (IOException e) {
-            compactionWrote = 0;
+            compactionWrittenBytes = 0;
             compaction = null; // restarts once there is space; records already moved stay moved
             throw e;
         }
@@ -537,19 +537,19 @@
 
     private void retire(Segment s) {
         log.retire(s);
-        retirements++;
-        figures.add(Figures.Of.COMPACTED);
+        retirementCount++;
+        figures.add(Figures.Counter.COMPACTED);
         log.deleteRetired();
     }
 
-    private boolean mayBeSwept(long now) {
-        boolean may = now - sweptAtBound >= SWEEP_AT_BOUND;
-        sweptAtBound = may ? now : sweptAtBound;
+    private boolean maySweepAtBound(long now) {
+        boolean may = now - lastSweepAtBoundAt >= SWEEP_AT_BOUND_INTERVAL_TENTHS_MS;
+        lastSweepAtBoundAt = may ? now : lastSweepAtBoundAt;
         return may;
     }
 
     private void sweepAll(long now) {
-        sweptTo = null;
+        sweepPosition = null;
         while (sweep(1_000, now)) {
             continue;
         }
@@ -558,21 +558,21 @@
     /** Removes expired records among the next keys from the index; returns false after the last key. */
     private boolean sweep(int keys, long now) {
         Group g = new Group(state, null, namespaces, 0);
-        Index.Entry e = state.index().atOrAfter(sweptTo == null ? new byte[0] : sweptTo);
-        int gone = 0;
+        Index.Entry e = state.index().atOrAfter(sweepPosition == null ? new byte[0] : sweepPosition);
+        int expired = 0;
         for (int i = 0; e != null && i < keys; i++) {
-            if (e.expires() != 0 && e.expires() <= now) {
-                g.forget(e.key());
-                gone++;
+            if (e.expiresAt() != 0 && e.expiresAt() <= now) {
+                g.removeFromIndex(e.key());
+                expired++;
             }
             e = state.index().after(e.key());
         }
-        sweptTo = e == null ? null : e.key();
-        if (gone > 0) {
-            g.reached(now);
-            g.settle(log);
+        sweepPosition = e == null ? null : e.key();
+        if (expired > 0) {
+            g.advanceTime(now);
+            g.applyToSegments(log);
             state = g.state();
-            figures.add(Figures.Of.EXPIRED, gone);
+            figures.add(Figures.Counter.EXPIRED, expired);
         }
         return e != null;
     }
@@ -590,15 +590,15 @@
     public synchronized void compactAll(LongConsumer progress) throws IOException {
         long done = 0;
         sweepAll(now());
-        long until = log.nextFrame();
-        log.room(Integer.MAX_VALUE);
+        long endFrame = log.nextFrame();
+        log.segmentFor(Integer.MAX_VALUE);
         for (Segment s : log.segments()) {
-            if (s.firstFrame < until && s != log.active()) {
+            if (s.firstFrame < endFrame && s != log.active()) {
                 compaction = new Compaction(log, s);
                 while (compaction != null) {
-                    compact(Format.GROUP_MOST, now());
+                    compact(Format.MAX_GROUP_BYTES, now());
                 }
-                done += s.end;
+                done += s.endOffset;
                 progress.accept(done);
             }
         }
@@ -612,11 +612,11 @@
     public synchronized void scrubAll(LongConsumer progress) throws IOException {
         long done = 0;
         for (Segment s : log.segments()) {
-            walk(s);
-            done += s.end;
+            verifySegment(s);
+            done += s.endOffset;
             progress.accept(done);
         }
-        figures.add(Figures.Of.SCRUBS);
+        figures.add(Figures.Counter.SCRUBS);
     }
 
     /**
@@ -624,8 +624,8 @@
      *
      * @return the value of {@link Figures.Of#SCRUBS} once a complete pass started after this call has finished
      */
-    public synchronized long scrubSoon() {
-        return figures.get(Figures.Of.SCRUBS) + (upkeep.scrubSoon() ? 2 : 1);
+    public synchronized long requestScrub() {
+        return figures.get(Figures.Counter.SCRUBS) + (upkeep.requestScrub() ? 2 : 1);
     }
 
     /** Whether the store is closed. */
@@ -640,33 +640,33 @@
 
     /** Starts writing a snapshot of the current index in the background, unless one is being written already. */
     public synchronized void snapshot() {
-        if (snapshotInHand || log.fenced()) {
+        if (snapshotInProgress || log.isFenced()) {
             return;
         }
-        snapshotInHand = true;
-        Map<Integer, IndexFile.Of> segments = new HashMap<>();
+        snapshotInProgress = true;
+        Map<Integer, IndexFile.SegmentState> segments = new HashMap<>();
         for (Segment s : log.segments()) {
-            segments.put(s.number, new IndexFile.Of(s.endFrame, s.end, s.puts, s.tombstones, s.lastTombstone));
+            segments.put(s.number, new IndexFile.SegmentState(s.endFrame, s.endOffset, s.valueCount, s.tombstoneBytes, s.lastTombstoneStamp));
         }
-        Log.Last last = log.last();
+        Log.FrameLocation last = log.lastFrame();
         IndexFile f = new IndexFile(
                 log.nextFrame(),
                 log.lastStamp(),
                 last.segment(),
-                last.place(),
-                last.sum(),
+                last.offset(),
+                last.checksum(),
                 segments,
                 state.index().leaves());
-        upkeep.snapshot(state.index().size() * 48);
-        aside.execute(() -> {
+        upkeep.onSnapshot(state.index().size() * 48);
+        background.execute(() -> {
             try {
                 f.write(log.disk(0), log.storeId());
-                figures.add(Figures.Of.SNAPSHOTS);
+                figures.add(Figures.Counter.SNAPSHOTS);
             } catch (IOException e) {
                 // A snapshot is optional: without it the next opening reads the log.
-                figures.add(Figures.Of.SNAPSHOTS_DISTRUSTED);
+                figures.add(Figures.Counter.SNAPSHOTS_DISTRUSTED);
             } finally {
-                snapshotInHand = false;
+                snapshotInProgress = false;
             }
         });
     }
@@ -687,7 +687,7 @@
     /** Closes the store without writing anything more, as a power cut would. Waits for a snapshot being written. */
     public synchronized void abandon() {
         closed = true;
-        while (snapshotInHand) {
+        while (snapshotInProgress) {
             Thread.onSpinWait();
         }
         log.close();
--- a/durable/src/main/java/tallyweir/durable/Fence.java
+++ b/durable/src/main/java/tallyweir/durable/Fence.java
@@ -14,14 +14,14 @@
  * (2016), except that the writer checks it, since the disk cannot.
  */
 final class Fence {
-    static final String NAME = "fence";
+    static final String FILE_NAME = "fence";
     private static final int MAGIC = 0x54574631;
-    private static final int SIZE = 16;
+    private static final int SIZE_BYTES = 16;
 
     private final Disk[] disks;
     private final Disk.Handle[] files = new Disk.Handle[2];
-    private final long found;
-    private long own;
+    private final long numberAtOpening;
+    private long ownNumber;
 
     /** Reads the current number without incrementing it. */
     Fence(List<Disk> disks) {
@@ -29,13 +29,13 @@
         for (int c = 0; c < this.disks.length; c++) {
             open(c);
         }
-        found = Math.max(0, highest());
+        numberAtOpening = Math.max(0, highestNumber());
     }
 
     private void open(int copy) {
         try {
-            if (disks[copy].names().contains(NAME)) {
-                files[copy] = disks[copy].open(NAME);
+            if (disks[copy].fileNames().contains(FILE_NAME)) {
+                files[copy] = disks[copy].open(FILE_NAME);
             }
         } catch (IOException e) {
             files[copy] = null; // the number is read from the other copy
@@ -43,38 +43,38 @@
     }
 
     /** The number in a copy, or -1 if it cannot be read. */
-    private long number(int copy) {
+    private long readNumber(int copy) {
         if (files[copy] == null) {
             return -1;
         }
-        ByteBuffer b = ByteBuffer.allocate(SIZE);
+        ByteBuffer b = ByteBuffer.allocate(SIZE_BYTES);
         try {
-            if (files[copy].readFully(0, b) < SIZE) {
+            if (files[copy].readFully(0, b) < SIZE_BYTES) {
                 return -1;
             }
         } catch (IOException e) {
             return -1;
         }
-        return b.getInt(0) == MAGIC && b.getInt(12) == sum(b) ? b.getLong(4) : -1;
+        return b.getInt(0) == MAGIC && b.getInt(12) == checksum(b) ? b.getLong(4) : -1;
     }
 
-    private static int sum(ByteBuffer b) {
+    private static int checksum(ByteBuffer b) {
         CRC32C crc = new CRC32C();
         crc.update(b.array(), 0, 12);
         return (int) crc.getValue();
     }
 
-    private long highest() {
-        long most = -1;
+    private long highestNumber() {
+        long max = -1;
         for (int c = 0; c < disks.length; c++) {
-            most = Math.max(most, number(c));
+            max = Math.max(max, readNumber(c));
         }
-        return most;
+        return max;
     }
 
     /** Whether this opening has incremented the number. */
-    boolean raised() {
-        return own > 0;
+    boolean isIncremented() {
+        return ownNumber > 0;
     }
 
     /**
@@ -83,32 +83,32 @@
      *
      * @throws Refused FENCED if another process has incremented it since this one read it
      */
-    void raise() throws IOException {
-        if (highest() > found) {
+    void increment() throws IOException {
+        if (highestNumber() > numberAtOpening) {
             throw new Refused(Refused.Cause.FENCED, "another process has opened the store since: open it again");
         }
-        ByteBuffer b = ByteBuffer.allocate(SIZE).putInt(0, MAGIC).putLong(4, found + 1);
-        b.putInt(12, sum(b));
+        ByteBuffer b = ByteBuffer.allocate(SIZE_BYTES).putInt(0, MAGIC).putLong(4, numberAtOpening + 1);
+        b.putInt(12, checksum(b));
         for (int c = 0; c < disks.length; c++) {
             if (files[c] == null) {
-                files[c] = disks[c].create(NAME);
+                files[c] = disks[c].create(FILE_NAME);
             }
             files[c].writeFully(0, b.clear());
             files[c].force();
-            disks[c].forceNames();
+            disks[c].forceDirectory();
         }
-        own = found + 1;
+        ownNumber = numberAtOpening + 1;
     }
 
     /** Whether another process has taken the store over, or the number can be read in neither copy. */
-    boolean passed() {
-        long most = highest();
-        return most > own || most < 0;
+    boolean isSuperseded() {
+        long highest = highestNumber();
+        return highest > ownNumber || highest < 0;
     }
 
     /** The number of this opening, for operators; 0 before it was incremented. */
-    long own() {
-        return own;
+    long ownNumber() {
+        return ownNumber;
     }
 
     void close() {
--- a/durable/src/main/java/tallyweir/durable/Figures.java
+++ b/durable/src/main/java/tallyweir/durable/Figures.java
@@ -8,7 +8,7 @@
 /** Counters of the store since it was opened. Thread-safe. */
 public final class Figures {
     /** The counters. The lower-case names are the keys under which they are printed. */
-    public enum Of {
+    public enum Counter {
         /** Batches acknowledged. */
         BATCHES,
         /** Records in them. */
@@ -59,45 +59,45 @@
         SCRUBS
     }
 
-    private final EnumMap<Of, LongAdder> counts = new EnumMap<>(Of.class);
-    private final EnumMap<Refused.Cause, LongAdder> refused = new EnumMap<>(Refused.Cause.class);
+    private final EnumMap<Counter, LongAdder> counters = new EnumMap<>(Counter.class);
+    private final EnumMap<Refused.Cause, LongAdder> refusals = new EnumMap<>(Refused.Cause.class);
 
     public Figures() {
-        for (Of of : Of.values()) {
-            counts.put(of, new LongAdder());
+        for (Counter of : Counter.values()) {
+            counters.put(of, new LongAdder());
         }
         for (Refused.Cause cause : Refused.Cause.values()) {
-            refused.put(cause, new LongAdder());
+            refusals.put(cause, new LongAdder());
         }
     }
 
-    void add(Of of, long many) {
-        counts.get(of).add(many);
+    void add(Counter of, long amount) {
+        counters.get(of).add(amount);
     }
 
-    void add(Of of) {
+    void add(Counter of) {
         add(of, 1);
     }
 
     /** Counts a refusal and returns it. */
-    Refused count(Refused r) {
-        refused.get(r.why()).increment();
+    Refused countRefusal(Refused r) {
+        refusals.get(r.reason()).increment();
         return r;
     }
 
-    public long get(Of of) {
-        return counts.get(of).sum();
+    public long get(Counter of) {
+        return counters.get(of).sum();
     }
 
-    public long refused(Refused.Cause cause) {
-        return refused.get(cause).sum();
+    public long refusals(Refused.Cause cause) {
+        return refusals.get(cause).sum();
     }
 
     /** All counters by lower-case name, refusals as {@code refused_CAUSE}, in a fixed order. */
-    public Map<String, Long> all() {
+    public Map<String, Long> toMap() {
         Map<String, Long> all = new LinkedHashMap<>();
-        counts.forEach((of, n) -> all.put(of.name().toLowerCase(), n.sum()));
-        refused.forEach((cause, n) -> all.put("refused_" + cause.name().toLowerCase(), n.sum()));
+        counters.forEach((of, n) -> all.put(of.name().toLowerCase(), n.sum()));
+        refusals.forEach((cause, n) -> all.put("refused_" + cause.name().toLowerCase(), n.sum()));
         return all;
     }
 }
--- a/durable/src/main/java/tallyweir/durable/FileDisk.java
+++ b/durable/src/main/java/tallyweir/durable/FileDisk.java
@@ -17,11 +17,11 @@
 
 /** A directory of the file system. Forces use fsync; the directory itself is forced after names in it changed. */
 public final class FileDisk implements Disk {
-    private static final String LOCK = "lock";
+    private static final String LOCK_FILE_NAME = "lock";
 
-    private final Path dir;
+    private final Path directory;
     private final Times times;
-    private final boolean second;
+    private final boolean secondCopy;
 
     /** Creates the directory and its parents if they do not exist. */
     public FileDisk(Path dir) throws IOException {
@@ -34,9 +34,9 @@
      * @param second whether the directory holds the second copy
      */
     public FileDisk(Path dir, Times times, boolean second) throws IOException {
-        this.dir = dir;
+        this.directory = dir;
         this.times = times;
-        this.second = second;
+        this.secondCopy = second;
         if (!Files.isDirectory(dir)) {
             Files.createDirectories(dir);
             Path parent = dir.toAbsolutePath().getParent();
@@ -53,8 +53,8 @@
     }
 
     @Override
-    public List<String> names() throws IOException {
-        try (Stream<Path> all = Files.list(dir)) {
+    public List<String> fileNames() throws IOException {
+        try (Stream<Path> all = Files.list(directory)) {
             return all.map(p -> p.getFileName().toString()).toList();
         }
     }
@@ -62,20 +62,20 @@
     @Override
     public Handle open(String name) throws IOException {
         try {
-            return file(name, FileChannel.open(dir.resolve(name), StandardOpenOption.READ, StandardOpenOption.WRITE));
+            return newHandle(name, FileChannel.open(directory.resolve(name), StandardOpenOption.READ, StandardOpenOption.WRITE));
         } catch (NoSuchFileException e) {
             throw e;
         } catch (FileSystemException e) {
-            return file(name, FileChannel.open(dir.resolve(name), StandardOpenOption.READ));
+            return newHandle(name, FileChannel.open(directory.resolve(name), StandardOpenOption.READ));
         }
     }
 
     @Override
     public Handle create(String name) throws IOException {
-        return file(
+        return newHandle(
                 name,
                 FileChannel.open(
-                        dir.resolve(name),
+                        directory.resolve(name),
                         StandardOpenOption.READ,
                         StandardOpenOption.WRITE,
                         StandardOpenOption.CREATE,
@@ -84,34 +84,34 @@
 
     @Override
     public Handle createNew(String name) throws IOException {
-        return file(
+        return newHandle(
                 name,
                 FileChannel.open(
-                        dir.resolve(name),
+                        directory.resolve(name),
                         StandardOpenOption.READ,
                         StandardOpenOption.WRITE,
                         StandardOpenOption.CREATE_NEW));
     }
 
-    private File file(String name, FileChannel channel) {
-        boolean log = name.endsWith(Format.SUFFIX);
-        return new File(
+    private FileHandle newHandle(String name, FileChannel channel) {
+        boolean isLogFile = name.endsWith(Format.SEGMENT_SUFFIX);
+        return new FileHandle(
                 channel,
                 times,
-                !log ? Times.Of.SNAPSHOT : second ? Times.Of.FORCE_SECOND : Times.Of.FORCE_FIRST,
-                !log ? null : second ? Times.Of.WRITE_SECOND : Times.Of.WRITE_FIRST);
+                !isLogFile ? Times.Step.SNAPSHOT : secondCopy ? Times.Step.FORCE_SECOND : Times.Step.FORCE_FIRST,
+                !isLogFile ? null : secondCopy ? Times.Step.WRITE_SECOND : Times.Step.WRITE_FIRST);
     }
 
     @Override
     public void delete(String name) throws IOException {
-        Files.deleteIfExists(dir.resolve(name));
+        Files.deleteIfExists(directory.resolve(name));
     }
 
     @Override
-    public void forceNames() throws IOException {
-        long began = System.nanoTime();
-        force(dir);
-        times.add(second ? Times.Of.NAMES_SECOND : Times.Of.NAMES_FIRST, began, System.nanoTime());
+    public void forceDirectory() throws IOException {
+        long startedAt = System.nanoTime();
+        force(directory);
+        times.record(secondCopy ? Times.Step.NAMES_SECOND : Times.Step.NAMES_FIRST, startedAt, System.nanoTime());
     }
 
     /** A lock of the operating system, released when the process ends in any way. */
@@ -122,7 +122,7 @@
         }
         FileChannel c;
         try {
-            c = FileChannel.open(dir.resolve(LOCK), StandardOpenOption.WRITE, StandardOpenOption.CREATE);
+            c = FileChannel.open(directory.resolve(LOCK_FILE_NAME), StandardOpenOption.WRITE, StandardOpenOption.CREATE);
         } catch (AccessDeniedException e) {
             return () -> {}; // a directory without write permission is opened for reading, and every write refused
         }
@@ -133,18 +133,18 @@
             }
         } catch (OverlappingFileLockException e) {
             c.close();
-            throw new Refused(Refused.Cause.IN_USE, where() + " is open in this process already", e);
+            throw new Refused(Refused.Cause.IN_USE, description() + " is open in this process already", e);
         }
         c.close();
-        throw new Refused(Refused.Cause.IN_USE, where() + " is in use by another process: end it first");
+        throw new Refused(Refused.Cause.IN_USE, description() + " is in use by another process: end it first");
     }
 
     @Override
-    public String where() {
-        return dir.toString();
+    public String description() {
+        return directory.toString();
     }
 
-    private record File(FileChannel channel, Times times, Times.Of forces, Times.Of writes) implements Handle {
+    private record FileHandle(FileChannel channel, Times times, Times.Step forceStep, Times.Step writeStep) implements Handle {
         @Override
         public int read(long at, ByteBuffer into) throws IOException {
             return channel.read(into, at);
@@ -152,19 +152,19 @@
 
         @Override
         public int write(long at, ByteBuffer from) throws IOException {
-            long began = System.nanoTime();
-            int wrote = channel.write(from, at);
-            if (writes != null) {
-                times.add(writes, began, System.nanoTime());
+            long startedAt = System.nanoTime();
+            int written = channel.write(from, at);
+            if (writeStep != null) {
+                times.record(writeStep, startedAt, System.nanoTime());
             }
-            return wrote;
+            return written;
         }
 
         @Override
         public void force() throws IOException {
-            long began = System.nanoTime();
+            long startedAt = System.nanoTime();
             channel.force(false);
-            times.add(forces, began, System.nanoTime());
+            times.record(forceStep, startedAt, System.nanoTime());
         }
 
         @Override
--- a/durable/src/main/java/tallyweir/durable/FileStore.java
+++ b/durable/src/main/java/tallyweir/durable/FileStore.java
@@ -12,8 +12,8 @@
 
 /** A store on the file system with its threads, for a process that keeps it open. */
 public final class FileStore implements AutoCloseable {
-    private final SideBySide both = new SideBySide();
-    private final ExecutorService aside = Executors.newSingleThreadExecutor(r -> {
+    private final SideBySide copyExecutor = new SideBySide();
+    private final ExecutorService backgroundExecutor = Executors.newSingleThreadExecutor(r -> {
         Thread t = new Thread(r, "durable aside");
         t.setDaemon(true);
         return t;
@@ -33,11 +33,11 @@
             Path first,
             Path second,
             int segmentBytes,
-            int sector,
+            int sectorBytes,
             double deadShare,
-            long scrubEvery,
-            long pendingMost,
-            long forceEvery,
+            long scrubInterval,
+            long maxPendingBytes,
+            long forceInterval,
             long upkeepRate,
             List<Namespace> namespaces)
             throws IOException {
@@ -45,26 +45,26 @@
             store = new Durable(
                     new FileDisk(first, times, false),
                     new FileDisk(second, times, true),
-                    both,
+                    copyExecutor,
                     segmentBytes,
-                    sector,
+                    sectorBytes,
                     deadShare,
-                    scrubEvery,
+                    scrubInterval,
                     namespaces,
                     ThreadLocalRandom.current().nextLong(),
-                    FileStore::clock,
-                    aside,
+                    FileStore::currentTime,
+                    backgroundExecutor,
                     Boolean.getBoolean("tallyweir.drill.nofence") ? Set.of(Defence.FENCE) : Set.of());
         } catch (IOException | RuntimeException e) {
-            both.close();
-            aside.shutdown();
+            copyExecutor.close();
+            backgroundExecutor.shutdown();
             throw e;
         }
-        committer = new Committer(store, pendingMost, forceEvery, upkeepRate, times);
+        committer = new Committer(store, maxPendingBytes, forceInterval, upkeepRate, times);
     }
 
     /** The system's wall clock, in tenths of a millisecond since 1970. */
-    public static long clock() {
+    public static long currentTime() {
         Instant t = Instant.now();
         return t.getEpochSecond() * 10_000 + t.getNano() / 100_000;
     }
@@ -83,9 +83,9 @@
      * @param socket a path in the store's own directory
      * @param more further commands by name, besides those about the store itself
      */
-    public void openAdminSocket(Path socket, Map<String, AdminSocket.Command> more) throws IOException {
+    public void openAdminSocket(Path socket, Map<String, AdminSocket.Command> additionalCommands) throws IOException {
         Map<String, AdminSocket.Command> all = AdminCommands.of(store, times);
-        all.putAll(more);
+        all.putAll(additionalCommands);
         adminSocket = new AdminSocket(socket, all);
     }
 
@@ -102,7 +102,7 @@
         }
         committer.close();
         store.close();
-        both.close();
-        aside.shutdown();
+        copyExecutor.close();
+        backgroundExecutor.shutdown();
     }
 }
--- a/durable/src/main/java/tallyweir/durable/Format.java
+++ b/durable/src/main/java/tallyweir/durable/Format.java
@@ -16,30 +16,30 @@
     static final int VERSION = 1;
 
     static final int MAGIC = 0x54574431;
-    static final byte HEAD = 1;
-    static final byte DATA = 2;
-    static final int FRAME = 24;
+    static final byte HEAD_FRAME = 1;
+    static final byte DATA_FRAME = 2;
+    static final int FRAME_HEADER_BYTES = 24;
     static final byte PUT = 1;
     static final byte DELETE = 2;
     /** Record type that drops the segment whose number is the key. */
-    static final byte DROPPED = 3;
+    static final byte DROP_SEGMENT = 3;
 
-    static final int RECORD = 29;
-    static final int KEY_MOST = 1_024;
-    static final int VALUE_MOST = 16 << 20;
-    static final int BATCH_MOST = 24 << 20;
-    static final int GROUP_MOST = 1 << 20;
-    static final int FRAME_MOST = BATCH_MOST + GROUP_MOST + (1 << 20);
-    static final String SUFFIX = ".seg";
+    static final int RECORD_HEADER_BYTES = 29;
+    static final int MAX_KEY_BYTES = 1_024;
+    static final int MAX_VALUE_BYTES = 16 << 20;
+    static final int MAX_BATCH_BYTES = 24 << 20;
+    static final int MAX_GROUP_BYTES = 1 << 20;
+    static final int MAX_FRAME_BYTES = MAX_BATCH_BYTES + MAX_GROUP_BYTES + (1 << 20);
+    static final String SEGMENT_SUFFIX = ".seg";
 
     private Format() {}
 
-    static String name(int segment) {
-        return String.format("%010d%s", segment, SUFFIX);
+    static String segmentFileName(int segment) {
+        return String.format("%010d%s", segment, SEGMENT_SUFFIX);
     }
 
     /** The number of the segment with a file name, or -1 if the name is not that of a segment. */
-    static int segment(String name) {
+    static int segmentNumber(String name) {
         return name.matches("[0-9]{10}\\.seg")
                 ? (int) Math.min(Integer.MAX_VALUE, Long.parseLong(name.substring(0, 10)))
                 : -1;
@@ -56,12 +56,12 @@
     }
 
     /** The checksum of the frame that begins at an index, leaving out the checksum field itself. */
-    private static int frameChecksum(long storeId, int segment, long place, byte[] b, int at, int length) {
+    private static int frameChecksum(long storeId, int segment, long offset, byte[] b, int at, int length) {
         CRC32C crc = new CRC32C();
         crc.update(ByteBuffer.allocate(20)
                 .putLong(storeId)
                 .putInt(segment)
-                .putLong(place)
+                .putLong(offset)
                 .flip());
         crc.update(b, at, 12);
         crc.update(b, at + 16, 8 + length);
@@ -69,14 +69,14 @@
     }
 
     /** Writes the header for a content of the given length. The checksum of a head does not cover the store id. */
-    static void seal(byte[] b, int at, byte kind, int length, long number, long storeId, int segment, long place) {
-        ByteBuffer.wrap(b, at, FRAME)
+    static void writeFrameHeader(byte[] b, int at, byte kind, int length, long number, long storeId, int segment, long offset) {
+        ByteBuffer.wrap(b, at, FRAME_HEADER_BYTES)
                 .putInt(MAGIC)
                 .putInt(kind << 24)
                 .putInt(length)
                 .putInt(0)
                 .putLong(number);
-        int sum = frameChecksum(kind == HEAD ? 0 : storeId, segment, place, b, at, length);
+        int sum = frameChecksum(kind == HEAD_FRAME ? 0 : storeId, segment, offset, b, at, length);
         ByteBuffer.wrap(b).putInt(at + 12, sum);
     }
 
@@ -84,22 +84,22 @@
     static int contentLength(byte[] b, int at, byte kind) {
         ByteBuffer in = ByteBuffer.wrap(b);
         int length = in.getInt(at + 8);
-        return in.getInt(at) == MAGIC && in.getInt(at + 4) == kind << 24 && length <= FRAME_MOST ? length : -1;
+        return in.getInt(at) == MAGIC && in.getInt(at + 4) == kind << 24 && length <= MAX_FRAME_BYTES ? length : -1;
     }
 
     /** Whether the checksum in the header at an index matches this frame at this offset of the segment. */
-    static boolean matches(byte[] b, int at, long storeId, int segment, long place) {
+    static boolean checksumMatches(byte[] b, int at, long storeId, int segment, long offset) {
         ByteBuffer in = ByteBuffer.wrap(b);
-        boolean head = b[at + 4] == HEAD;
-        return in.getInt(at + 12) == frameChecksum(head ? 0 : storeId, segment, place, b, at, in.getInt(at + 8));
+        boolean head = b[at + 4] == HEAD_FRAME;
+        return in.getInt(at + 12) == frameChecksum(head ? 0 : storeId, segment, offset, b, at, in.getInt(at + 8));
     }
 
-    static long number(byte[] b, int at) {
+    static long frameNumber(byte[] b, int at) {
         return ByteBuffer.wrap(b).getLong(at + 16);
     }
 
     /** Writes a record at an index and returns the index after it. */
-    static int record(byte[] b, int at, byte type, int namespace, long stamp, long expires, byte[] key, byte[] value) {
+    static int writeRecord(byte[] b, int at, byte type, int namespace, long stamp, long expiresAt, byte[] key, byte[] value) {
         int length = value == null ? 0 : value.length;
         ByteBuffer out = ByteBuffer.wrap(b);
         out.position(at + 4);
@@ -108,7 +108,7 @@
                 .putShort((short) key.length)
                 .putInt(length)
                 .putLong(stamp)
-                .putLong(expires)
+                .putLong(expiresAt)
                 .put(key);
         if (length > 0) {
             out.put(value);
@@ -119,51 +119,51 @@
     }
 
     /** A view of one record within a buffer; key and value are copied only when requested. */
-    record Rec(byte[] in, int at) {
+    record RecordView(byte[] buffer, int index) {
         byte type() {
-            return in[at + 4];
+            return buffer[index + 4];
         }
 
         int namespace() {
-            return ByteBuffer.wrap(in).getShort(at + 5) & 0xffff;
+            return ByteBuffer.wrap(buffer).getShort(index + 5) & 0xffff;
         }
 
         int keyLength() {
-            return ByteBuffer.wrap(in).getShort(at + 7) & 0xffff;
+            return ByteBuffer.wrap(buffer).getShort(index + 7) & 0xffff;
         }
 
         int valueLength() {
-            return ByteBuffer.wrap(in).getInt(at + 9);
+            return ByteBuffer.wrap(buffer).getInt(index + 9);
         }
 
         long stamp() {
-            return ByteBuffer.wrap(in).getLong(at + 13);
+            return ByteBuffer.wrap(buffer).getLong(index + 13);
         }
 
-        long expires() {
-            return ByteBuffer.wrap(in).getLong(at + 21);
+        long expiresAt() {
+            return ByteBuffer.wrap(buffer).getLong(index + 21);
         }
 
         byte[] key() {
-            return Arrays.copyOfRange(in, at + RECORD, at + RECORD + keyLength());
+            return Arrays.copyOfRange(buffer, index + RECORD_HEADER_BYTES, index + RECORD_HEADER_BYTES + keyLength());
         }
 
         byte[] value() {
-            int from = at + RECORD + keyLength();
-            return Arrays.copyOfRange(in, from, from + valueLength());
+            int from = index + RECORD_HEADER_BYTES + keyLength();
+            return Arrays.copyOfRange(buffer, from, from + valueLength());
         }
 
         int length() {
-            return RECORD + keyLength() + valueLength();
+            return RECORD_HEADER_BYTES + keyLength() + valueLength();
         }
 
         /** Whether a complete record begins here and ends at or before an index, and (if checked) its checksum matches. */
-        boolean whole(int end, boolean checked) {
-            return end - at >= RECORD
+        boolean isIntact(int end, boolean verifyChecksum) {
+            return end - index >= RECORD_HEADER_BYTES
                     && valueLength() >= 0
-                    && keyLength() <= end - at - RECORD
-                    && valueLength() <= end - at - RECORD - keyLength()
-                    && (!checked || ByteBuffer.wrap(in).getInt(at) == checksum(in, at + 4, length() - 4));
+                    && keyLength() <= end - index - RECORD_HEADER_BYTES
+                    && valueLength() <= end - index - RECORD_HEADER_BYTES - keyLength()
+                    && (!verifyChecksum || ByteBuffer.wrap(buffer).getInt(index) == checksum(buffer, index + 4, length() - 4));
         }
     }
 }
--- a/durable/src/main/java/tallyweir/durable/Group.java
+++ b/durable/src/main/java/tallyweir/durable/Group.java
@@ -10,84 +10,84 @@
  * until another one is added. Used by the writing thread only.
  */
 final class Group {
-    private final Segment to;
+    private final Segment target;
     private final Namespace[] namespaces;
     private Index index;
-    private Index ages;
-    private long[] used;
-    private long[] keys;
+    private Index byAge;
+    private long[] usedBytes;
+    private long[] keyCounts;
     private byte[] bytes;
-    private int at = Format.FRAME;
+    private int position = Format.FRAME_HEADER_BYTES;
     private long lastStamp;
     private int records;
-    private int changes;
+    private int segmentChangeCount;
     // Fields per segment change: number, values, current values, their bytes, tombstone bytes, latest tombstone stamp.
-    private static final int WIDE = 6;
-    private long[] segments = new long[WIDE * 16];
-    private Group before;
+    private static final int CHANGE_FIELDS = 6;
+    private long[] segmentChanges = new long[CHANGE_FIELDS * 16];
+    private Group savepoint;
     // State changes deferred until the disk is writing; null if each change is applied at once.
-    private List<Runnable> later;
+    private List<Runnable> deferredChanges;
 
     /** @param to segment for the frame, null if nothing will be written */
-    Group(State from, Segment to, Namespace[] namespaces, long room) {
-        this.to = to;
+    Group(State from, Segment target, Namespace[] namespaces, long room) {
+        this.target = target;
         this.namespaces = namespaces;
         lastStamp = from.lastStamp();
         index = from.index();
-        ages = from.ages();
-        used = from.used().clone();
-        keys = from.keys().clone();
+        byAge = from.byAge();
+        usedBytes = from.usedBytes().clone();
+        keyCounts = from.keyCounts().clone();
         bytes = new byte[(int) Math.max(4_096, room)];
     }
 
     private Group(Group g) {
-        to = g.to;
+        target = g.target;
         namespaces = g.namespaces;
         index = g.index;
-        ages = g.ages;
-        used = g.used.clone();
-        keys = g.keys.clone();
-        at = g.at;
+        byAge = g.byAge;
+        usedBytes = g.usedBytes.clone();
+        keyCounts = g.keyCounts.clone();
+        position = g.position;
         lastStamp = g.lastStamp;
         records = g.records;
-        changes = g.changes;
+        segmentChangeCount = g.segmentChangeCount;
     }
 
     /** Defers state changes until {@link #apply}. Only valid if no bound has to be checked and nothing is rolled back. */
-    void applyLater() {
-        later = new ArrayList<>();
+    void deferChanges() {
+        deferredChanges = new ArrayList<>();
     }
 
     /** Applies the deferred state changes. */
     void apply() {
-        List<Runnable> now = later == null ? List.of() : later;
-        later = null;
-        now.forEach(Runnable::run);
+        List<Runnable> deferred = deferredChanges == null ? List.of() : deferredChanges;
+        deferredChanges = null;
+        deferred.forEach(Runnable::run);
     }
 
-    private void change(Runnable of) {
-        if (later == null) {
+    private void addChange(Runnable of) {
+        if (deferredChanges == null) {
             of.run();
         } else {
-            later.add(of);
+            deferredChanges.add(of);
         }
     }
 
     /** Sets the savepoint for {@link #back}. */
-    void mark() {
-        before = new Group(this);
+    void setSavepoint() {
+        savepoint = new Group(this);
     }
 
     /** Rolls back to the last savepoint. */
-    void back() {
-        index = before.index;
-        ages = before.ages;
-        used = before.used;
-        keys = before.keys;
-        at = before.at;
-        lastStamp = before.lastStamp;
-        records = before.records;
-        changes = before.changes;
+    void rollBack() {
+        index = savepoint.index;
+        byAge = savepoint.byAge;
+        usedBytes = savepoint.usedBytes;
+        keyCounts = savepoint.keyCounts;
+        position = savepoint.position;
+        lastStamp = savepoint.lastStamp;
+        records = savepoint.records;
+        segmentChangeCount = savepoint.segmentChangeCount;
     }
 
     int records() {
@@ -95,15 +95,15 @@
     }
 
     int contentLength() {
-        return at - Format.FRAME;
+        return position - Format.FRAME_HEADER_BYTES;
     }
 
     long lastStamp() {
         return lastStamp;
     }
 
-    long used(int namespace) {
-        return used[namespace];
+    long usedBytes(int namespace) {
+        return usedBytes[namespace];
     }
 
     Index index() {
@@ -111,12 +111,12 @@
     }
 
     State state() {
-        return new State(index, ages, used, keys, lastStamp);
+        return new State(index, byAge, usedBytes, keyCounts, lastStamp);
     }
 
     /** The frame's buffer, at least as long as the frame rounded up to complete sectors. */
     byte[] bytes(int sector) {
-        int length = (int) Format.align(at, sector);
+        int length = (int) Format.align(position, sector);
         if (bytes.length < length) {
             bytes = Arrays.copyOf(bytes, length);
         }
@@ -124,12 +124,12 @@
     }
 
     private int write(byte type, int namespace, long stamp, long expires, byte[] key, byte[] value) {
-        int length = Format.RECORD + key.length + (value == null ? 0 : value.length);
-        if (at + length > bytes.length) {
-            bytes = Arrays.copyOf(bytes, Math.max(at + length, bytes.length * 2));
+        int length = Format.RECORD_HEADER_BYTES + key.length + (value == null ? 0 : value.length);
+        if (position + length > bytes.length) {
+            bytes = Arrays.copyOf(bytes, Math.max(position + length, bytes.length * 2));
         }
-        int from = at;
-        at = Format.record(bytes, at, type, namespace, stamp, expires, key, value);
+        int from = position;
+        position = Format.writeRecord(bytes, position, type, namespace, stamp, expires, key, value);
         records++;
         return from;
     }
@@ -137,36 +137,36 @@
     /** Writes a new value under the next stamp. */
     void put(int namespace, byte[] key, byte[] value, long expires, long now) {
         lastStamp = Stamp.next(lastStamp, now);
-        place(namespace, key, value, lastStamp, expires);
+        writeValue(namespace, key, value, lastStamp, expires);
     }
 
     /** Rewrites the current value of a key at a new place, with its old stamp. */
-    void move(Format.Rec r) {
-        place(r.namespace(), r.key(), r.value(), r.stamp(), r.expires());
+    void move(Format.RecordView r) {
+        writeValue(r.namespace(), r.key(), r.value(), r.stamp(), r.expiresAt());
     }
 
     /** Writes a record of another store, with its stamp. */
-    void take(int namespace, Found f) {
+    void importRecord(int namespace, Found f) {
         lastStamp = Math.max(lastStamp, f.stamp());
-        place(namespace, f.key(), f.value(), f.stamp(), f.expires());
+        writeValue(namespace, f.key(), f.value(), f.stamp(), f.expiresAt());
     }
 
-    private void place(int namespace, byte[] key, byte[] value, long stamp, long expires) {
+    private void writeValue(int namespace, byte[] key, byte[] value, long stamp, long expires) {
         int from = write(Format.PUT, namespace, stamp, expires, key, value);
-        int length = at - from;
-        change(() -> placed(namespace, key, stamp, expires, from, length));
+        int length = position - from;
+        addChange(() -> indexValue(namespace, key, stamp, expires, from, length));
     }
 
-    private void placed(int namespace, byte[] key, long stamp, long expires, int from, int length) {
-        byte[] k = Index.key(namespace, key);
-        forget(k);
-        index = index.put(new Index.Entry(k, stamp, to.number, (int) (to.end + from), length, expires));
+    private void indexValue(int namespace, byte[] key, long stamp, long expires, int from, int length) {
+        byte[] k = Index.indexKey(namespace, key);
+        removeFromIndex(k);
+        index = index.put(new Index.Entry(k, stamp, target.number, (int) (target.endOffset + from), length, expires));
         if (namespaces[namespace].dropOldest()) {
-            ages = ages.put(new Index.Entry(State.age(k, stamp), stamp, 0, 0, 0, 0));
+            byAge = byAge.put(new Index.Entry(State.ageKey(k, stamp), stamp, 0, 0, 0, 0));
         }
-        used[namespace] += length;
-        keys[namespace]++;
-        change(to.number, 1, 1, length, 0, 0);
+        usedBytes[namespace] += length;
+        keyCounts[namespace]++;
+        addChange(target.number, 1, 1, length, 0, 0);
     }
 
     /** Deletes a key; writes a tombstone even if the key does not exist. */
@@ -178,21 +178,21 @@
     /** Writes a tombstone with the given stamp; a value with a higher stamp is kept. */
     void tombstone(int namespace, byte[] key, long stamp) {
         int from = write(Format.DELETE, namespace, stamp, 0, key, null);
-        int length = at - from;
-        change(() -> deleted(namespace, key, stamp, length));
+        int length = position - from;
+        addChange(() -> indexTombstone(namespace, key, stamp, length));
     }
 
-    private void deleted(int namespace, byte[] key, long stamp, int length) {
-        byte[] k = Index.key(namespace, key);
+    private void indexTombstone(int namespace, byte[] key, long stamp, int length) {
+        byte[] k = Index.indexKey(namespace, key);
         Index.Entry old = index.get(k);
         if (old != null && old.stamp() <= stamp) {
-            forget(k);
+            removeFromIndex(k);
         }
-        change(to.number, 0, 0, 0, length, stamp);
+        addChange(target.number, 0, 0, 0, length, stamp);
     }
 
     /** Removes a key from the state without writing to the log. */
-    void forget(byte[] key) {
+    void removeFromIndex(byte[] key) {
         Index.Entry old = index.get(key);
         if (old == null) {
             return;
@@ -200,31 +200,31 @@
         int namespace = old.namespace();
         index = index.remove(key);
         if (namespaces[namespace].dropOldest()) {
-            ages = ages.remove(State.age(key, old.stamp()));
+            byAge = byAge.remove(State.ageKey(key, old.stamp()));
         }
-        used[namespace] -= old.length();
-        keys[namespace]--;
-        change(old.segment(), 0, -1, -old.length(), 0, 0);
+        usedBytes[namespace] -= old.length();
+        keyCounts[namespace]--;
+        addChange(old.segment(), 0, -1, -old.length(), 0, 0);
     }
 
     /**
      * Advances the store's time to the time at which a record was removed as expired. The time must not go back behind
      * it, or a later reader whose clock has stepped back would expect the record and not find it.
      */
-    void reached(long now) {
+    void advanceTime(long now) {
         lastStamp = Stamp.next(lastStamp, now);
     }
 
     /** Does the same on the disk, too: writes a record that drops no segment (number 0) but carries the time. */
-    void tellsTime(long now) {
-        reached(now);
-        dropped(0);
+    void writeTime(long now) {
+        advanceTime(now);
+        writeDropped(0);
     }
 
     /** Writes a record that a segment was dropped. */
-    void dropped(int segment) {
+    void writeDropped(int segment) {
         write(
-                Format.DROPPED,
+                Format.DROP_SEGMENT,
                 0,
                 lastStamp,
                 0,
@@ -233,33 +233,33 @@
     }
 
     /** Returns the key of a namespace's oldest record if it is older than a stamp, else null. */
-    byte[] oldest(int namespace, long than) {
-        Index.Entry e = ages.atOrAfter(Index.key(namespace, new byte[0]));
-        if (e == null || e.namespace() != namespace || e.stamp() >= than) {
+    byte[] oldestKey(int namespace, long beforeStamp) {
+        Index.Entry e = byAge.atOrAfter(Index.indexKey(namespace, new byte[0]));
+        if (e == null || e.namespace() != namespace || e.stamp() >= beforeStamp) {
             return null;
         }
         return Arrays.copyOfRange(e.key(), 10, e.key().length);
     }
 
-    private void change(int segment, long puts, long current, long live, long tombstones, long stamp) {
-        if ((changes + 1) * WIDE > segments.length) {
-            segments = Arrays.copyOf(segments, segments.length * 2);
+    private void addChange(int segment, long puts, long current, long live, long tombstones, long stamp) {
+        if ((segmentChangeCount + 1) * CHANGE_FIELDS > segmentChanges.length) {
+            segmentChanges = Arrays.copyOf(segmentChanges, segmentChanges.length * 2);
         }
         long[] of = {segment, puts, current, live, tombstones, stamp};
-        System.arraycopy(of, 0, segments, changes * WIDE, WIDE);
-        changes++;
+        System.arraycopy(of, 0, segmentChanges, segmentChangeCount * CHANGE_FIELDS, CHANGE_FIELDS);
+        segmentChangeCount++;
     }
 
     /** Applies the changes to the segments' counts; to be called once the frame is on the disk. */
-    void settle(Log log) {
-        for (int i = 0; i < changes * WIDE; i += WIDE) {
-            Segment s = log.segment((int) segments[i]);
+    void applyToSegments(Log log) {
+        for (int i = 0; i < segmentChangeCount * CHANGE_FIELDS; i += CHANGE_FIELDS) {
+            Segment s = log.segment((int) segmentChanges[i]);
             if (s != null) {
-                s.puts += segments[i + 1];
-                s.current += segments[i + 2];
-                s.live += segments[i + 3];
-                s.tombstones += segments[i + 4];
-                s.lastTombstone = Math.max(s.lastTombstone, segments[i + 5]);
+                s.valueCount += segmentChanges[i + 1];
+                s.currentCount += segmentChanges[i + 2];
+                s.liveBytes += segmentChanges[i + 3];
+                s.tombstoneBytes += segmentChanges[i + 4];
+                s.lastTombstoneStamp = Math.max(s.lastTombstoneStamp, segmentChanges[i + 5]);
             }
         }
         log.lastStamp(lastStamp);
--- a/durable/src/main/java/tallyweir/durable/Head.java
+++ b/durable/src/main/java/tallyweir/durable/Head.java
@@ -20,20 +20,20 @@
  * @param lastStamp the last stamp given before the head
  * @param opening how often the store had been opened for writing, this opening included
  * @param names the names of the namespaces, indexed by their numbers
- * @param older the older segments that are part of the store
+ * @param olderSegments the older segments that are part of the store
  */
 record Head(
         long storeId,
         int segment,
         long firstFrame,
         long lastStamp,
-        long opening,
-        List<String> names,
-        List<Older> older) {
+        long openingNumber,
+        List<String> namespaceNames,
+        List<OlderSegment> olderSegments) {
     /** An older segment that is part of the store, up to an end offset (exclusive). */
-    record Older(int segment, long firstFrame, long created, long endFrame, long end) {}
+    record OlderSegment(int segment, long firstFrame, long createdStamp, long endFrame, long endOffset) {}
 
-    byte[] bytes() {
+    byte[] toBytes() {
         try {
             ByteArrayOutputStream bytes = new ByteArrayOutputStream();
             DataOutputStream out = new DataOutputStream(bytes);
@@ -42,20 +42,20 @@
             out.writeInt(segment);
             out.writeLong(firstFrame);
             out.writeLong(lastStamp);
-            out.writeLong(opening);
-            out.writeInt(names.size());
-            for (String name : names) {
+            out.writeLong(openingNumber);
+            out.writeInt(namespaceNames.size());
+            for (String name : namespaceNames) {
                 byte[] n = name.getBytes(StandardCharsets.US_ASCII);
                 out.writeByte(n.length);
                 out.write(n);
             }
-            out.writeInt(older.size());
-            for (Older o : older) {
+            out.writeInt(olderSegments.size());
+            for (OlderSegment o : olderSegments) {
                 out.writeInt(o.segment);
                 out.writeLong(o.firstFrame);
-                out.writeLong(o.created);
+                out.writeLong(o.createdStamp);
                 out.writeLong(o.endFrame);
-                out.writeLong(o.end);
+                out.writeLong(o.endOffset);
             }
             return bytes.toByteArray();
         } catch (IOException e) {
@@ -68,7 +68,7 @@
      *
      * @throws Refused NEWER_FORMAT if the version is higher than this program supports
      */
-    static Head of(byte[] content) throws Refused {
+    static Head parse(byte[] content) throws Refused {
         try {
             ByteBuffer in = ByteBuffer.wrap(content);
             int version = in.getInt();
@@ -89,9 +89,9 @@
                 in.get(name);
                 names.add(new String(name, StandardCharsets.US_ASCII));
             }
-            List<Older> older = new ArrayList<>();
+            List<OlderSegment> older = new ArrayList<>();
             for (int n = in.getInt(); n > 0; n--) {
-                older.add(new Older(in.getInt(), in.getLong(), in.getLong(), in.getLong(), in.getLong()));
+                older.add(new OlderSegment(in.getInt(), in.getLong(), in.getLong(), in.getLong(), in.getLong()));
             }
             return new Head(id, segment, firstFrame, lastStamp, opening, names, older);
         } catch (BufferUnderflowException e) {
--- a/durable/src/main/java/tallyweir/durable/History.java
+++ b/durable/src/main/java/tallyweir/durable/History.java
@@ -24,50 +24,50 @@
         Durable open() throws IOException;
     }
 
-    static final List<Namespace> SPACES = List.of(
+    static final List<Namespace> NAMESPACES = List.of(
             new Namespace("plain", 1L << 40, false),
             new Namespace("ring", 900, true),
             new Namespace("full", 1_200, false));
 
     private record Value(byte[] bytes, long expires) {
-        boolean is(Found f) {
-            return Arrays.equals(bytes, f.value()) && expires == f.expires();
+        boolean matches(Found f) {
+            return Arrays.equals(bytes, f.value()) && expires == f.expiresAt();
         }
     }
 
     /** Expected content: keys in the order of their last write. */
     private static final class Model {
-        private final Map<String, LinkedHashMap<String, Value>> spaces = new HashMap<>();
+        private final Map<String, LinkedHashMap<String, Value>> namespaces = new HashMap<>();
 
         Model() {
-            SPACES.forEach(n -> spaces.put(n.name(), new LinkedHashMap<>()));
+            NAMESPACES.forEach(n -> namespaces.put(n.name(), new LinkedHashMap<>()));
         }
 
         Model(Model m) {
-            m.spaces.forEach((name, keys) -> spaces.put(name, new LinkedHashMap<>(keys)));
+            m.namespaces.forEach((name, keys) -> namespaces.put(name, new LinkedHashMap<>(keys)));
         }
 
-        private long used(String space) {
-            return spaces.get(space).entrySet().stream()
+        private long usedBytes(String space) {
+            return namespaces.get(space).entrySet().stream()
                     .mapToLong(e -> 29L + e.getKey().length() + e.getValue().bytes.length)
                     .sum();
         }
 
         /** Returns the model after a batch, or null if the batch must be refused. */
-        Model with(Batch b) {
+        Model afterBatch(Batch b) {
             Model m = new Model(this);
             Map<String, Set<String>> own = new HashMap<>();
             for (Batch.Write w : b.writes) {
                 String key = text(w.key());
-                m.spaces.get(w.namespace()).remove(key);
+                m.namespaces.get(w.namespace()).remove(key);
                 if (!w.isDelete()) {
-                    m.spaces.get(w.namespace()).put(key, new Value(w.value(), w.expires()));
+                    m.namespaces.get(w.namespace()).put(key, new Value(w.value(), w.expiresAt()));
                     own.computeIfAbsent(w.namespace(), n -> new HashSet<>()).add(key);
                 }
             }
-            for (Namespace n : SPACES) {
-                Iterator<String> oldest = m.spaces.get(n.name()).keySet().iterator();
-                while (m.used(n.name()) > n.boundBytes() && m.used(n.name()) > used(n.name())) {
+            for (Namespace n : NAMESPACES) {
+                Iterator<String> oldest = m.namespaces.get(n.name()).keySet().iterator();
+                while (m.usedBytes(n.name()) > n.maxBytes() && m.usedBytes(n.name()) > usedBytes(n.name())) {
                     String key = n.dropOldest() ? oldest.next() : null;
                     if (key == null || own.getOrDefault(n.name(), Set.of()).contains(key)) {
                         return null;
@@ -79,19 +79,19 @@
         }
     }
 
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
     private final Opener opener;
     private Durable store;
     private Model acknowledged = new Model();
-    private final List<Model> possible = new ArrayList<>();
+    private final List<Model> possibleOutcomes = new ArrayList<>();
     private long clock = 17_000_000_000_000L;
     private long lost;
     private long torn;
-    private final List<String> wrong = new ArrayList<>();
-    private final Set<Integer> written = new HashSet<>();
+    private final List<String> violations = new ArrayList<>();
+    private final Set<Integer> writtenValueHashes = new HashSet<>();
 
     History(long seed, Opener opener) {
-        chance = new SplittableRandom(seed);
+        random = new SplittableRandom(seed);
         this.opener = opener;
     }
 
@@ -115,8 +115,8 @@
     }
 
     /** Descriptions of the deviations. */
-    List<String> wrong() {
-        return wrong;
+    List<String> violations() {
+        return violations;
     }
 
     private static String text(byte[] key) {
@@ -130,23 +130,23 @@
     /** Plays the given number of steps. Throws if the power is cut or an opening fails. */
     void play(int steps) throws IOException {
         for (int i = 0; i < steps; i++) {
-            int kind = chance.nextInt(20);
+            int kind = random.nextInt(20);
             if (kind < 12) {
                 write();
             } else if (kind < 14) {
-                clock += chance.nextInt(0, 3_000);
+                clock += random.nextInt(0, 3_000);
             } else if (kind < 15) {
-                clock -= chance.nextInt(0, 2_000);
+                clock -= random.nextInt(0, 2_000);
             } else if (kind < 17) {
-                quietly(() -> {
-                    for (int n = chance.nextInt(1, 6); n > 0; n--) {
+                ignoringFailures(() -> {
+                    for (int n = random.nextInt(1, 6); n > 0; n--) {
                         store.upkeep(1_024);
                     }
                 });
             } else if (kind < 18) {
                 store.snapshot();
             } else if (kind < 19) {
-                quietly(store::compactAll);
+                ignoringFailures(store::compactAll);
             } else {
                 store.close();
                 open();
@@ -160,7 +160,7 @@
     }
 
     /** Runs upkeep, ignoring faults of the disk: they must not harm written records. */
-    private static void quietly(Work work) {
+    private static void ignoringFailures(Work work) {
         try {
             work.run();
         } catch (IOException hindered) {
@@ -171,65 +171,65 @@
     /** Writes one group of batches. */
     void write() {
         List<Batch> group = new ArrayList<>();
-        for (int n = chance.nextInt(1, 4); n > 0; n--) {
+        for (int n = random.nextInt(1, 4); n > 0; n--) {
             group.add(batch());
         }
-        Model maybe = acknowledged;
+        Model after = acknowledged;
         List<Boolean> expected = new ArrayList<>();
         for (Batch b : group) {
-            Model next = maybe.with(b);
+            Model next = after.afterBatch(b);
             expected.add(next != null);
-            maybe = next == null ? maybe : next;
+            after = next == null ? after : next;
         }
-        possible.add(maybe); // from here on the group may be on the disk
-        List<Refused> answers = store.commit(group);
-        for (int i = 0; i < answers.size(); i++) {
-            Refused r = answers.get(i);
-            if (r != null && r.why() != Cause.AT_BOUND) {
-                if (r.why() != Cause.UNKNOWN) {
-                    possible.remove(possible.size() - 1);
+        possibleOutcomes.add(after); // from here on the group may be on the disk
+        List<Refused> refusals = store.commit(group);
+        for (int i = 0; i < refusals.size(); i++) {
+            Refused r = refusals.get(i);
+            if (r != null && r.reason() != Cause.AT_BOUND) {
+                if (r.reason() != Cause.UNKNOWN) {
+                    possibleOutcomes.remove(possibleOutcomes.size() - 1);
                 }
                 return;
             }
             if ((r == null) != expected.get(i)) {
-                wrong.add("batch " + i + " was " + (r == null ? "accepted" : "refused") + " at the bound");
+                violations.add("batch " + i + " was " + (r == null ? "accepted" : "refused") + " at the bound");
                 torn++;
             }
         }
-        acknowledged = maybe;
-        possible.clear();
+        acknowledged = after;
+        possibleOutcomes.clear();
     }
 
     private Batch batch() {
         Batch b = new Batch();
-        for (int n = chance.nextInt(1, 5); n > 0; n--) {
-            String space = SPACES.get(chance.nextInt(3)).name();
+        for (int n = random.nextInt(1, 5); n > 0; n--) {
+            String space = NAMESPACES.get(random.nextInt(3)).name();
             byte[] key = key(space);
-            if (chance.nextInt(5) == 0) {
+            if (random.nextInt(5) == 0) {
                 b.delete(space, key);
             } else {
                 b.put(
                         space,
                         key,
                         value(),
-                        space.equals("plain") && chance.nextInt(3) == 0 ? clock + chance.nextInt(1, 6_000) : 0);
+                        space.equals("plain") && random.nextInt(3) == 0 ? clock + random.nextInt(1, 6_000) : 0);
             }
         }
         return b;
     }
 
     private byte[] key(String space) {
-        int n = chance.nextInt(space.equals("plain") ? 14 : 9);
+        int n = random.nextInt(space.equals("plain") ? 14 : 9);
         return n == 0 ? new byte[0] : ("key" + n).getBytes(StandardCharsets.ISO_8859_1);
     }
 
     private byte[] value() {
         byte[] v = new byte
-                [chance.nextInt(8) == 0 ? 0 : chance.nextInt(12) == 0 ? chance.nextInt(900) : chance.nextInt(90)];
+                [random.nextInt(8) == 0 ? 0 : random.nextInt(12) == 0 ? random.nextInt(900) : random.nextInt(90)];
         for (int i = 0; i < v.length; i++) {
-            v[i] = (byte) chance.nextInt(256);
+            v[i] = (byte) random.nextInt(256);
         }
-        written.add(Arrays.hashCode(v));
+        writtenValueHashes.add(Arrays.hashCode(v));
         return v;
     }
 
@@ -238,20 +238,20 @@
      * Returns true if it is exact.
      */
     boolean check() {
-        long before = wrong.size();
-        List<String> best = null;
+        long violationsBefore = violations.size();
+        List<String> fewest = null;
         Model found = null;
-        List<Model> all = new ArrayList<>(possible);
+        List<Model> all = new ArrayList<>(possibleOutcomes);
         all.add(0, acknowledged);
         for (Model m : all) {
-            List<String> off = compare(m, store);
-            if (best == null || off.size() < best.size()) {
-                best = off;
+            List<String> deviations = compare(m, store);
+            if (fewest == null || deviations.size() < fewest.size()) {
+                fewest = deviations;
                 found = m;
             }
         }
-        for (String w : best) {
-            wrong.add(w);
+        for (String w : fewest) {
+            violations.add(w);
             if (w.startsWith("lost")) {
                 lost++;
             } else {
@@ -259,8 +259,8 @@
             }
         }
         acknowledged = found;
-        possible.clear();
-        return wrong.size() == before;
+        possibleOutcomes.clear();
+        return violations.size() == violationsBefore;
     }
 
     /** Describes how a store deviates from the acknowledged model, without changing this history. */
@@ -269,33 +269,33 @@
     }
 
     private List<String> compare(Model m, Durable with) {
-        List<String> off = new ArrayList<>();
+        List<String> deviations = new ArrayList<>();
         long now = with.now();
         try (View view = with.view()) {
-            for (Namespace n : SPACES) {
-                Map<String, Value> left = new HashMap<>(m.spaces.get(n.name()));
-                left.values().removeIf(v -> v.expires != 0 && v.expires <= now);
+            for (Namespace n : NAMESPACES) {
+                Map<String, Value> missing = new HashMap<>(m.namespaces.get(n.name()));
+                missing.values().removeIf(v -> v.expires != 0 && v.expires <= now);
                 Iterator<Found> in = view.range(n.name(), new byte[0], null);
                 while (in.hasNext()) {
                     Found f;
                     try {
                         f = in.next();
                     } catch (RuntimeException e) {
-                        off.add("lost: " + e.getMessage());
+                        deviations.add("lost: " + e.getMessage());
                         continue;
                     }
                     String key = text(f.key());
-                    Value v = left.remove(key);
+                    Value v = missing.remove(key);
                     if (v == null) {
-                        off.add("returned: " + n.name() + "/" + key + " must not exist");
-                    } else if (!v.is(f)) {
-                        off.add((written.contains(Arrays.hashCode(f.value())) ? "lost: " : "returned: ") + n.name()
+                        deviations.add("returned: " + n.name() + "/" + key + " must not exist");
+                    } else if (!v.matches(f)) {
+                        deviations.add((writtenValueHashes.contains(Arrays.hashCode(f.value())) ? "lost: " : "returned: ") + n.name()
                                 + "/" + key + " is not as last written");
                     }
                 }
-                left.keySet().forEach(key -> off.add("lost: " + n.name() + "/" + key));
+                missing.keySet().forEach(key -> deviations.add("lost: " + n.name() + "/" + key));
             }
         }
-        return off;
+        return deviations;
     }
 }
--- a/durable/src/main/java/tallyweir/durable/IndexFile.java
+++ b/durable/src/main/java/tallyweir/durable/IndexFile.java
@@ -22,8 +22,8 @@
  * @param nextFrame the number of the first frame not covered
  * @param lastStamp the last stamp covered
  * @param lastSegment the segment of the last frame covered, 0 if there was none
- * @param lastPlace the offset of that frame in its segment
- * @param lastSum the checksum of that frame
+ * @param lastOffset the offset of that frame in its segment
+ * @param lastChecksum the checksum of that frame
  * @param segments the state of each segment that was part of the store, by number
  * @param leaves the leaves of the index in key order
  */
@@ -31,68 +31,68 @@
         long nextFrame,
         long lastStamp,
         int lastSegment,
-        long lastPlace,
-        int lastSum,
-        Map<Integer, Of> segments,
+        long lastOffset,
+        int lastChecksum,
+        Map<Integer, SegmentState> segments,
         List<byte[]> leaves) {
     /** The state of one segment up to the last frame covered. */
-    record Of(long endFrame, long end, long puts, long tombstones, long lastTombstone) {}
+    record SegmentState(long endFrame, long endOffset, long valueCount, long tombstoneBytes, long lastTombstoneStamp) {}
 
     private static final int MAGIC = 0x54574931;
-    private static final int PIECE = 1 << 20;
-    private static final String FORM = "index-[0-9]{19}\\.idx";
+    private static final int CHUNK_BYTES = 1 << 20;
+    private static final String FILE_NAME_PATTERN = "index-[0-9]{19}\\.idx";
 
-    private static String name(long nextFrame) {
+    private static String fileName(long nextFrame) {
         return String.format("index-%019d.idx", nextFrame);
     }
 
-    private static List<String> names(Disk disk) throws IOException {
-        return disk.names().stream()
-                .filter(n -> n.matches(FORM))
+    private static List<String> fileNames(Disk disk) throws IOException {
+        return disk.fileNames().stream()
+                .filter(n -> n.matches(FILE_NAME_PATTERN))
                 .sorted(Comparator.reverseOrder())
                 .toList();
     }
 
     /** Writes and forces the snapshot, then deletes older ones; returns the bytes written. */
     long write(Disk disk, long storeId) throws IOException {
-        String name = name(nextFrame);
+        String name = fileName(nextFrame);
         long size = 0;
         try (Disk.Handle file = disk.create(name)) {
             CRC32C crc = new CRC32C();
-            ByteArrayOutputStream piece = new ByteArrayOutputStream();
-            DataOutputStream out = new DataOutputStream(piece);
+            ByteArrayOutputStream chunk = new ByteArrayOutputStream();
+            DataOutputStream out = new DataOutputStream(chunk);
             out.writeInt(MAGIC);
             out.writeInt(Format.VERSION);
             out.writeLong(storeId);
             out.writeLong(nextFrame);
             out.writeLong(lastStamp);
             out.writeInt(lastSegment);
-            out.writeLong(lastPlace);
-            out.writeInt(lastSum);
+            out.writeLong(lastOffset);
+            out.writeInt(lastChecksum);
             out.writeInt(segments.size());
-            for (Map.Entry<Integer, Of> s : segments.entrySet()) {
+            for (Map.Entry<Integer, SegmentState> s : segments.entrySet()) {
                 out.writeInt(s.getKey());
                 out.writeLong(s.getValue().endFrame);
-                out.writeLong(s.getValue().end);
-                out.writeLong(s.getValue().puts);
-                out.writeLong(s.getValue().tombstones);
-                out.writeLong(s.getValue().lastTombstone);
+                out.writeLong(s.getValue().endOffset);
+                out.writeLong(s.getValue().valueCount);
+                out.writeLong(s.getValue().tombstoneBytes);
+                out.writeLong(s.getValue().lastTombstoneStamp);
             }
             out.writeInt(leaves.size());
             for (byte[] leaf : leaves) {
                 out.writeShort(leaf.length);
                 out.write(leaf);
-                if (piece.size() >= PIECE) {
-                    size += flush(file, size, piece, crc);
+                if (chunk.size() >= CHUNK_BYTES) {
+                    size += flush(file, size, chunk, crc);
                 }
             }
-            size += flush(file, size, piece, crc);
+            size += flush(file, size, chunk, crc);
             out.writeInt((int) crc.getValue());
-            size += flush(file, size, piece, crc);
+            size += flush(file, size, chunk, crc);
             file.force();
         }
-        disk.forceNames();
-        for (String older : names(disk)) {
+        disk.forceDirectory();
+        for (String older : fileNames(disk)) {
             if (!older.equals(name)) {
                 disk.delete(older);
             }
@@ -100,9 +100,9 @@
         return size;
     }
 
-    private static long flush(Disk.Handle file, long at, ByteArrayOutputStream piece, CRC32C crc) throws IOException {
-        byte[] b = piece.toByteArray();
-        piece.reset();
+    private static long flush(Disk.Handle file, long at, ByteArrayOutputStream chunk, CRC32C crc) throws IOException {
+        byte[] b = chunk.toByteArray();
+        chunk.reset();
         crc.update(b);
         file.writeFully(at, ByteBuffer.wrap(b));
         return b.length;
@@ -112,37 +112,37 @@
      * Reads the newest snapshot that is valid by itself, null if there is none; whether it matches the log is checked by
      * {@link #fits}.
      *
-     * @param distrust whether to check checksum and store id; false in drills only
+     * @param verify whether to check checksum and store id; false in drills only
      */
-    static IndexFile newest(Disk disk, long storeId, boolean distrust, Figures figures) {
+    static IndexFile readNewest(Disk disk, long storeId, boolean verify, Figures figures) {
         try {
-            for (String name : names(disk)) {
-                IndexFile f = read(disk, name, storeId, distrust);
+            for (String name : fileNames(disk)) {
+                IndexFile f = read(disk, name, storeId, verify);
                 if (f != null) {
                     return f;
                 }
-                figures.add(Figures.Of.SNAPSHOTS_DISTRUSTED);
+                figures.add(Figures.Counter.SNAPSHOTS_DISTRUSTED);
             }
         } catch (IOException e) {
-            figures.add(Figures.Of.SNAPSHOTS_DISTRUSTED);
+            figures.add(Figures.Counter.SNAPSHOTS_DISTRUSTED);
         }
         return null;
     }
 
-    private static IndexFile read(Disk disk, String name, long storeId, boolean distrust) {
+    private static IndexFile read(Disk disk, String name, long storeId, boolean verify) {
         try (Disk.Handle file = disk.open(name)) {
             if (file.size() > Integer.MAX_VALUE - 64 || file.size() < 8) {
                 return null;
             }
             byte[] b = new byte[(int) file.size()];
             if (file.readFully(0, ByteBuffer.wrap(b)) < b.length
-                    || distrust
+                    || verify
                             && Format.checksum(b, 0, b.length - 4)
                                     != ByteBuffer.wrap(b).getInt(b.length - 4)) {
                 return null;
             }
             DataInputStream in = new DataInputStream(new ByteArrayInputStream(b));
-            if (in.readInt() != MAGIC || in.readInt() != Format.VERSION || in.readLong() != storeId && distrust) {
+            if (in.readInt() != MAGIC || in.readInt() != Format.VERSION || in.readLong() != storeId && verify) {
                 return null;
             }
             long nextFrame = in.readLong();
@@ -150,11 +150,11 @@
             int lastSegment = in.readInt();
             long lastPlace = in.readLong();
             int lastSum = in.readInt();
-            Map<Integer, Of> segments = new HashMap<>();
+            Map<Integer, SegmentState> segments = new HashMap<>();
             for (int n = in.readInt(); n > 0; n--) {
                 segments.put(
                         in.readInt(),
-                        new Of(in.readLong(), in.readLong(), in.readLong(), in.readLong(), in.readLong()));
+                        new SegmentState(in.readLong(), in.readLong(), in.readLong(), in.readLong(), in.readLong()));
             }
             List<byte[]> leaves = new ArrayList<>();
             for (int n = in.readInt(); n > 0; n--) {
@@ -169,15 +169,15 @@
     }
 
     /** Whether the log contains the last frame covered, unchanged. Also true if its segment has been dropped since. */
-    boolean fits(Log log) {
+    boolean matchesLog(Log log) {
         Segment s = log.segment(lastSegment);
         if (s == null) {
             return true;
         }
         for (int c = 0; c < log.copies(); c++) {
             Window w = new Window(s.copies[c]);
-            int at = w.frame(lastPlace, nextFrame - 1, log.storeId(), s.number, log.has(Defence.CHECKSUM));
-            if (at >= 0 && ByteBuffer.wrap(w.buffer()).getInt(at + 12) == lastSum) {
+            int at = w.loadFrame(lastOffset, nextFrame - 1, log.storeId(), s.number, log.isEnabled(Defence.CHECKSUM));
+            if (at >= 0 && ByteBuffer.wrap(w.buffer()).getInt(at + 12) == lastChecksum) {
                 return true;
             }
         }
--- a/durable/src/main/java/tallyweir/durable/Kills.java
+++ b/durable/src/main/java/tallyweir/durable/Kills.java
@@ -24,24 +24,24 @@
  */
 public final class Kills {
     private static final int WRITERS = 8;
-    private static final int KEYS = 40;
-    private static final int SEGMENT = 1 << 16;
-    private static final Namespace SPACE = new Namespace("kills", 1L << 30, false);
+    private static final int KEYS_PER_WRITER = 40;
+    private static final int SEGMENT_BYTES = 1 << 16;
+    private static final Namespace NAMESPACE = new Namespace("kills", 1L << 30, false);
 
     private Kills() {}
 
     /** Kills a writer {@code kills} times over the same store and checks the store after each kill. */
-    public static Drill.Tally play(Path dir, long seed, int kills, Set<Defence> without)
+    public static Drill.Tally run(Path dir, long seed, int kills, Set<Defence> disabled)
             throws IOException, InterruptedException {
         clear(dir);
-        Drill.Tally t = new Drill.Tally();
-        SplittableRandom chance = new SplittableRandom(seed);
-        Map<Integer, Long> told = new HashMap<>();
-        for (int i = 0; i < kills && t.wrong().size() < 20; i++) {
-            writer(dir, chance, without, told);
-            look(dir, without, told, t, "kill " + i);
+        Drill.Tally tally = new Drill.Tally();
+        SplittableRandom random = new SplittableRandom(seed);
+        Map<Integer, Long> acknowledged = new HashMap<>();
+        for (int i = 0; i < kills && tally.violations().size() < 20; i++) {
+            runWriterUntilKilled(dir, random, disabled, acknowledged);
+            checkStore(dir, disabled, acknowledged, tally, "kill " + i);
         }
-        return t;
+        return tally;
     }
 
     private static void clear(Path dir) throws IOException {
@@ -56,7 +56,7 @@
         }
     }
 
-    private static void writer(Path dir, SplittableRandom chance, Set<Defence> without, Map<Integer, Long> told)
+    private static void runWriterUntilKilled(Path dir, SplittableRandom random, Set<Defence> disabled, Map<Integer, Long> acknowledged)
             throws IOException, InterruptedException {
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -67,54 +67,54 @@
                 System.getProperty("java.class.path"),
                 Kills.class.getName(),
                 dir.toString(),
-                Long.toString(chance.nextLong())));
-        without.forEach(d -> command.add(d.name()));
+                Long.toString(random.nextLong())));
+        disabled.forEach(d -> command.add(d.name()));
         Process writer = new ProcessBuilder(command)
                 .redirectError(ProcessBuilder.Redirect.INHERIT)
                 .start();
-        int lines = chance.nextInt(1, 4_000);
-        long pause = chance.nextInt(3);
+        int lines = random.nextInt(1, 4_000);
+        long pause = random.nextInt(3);
         try (BufferedReader in = writer.inputReader(StandardCharsets.US_ASCII)) {
             String line = "";
             for (int i = 0; i < lines && line != null; i++) {
                 line = in.readLine();
-                tell(line, told);
+                recordAcknowledgement(line, acknowledged);
             }
             TimeUnit.MILLISECONDS.sleep(pause);
             writer.toHandle().destroyForcibly(); // unlike Process.destroyForcibly, keeps the output readable
             for (line = in.readLine(); line != null; line = in.readLine()) {
-                tell(line, told);
+                recordAcknowledgement(line, acknowledged);
             }
         } finally {
             writer.destroyForcibly().waitFor();
         }
     }
 
-    private static void tell(String line, Map<Integer, Long> told) {
+    private static void recordAcknowledgement(String line, Map<Integer, Long> acknowledged) {
         String[] parts = line == null ? new String[0] : line.split(" ");
         if (parts.length == 3 && parts[2].equals(".")) { // complete lines only
-            told.merge(Integer.parseInt(parts[0]), Long.parseLong(parts[1]), Math::max);
+            acknowledged.merge(Integer.parseInt(parts[0]), Long.parseLong(parts[1]), Math::max);
         }
     }
 
-    private static void look(Path dir, Set<Defence> without, Map<Integer, Long> told, Drill.Tally t, String when) {
+    private static void checkStore(Path dir, Set<Defence> disabled, Map<Integer, Long> acknowledged, Drill.Tally tally, String when) {
         try (SideBySide both = new SideBySide();
-                Durable d = open(dir, both, without)) {
-            t.opened();
-            for (int key = 0; key < WRITERS * KEYS; key++) {
-                Found f = d.get(SPACE.name(), key(key));
+                Durable d = open(dir, both, disabled)) {
+            tally.countOpening();
+            for (int key = 0; key < WRITERS * KEYS_PER_WRITER; key++) {
+                Found f = d.get(NAMESPACE.name(), key(key));
                 long version = f == null ? 0 : ByteBuffer.wrap(f.value()).getLong();
-                if (version < told.getOrDefault(key, 0L)) {
-                    t.take(
-                            List.of("lost: key " + key + " is at " + version + ", acknowledged was " + told.get(key)),
+                if (version < acknowledged.getOrDefault(key, 0L)) {
+                    tally.countViolations(
+                            List.of("lost: key " + key + " is at " + version + ", acknowledged was " + acknowledged.get(key)),
                             when);
                 }
                 if (f != null && !Arrays.equals(f.value(), value(key, version))) {
-                    t.take(List.of("returned: key " + key + " is not what was written as version " + version), when);
+                    tally.countViolations(List.of("returned: key " + key + " is not what was written as version " + version), when);
                 }
             }
         } catch (IOException | RuntimeException e) {
-            t.failed(when + ": " + e);
+            tally.failed(when + ": " + e);
         }
     }
 
@@ -123,29 +123,29 @@
     }
 
     private static byte[] value(int key, long version) {
-        SplittableRandom chance = new SplittableRandom(key * 1_000_003L + version);
-        byte[] v = new byte[8 + chance.nextInt(200)];
+        SplittableRandom random = new SplittableRandom(key * 1_000_003L + version);
+        byte[] v = new byte[8 + random.nextInt(200)];
         ByteBuffer out = ByteBuffer.wrap(v).putLong(version);
         while (out.hasRemaining()) {
-            out.put((byte) chance.nextInt());
+            out.put((byte) random.nextInt());
         }
         return v;
     }
 
-    private static Durable open(Path dir, Both both, Set<Defence> without) throws IOException {
+    private static Durable open(Path dir, Both both, Set<Defence> disabled) throws IOException {
         return new Durable(
                 new FileDisk(dir.resolve("first")),
                 new FileDisk(dir.resolve("second")),
                 both,
-                SEGMENT,
-                Drill.SECTOR,
+                SEGMENT_BYTES,
+                Drill.SECTOR_BYTES,
                 0.4,
                 20_000,
-                List.of(SPACE),
+                List.of(NAMESPACE),
                 7,
-                FileStore::clock,
+                FileStore::currentTime,
                 Runnable::run,
-                without);
+                disabled);
     }
 
     /** The writing process. Arguments: directory, seed, names of disabled defences. Writes until it is killed. */
@@ -160,7 +160,7 @@
         List<Thread> writers = new ArrayList<>();
         for (int w = 0; w < WRITERS; w++) {
             SplittableRandom chance = new SplittableRandom(Long.parseLong(args[1]) + w);
-            int first = w * KEYS;
+            int first = w * KEYS_PER_WRITER;
             writers.add(new Thread(() -> write(d, c, out, chance, first)));
         }
         writers.forEach(Thread::start);
@@ -169,21 +169,21 @@
         }
     }
 
-    private static void write(Durable d, Committer c, PrintStream out, SplittableRandom chance, int first) {
+    private static void write(Durable d, Committer c, PrintStream out, SplittableRandom random, int first) {
         try {
             while (!out.checkError()) {
                 Batch b = new Batch();
-                StringBuilder said = new StringBuilder();
-                int key = first + chance.nextInt(KEYS);
-                for (int n = chance.nextInt(1, 4); n > 0; n--) {
-                    Found f = d.get(SPACE.name(), key(key));
+                StringBuilder acknowledgements = new StringBuilder();
+                int key = first + random.nextInt(KEYS_PER_WRITER);
+                for (int n = random.nextInt(1, 4); n > 0; n--) {
+                    Found f = d.get(NAMESPACE.name(), key(key));
                     long version = f == null ? 1 : ByteBuffer.wrap(f.value()).getLong() + 1;
-                    b.put(SPACE.name(), key(key), value(key, version));
-                    said.append(key).append(' ').append(version).append(" .\n");
-                    key = first + (key - first + 1) % KEYS;
+                    b.put(NAMESPACE.name(), key(key), value(key, version));
+                    acknowledgements.append(key).append(' ').append(version).append(" .\n");
+                    key = first + (key - first + 1) % KEYS_PER_WRITER;
                 }
                 c.write(b);
-                out.print(said);
+                out.print(acknowledgements);
                 out.flush();
             }
         } catch (IOException e) {
--- a/durable/src/main/java/tallyweir/durable/Log.java
+++ b/durable/src/main/java/tallyweir/durable/Log.java
@@ -19,7 +19,7 @@
     private final Both both;
     private final int segmentBytes;
     private final int sector;
-    private final Set<Defence> without;
+    private final Set<Defence> disabled;
     private final Figures figures;
     private final ConcurrentSkipListMap<Integer, Segment> segments = new ConcurrentSkipListMap<>();
     private final List<Segment> retired = new ArrayList<>();
@@ -30,28 +30,28 @@
     private long opening = 1;
     private long lastStamp;
     private List<String> names = new ArrayList<>();
-    private Last last = new Last(0, 0, 0);
+    private FrameLocation lastFrame = new FrameLocation(0, 0, 0);
     private Fence fence;
-    private boolean othersWrote;
+    private boolean otherProcessWrote;
 
-    Log(Disk first, Disk second, Both both, int segmentBytes, int sector, Set<Defence> without, Figures figures) {
+    Log(Disk first, Disk second, Both both, int segmentBytes, int sector, Set<Defence> disabled, Figures figures) {
         this.disks = new Disk[] {first, second};
         this.both = both;
         this.segmentBytes = segmentBytes;
         this.sector = sector;
-        this.without = without;
+        this.disabled = disabled;
         this.figures = figures;
     }
 
     /** Location and checksum of the last frame; segment 0 if there is none. */
-    record Last(int segment, long place, int sum) {}
+    record FrameLocation(int segment, long offset, int checksum) {}
 
-    boolean has(Defence d) {
-        return !without.contains(d);
+    boolean isEnabled(Defence d) {
+        return !disabled.contains(d);
     }
 
     int copies() {
-        return has(Defence.SECOND_COPY) ? 2 : 1;
+        return isEnabled(Defence.SECOND_COPY) ? 2 : 1;
     }
 
     int sector() {
@@ -90,18 +90,18 @@
             int lastSegment,
             long nextFrame,
             long lastStamp,
-            Last last) {
+            FrameLocation lastFrame) {
         this.storeId = storeId;
         this.opening = opening;
         this.names = names;
         this.lastSegment = lastSegment;
         this.nextFrame = nextFrame;
         this.lastStamp = lastStamp;
-        this.last = last;
+        this.lastFrame = lastFrame;
     }
 
-    Last last() {
-        return last;
+    FrameLocation lastFrame() {
+        return lastFrame;
     }
 
     void fence(Fence f) {
@@ -109,52 +109,52 @@
     }
 
     /** Whether another process has taken the store over. */
-    boolean fenced() {
-        return has(Defence.FENCE) && fence != null && (othersWrote || fence.raised() && fence.passed());
+    boolean isFenced() {
+        return isEnabled(Defence.FENCE) && fence != null && (otherProcessWrote || fence.isIncremented() && fence.isSuperseded());
     }
 
     /** The fencing number of this opening (its turn), 0 if nothing can be written. */
     long turn() {
-        return fence == null ? 0 : fence.own();
+        return fence == null ? 0 : fence.ownNumber();
     }
 
     /**
      * Raises the fence before the first write if that failed at opening. Succeeds only if no other process has written
      * since the log was read.
      */
-    private void raiseLate() throws Refused {
-        if (!has(Defence.FENCE) || fence == null || fence.raised()) {
+    private void raiseFenceBeforeFirstWrite() throws Refused {
+        if (!isEnabled(Defence.FENCE) || fence == null || fence.isIncremented()) {
             return;
         }
         try {
-            noteOthers(); // if another process writes, leave the fence to it
-            fence.raise();
-            noteOthers(); // nor did another process write while the fence was raised
+            checkForOtherWriters(); // if another process writes, leave the fence to it
+            fence.increment();
+            checkForOtherWriters(); // nor did another process write while the fence was raised
         } catch (Refused r) {
-            othersWrote = true;
-            throw figures.count(r);
+            otherProcessWrote = true;
+            throw figures.countRefusal(r);
         } catch (IOException e) {
-            throw figures.count(new Refused(Cause.NO_ROOM, "the store's turn cannot be written: " + e.getMessage(), e));
+            throw figures.countRefusal(new Refused(Cause.NO_ROOM, "the store's turn cannot be written: " + e.getMessage(), e));
         }
     }
 
-    private void noteOthers() throws IOException {
+    private void checkForOtherWriters() throws IOException {
         Segment newest = segments.isEmpty() ? null : segments.lastEntry().getValue();
         for (int c = 0; c < copies(); c++) {
-            othersWrote |= disks[c].names().stream().anyMatch(n -> Format.segment(n) > lastSegment)
+            otherProcessWrote |= disks[c].fileNames().stream().anyMatch(n -> Format.segmentNumber(n) > lastSegment)
                     || newest != null
-                            && new Window(newest.copies[c]).frame(newest.end, nextFrame, storeId, newest.number, true)
+                            && new Window(newest.copies[c]).loadFrame(newest.endOffset, nextFrame, storeId, newest.number, true)
                                     >= 0;
         }
-        if (othersWrote) {
+        if (otherProcessWrote) {
             throw new Refused(Cause.FENCED, "another process has written since: open the store again");
         }
     }
 
-    private void stillOurs() throws Refused {
-        if (fenced()) {
+    private void checkNotFenced() throws Refused {
+        if (isFenced()) {
             active = null;
-            throw figures.count(new Refused(Cause.FENCED, "another process has taken the store over"));
+            throw figures.countRefusal(new Refused(Cause.FENCED, "another process has taken the store over"));
         }
     }
 
@@ -189,51 +189,51 @@
     }
 
     /** Returns the segment for a frame of the given length: the active one, or a new one if it is full. */
-    Segment room(long bytes) throws Refused {
-        if (active != null && active.endFrame > active.firstFrame && active.end + bytes > segmentBytes) {
+    Segment segmentFor(long bytes) throws Refused {
+        if (active != null && active.endFrame > active.firstFrame && active.endOffset + bytes > segmentBytes) {
             active = null;
         }
         if (active == null) {
-            active = start();
+            active = createSegment();
         }
         return active;
     }
 
-    private Segment start() throws Refused {
-        stillOurs();
-        raiseLate();
+    private Segment createSegment() throws Refused {
+        checkNotFenced();
+        raiseFenceBeforeFirstWrite();
         int number = ++lastSegment;
-        List<Head.Older> older = new ArrayList<>();
-        segments.values().forEach(s -> older.add(new Head.Older(s.number, s.firstFrame, s.created, s.endFrame, s.end)));
-        byte[] head = new Head(storeId, number, nextFrame, lastStamp, opening, names, older).bytes();
-        byte[] b = new byte[(int) Format.align(Format.FRAME + head.length, sector)];
-        System.arraycopy(head, 0, b, Format.FRAME, head.length);
-        Format.seal(b, 0, Format.HEAD, head.length, nextFrame, storeId, number, 0);
+        List<Head.OlderSegment> older = new ArrayList<>();
+        segments.values().forEach(s -> older.add(new Head.OlderSegment(s.number, s.firstFrame, s.createdStamp, s.endFrame, s.endOffset)));
+        byte[] head = new Head(storeId, number, nextFrame, lastStamp, opening, names, older).toBytes();
+        byte[] b = new byte[(int) Format.align(Format.FRAME_HEADER_BYTES + head.length, sector)];
+        System.arraycopy(head, 0, b, Format.FRAME_HEADER_BYTES, head.length);
+        Format.writeFrameHeader(b, 0, Format.HEAD_FRAME, head.length, nextFrame, storeId, number, 0);
         Disk.Handle[] files = new Disk.Handle[2];
         try {
-            both.run(() -> begin(0, number, files, b), () -> begin(1, number, files, b));
+            both.run(() -> createSegmentFile(0, number, files, b), () -> createSegmentFile(1, number, files, b));
         } catch (IOException e) {
             for (int c = 0; c < copies(); c++) {
                 if (files[c] != null) {
                     close(files[c]);
-                    takeAway(c, number);
+                    deleteFile(c, number);
                 }
             }
-            throw figures.count(new Refused(Cause.NO_ROOM, "no new segment can be started: " + e.getMessage(), e));
+            throw figures.countRefusal(new Refused(Cause.NO_ROOM, "no new segment can be started: " + e.getMessage(), e));
         }
         Segment s = new Segment(number, nextFrame, lastStamp, files[0], files[1]);
         s.endFrame = nextFrame;
-        s.end = b.length;
+        s.endOffset = b.length;
         segments.put(number, s);
-        figures.add(Figures.Of.SEGMENTS);
+        figures.add(Figures.Counter.SEGMENTS);
         return s;
     }
 
-    private void begin(int copy, int number, Disk.Handle[] files, byte[] head) throws IOException {
+    private void createSegmentFile(int copy, int number, Disk.Handle[] files, byte[] head) throws IOException {
         if (copy < copies()) {
-            files[copy] = disks[copy].createNew(Format.name(number));
-            put(files[copy], 0, head, head.length);
-            if (has(Defence.FORCE_ORDER)) {
+            files[copy] = disks[copy].createNew(Format.segmentFileName(number));
+            writeAndForce(files[copy], 0, head, head.length);
+            if (isEnabled(Defence.FORCE_ORDER)) {
                 forceNames(copy);
             }
         }
@@ -249,29 +249,29 @@
     }
 
     void force(Disk.Handle file) throws IOException {
-        figures.add(Figures.Of.FORCES);
+        figures.add(Figures.Counter.FORCES);
         file.force();
     }
 
     void forceNames(int copy) throws IOException {
-        figures.add(Figures.Of.FORCES);
+        figures.add(Figures.Counter.FORCES);
         try {
-            disks[copy].forceNames();
+            disks[copy].forceDirectory();
         } catch (IOException e) {
             throw new ForceFailed(e);
         }
     }
 
-    private void put(Disk.Handle file, long at, byte[] b, int length) throws IOException {
-        file.writeFully(at, ByteBuffer.wrap(b, 0, length));
-        figures.add(Figures.Of.BYTES_WRITTEN, length);
-        if (!has(Defence.FORCE_ORDER)) {
+    private void writeAndForce(Disk.Handle file, long offset, byte[] b, int length) throws IOException {
+        file.writeFully(offset, ByteBuffer.wrap(b, 0, length));
+        figures.add(Figures.Counter.BYTES_WRITTEN, length);
+        if (!isEnabled(Defence.FORCE_ORDER)) {
             return;
         }
         try {
             force(file);
         } catch (IOException e) {
-            if (has(Defence.VOID_AFTER_FAILURE)) {
+            if (isEnabled(Defence.VOID_AFTER_FAILURE)) {
                 throw new ForceFailed(e);
             }
             force(file);
@@ -286,42 +286,42 @@
      */
     void append(byte[] b, int contentLength, Runnable meanwhile) throws Refused {
         Segment s = active;
-        int length = (int) Format.align(Format.FRAME + contentLength, sector);
-        Arrays.fill(b, Format.FRAME + contentLength, length, (byte) 0);
-        Format.seal(b, 0, Format.DATA, contentLength, nextFrame, storeId, s.number, s.end);
+        int length = (int) Format.align(Format.FRAME_HEADER_BYTES + contentLength, sector);
+        Arrays.fill(b, Format.FRAME_HEADER_BYTES + contentLength, length, (byte) 0);
+        Format.writeFrameHeader(b, 0, Format.DATA_FRAME, contentLength, nextFrame, storeId, s.number, s.endOffset);
         try {
             both.run(
-                    () -> put(s.copies[0], s.end, b, length),
+                    () -> writeAndForce(s.copies[0], s.endOffset, b, length),
                     () -> {
                         if (copies() > 1) {
-                            put(s.copies[1], s.end, b, length);
+                            writeAndForce(s.copies[1], s.endOffset, b, length);
                         }
                     },
                     meanwhile);
         } catch (IOException e) {
-            if (has(Defence.VOID_AFTER_FAILURE)) {
+            if (isEnabled(Defence.VOID_AFTER_FAILURE)) {
                 active = null;
-                figures.add(Figures.Of.ABANDONED);
+                figures.add(Figures.Counter.ABANDONED);
             }
-            throw figures.count(
-                    e instanceof ForceFailed || !wiped(s)
+            throw figures.countRefusal(
+                    e instanceof ForceFailed || !wipePartialFrame(s)
                             ? new Refused(Cause.UNKNOWN, "the disk did not confirm the records: " + e.getMessage(), e)
                             : new Refused(Cause.NO_ROOM, "the records cannot be written: " + e.getMessage(), e));
         }
-        stillOurs();
-        last = new Last(s.number, s.end, ByteBuffer.wrap(b).getInt(12));
-        s.end += length;
+        checkNotFenced();
+        lastFrame = new FrameLocation(s.number, s.endOffset, ByteBuffer.wrap(b).getInt(12));
+        s.endOffset += length;
         nextFrame++;
         s.endFrame = nextFrame;
     }
 
     /** Overwrites a partially written frame so that recovery cannot find it. Returns false if that is not certain. */
-    private boolean wiped(Segment s) {
+    private boolean wipePartialFrame(Segment s) {
         try {
             for (int c = 0; c < copies(); c++) {
-                if (s.copies[c].size() > s.end) {
-                    s.copies[c].writeFully(s.end, ByteBuffer.allocate((int)
-                            Math.min(sector, s.copies[c].size() - s.end)));
+                if (s.copies[c].size() > s.endOffset) {
+                    s.copies[c].writeFully(s.endOffset, ByteBuffer.allocate((int)
+                            Math.min(sector, s.copies[c].size() - s.endOffset)));
                     force(s.copies[c]);
                 }
             }
@@ -335,33 +335,33 @@
      * Reads a record from whichever copy holds it intact and matching its index entry; null if neither does. The caller
      * has pinned the segment.
      */
-    Format.Rec read(Segment s, Index.Entry e) {
+    Format.RecordView read(Segment s, Index.Entry e) {
         for (int c = 0; c < copies(); c++) {
             byte[] b = new byte[e.length()];
             try {
                 if (s.copies[c] != null
                         && s.copies[c].readFully(e.offset(), ByteBuffer.wrap(b)) == b.length
-                        && (has(Defence.CHECKSUM) ? isOf(b, e) : new Format.Rec(b, 0).whole(b.length, false))) {
+                        && (isEnabled(Defence.CHECKSUM) ? matches(b, e) : new Format.RecordView(b, 0).isIntact(b.length, false))) {
                     if (c > 0) {
-                        figures.add(Figures.Of.SECOND_READS);
+                        figures.add(Figures.Counter.SECOND_READS);
                     }
-                    return new Format.Rec(b, 0);
+                    return new Format.RecordView(b, 0);
                 }
             } catch (IOException unreadable) {
                 continue;
             }
         }
-        figures.add(Figures.Of.DAMAGED_READS);
+        figures.add(Figures.Counter.DAMAGED_READS);
         return null;
     }
 
-    private static boolean isOf(byte[] b, Index.Entry e) {
-        Format.Rec r = new Format.Rec(b, 0);
-        return r.whole(b.length, true)
+    private static boolean matches(byte[] b, Index.Entry e) {
+        Format.RecordView r = new Format.RecordView(b, 0);
+        return r.isIntact(b.length, true)
                 && r.type() == Format.PUT
                 && r.stamp() == e.stamp()
                 && r.namespace() == e.namespace()
-                && Arrays.equals(b, Format.RECORD, Format.RECORD + r.keyLength(), e.key(), 2, e.key().length);
+                && Arrays.equals(b, Format.RECORD_HEADER_BYTES, Format.RECORD_HEADER_BYTES + r.keyLength(), e.key(), 2, e.key().length);
     }
 
     /** Removes a segment from the log; its files are deleted once no reader has it pinned. */
@@ -381,13 +381,13 @@
     void deleteRetired() {
         boolean any = false;
         for (Segment s : List.copyOf(retired)) {
-            if (s.goneIfUnpinned()) {
+            if (s.markDeletedIfUnpinned()) {
                 retired.remove(s);
                 any = true;
                 close(s.copies[0]);
                 close(s.copies[1]);
-                takeAway(0, s.number);
-                takeAway(1, s.number);
+                deleteFile(0, s.number);
+                deleteFile(1, s.number);
             }
         }
         for (int c = 0; any && c < copies(); c++) {
@@ -399,10 +399,10 @@
         }
     }
 
-    private void takeAway(int copy, int number) {
+    private void deleteFile(int copy, int number) {
         try {
             if (copy < copies()) {
-                disks[copy].delete(Format.name(number));
+                disks[copy].delete(Format.segmentFileName(number));
             }
         } catch (IOException e) {
             return; // a file left over is in no head and is deleted at the next opening
