--- a/durable/src/main/java/tallyweir/durable/Opening.java
+++ b/durable/src/main/java/tallyweir/durable/Opening.java
@@ -18,12 +18,12 @@
  */
 final class Opening {
     private final Log log;
-    private final Set<Integer> dropped = new HashSet<>();
+    private final Set<Integer> droppedSegments = new HashSet<>();
     private Index index = Index.EMPTY;
     private long nextFrame = 1;
     private long lastStamp;
     private boolean fromSnapshot;
-    private Log.Last last = new Log.Last(0, 0, 0);
+    private Log.FrameLocation lastFrame = new Log.FrameLocation(0, 0, 0);
 
     Opening(Log log) {
         this.log = log;
@@ -40,42 +40,42 @@
 
     /** @param newId id for the store if it is new */
     void run(long newId) throws IOException {
-        TreeMap<Integer, Disk.Handle[]> files = files();
+        TreeMap<Integer, Disk.Handle[]> files = openFiles();
         TreeMap<Integer, Head> heads = new TreeMap<>();
         Set<Integer> suspect = new HashSet<>();
         for (Map.Entry<Integer, Disk.Handle[]> f : files.entrySet()) {
-            Head head = head(f.getKey(), f.getValue(), suspect);
+            Head head = readHead(f.getKey(), f.getValue(), suspect);
             if (head != null) {
                 heads.put(f.getKey(), head);
             }
         }
         int lastFile = files.isEmpty() ? 0 : files.lastKey();
         if (heads.isEmpty()) {
-            log.resume(newId, 1, new ArrayList<>(), lastFile, nextFrame, lastStamp, last);
-            takeAway(files, Set.of());
+            log.resume(newId, 1, new ArrayList<>(), lastFile, nextFrame, lastStamp, lastFrame);
+            deleteUnused(files, Set.of());
             return;
         }
         Head newest = heads.lastEntry().getValue();
         lastStamp = newest.lastStamp();
         log.resume(
                 newest.storeId(),
-                newest.opening() + 1,
-                new ArrayList<>(newest.names()),
+                newest.openingNumber() + 1,
+                new ArrayList<>(newest.namespaceNames()),
                 lastFile,
                 nextFrame,
                 lastStamp,
-                last);
-        Map<Integer, Head.Older> older = new HashMap<>();
-        newest.older().forEach(o -> older.put(o.segment(), o));
-        add(newest.segment(), newest.firstFrame(), newest.lastStamp(), files, suspect);
+                lastFrame);
+        Map<Integer, Head.OlderSegment> older = new HashMap<>();
+        newest.olderSegments().forEach(o -> older.put(o.segment(), o));
+        addSegment(newest.segment(), newest.firstFrame(), newest.lastStamp(), files, suspect);
         IndexFile snapshot = snapshot(older, files, suspect);
         findDropped(log.segment(newest.segment()), older.values(), snapshot);
-        for (Head.Older o : newest.older()) {
-            if (!dropped.contains(o.segment())) {
-                add(o.segment(), o.firstFrame(), o.created(), files, suspect);
+        for (Head.OlderSegment o : newest.olderSegments()) {
+            if (!droppedSegments.contains(o.segment())) {
+                addSegment(o.segment(), o.firstFrame(), o.createdStamp(), files, suspect);
             }
         }
-        takeAway(files, counting(newest));
+        deleteUnused(files, usedSegments(newest));
         for (Segment s : log.segments()) {
             read(
                     s,
@@ -84,29 +84,29 @@
                     suspect.contains(s.number));
         }
         if (snapshot != null) {
-            forgetGone();
+            removeEntriesOfDroppedSegments();
         }
-        index.each((namespace, stamp, segment, length, expires) -> {
+        index.forEach((namespace, stamp, segment, length, expires) -> {
             Segment s = log.segment(segment);
-            s.current++;
-            s.live += length;
+            s.currentCount++;
+            s.liveBytes += length;
         });
         log.resume(
                 newest.storeId(),
-                newest.opening() + 1,
-                new ArrayList<>(newest.names()),
+                newest.openingNumber() + 1,
+                new ArrayList<>(newest.namespaceNames()),
                 lastFile,
                 nextFrame,
                 lastStamp,
-                last);
+                lastFrame);
     }
 
     /** Opens all existing segment files; the handle of a missing copy is null. */
-    private TreeMap<Integer, Disk.Handle[]> files() throws IOException {
+    private TreeMap<Integer, Disk.Handle[]> openFiles() throws IOException {
         TreeMap<Integer, Disk.Handle[]> files = new TreeMap<>();
         for (int c = 0; c < log.copies(); c++) {
-            for (String name : log.disk(c).names()) {
-                int segment = Format.segment(name);
+            for (String name : log.disk(c).fileNames()) {
+                int segment = Format.segmentNumber(name);
                 if (segment > 0 && segment < Integer.MAX_VALUE) {
                     files.computeIfAbsent(segment, s -> new Disk.Handle[2])[c] =
                             log.disk(c).open(name);
@@ -116,17 +116,17 @@
         return files;
     }
 
-    private Head head(int segment, Disk.Handle[] files, Set<Integer> suspect) throws IOException {
+    private Head readHead(int segment, Disk.Handle[] files, Set<Integer> suspect) throws IOException {
         Head head = null;
         for (int c = 0; c < log.copies(); c++) {
             Window w = new Window(files[c]);
-            int at = w.frame(0, -1, 0, segment, log.has(Defence.CHECKSUM));
+            int at = w.loadFrame(0, -1, 0, segment, log.isEnabled(Defence.CHECKSUM));
             Head h = null;
             if (at >= 0) {
-                int length = Format.contentLength(w.buffer(), at, Format.HEAD);
+                int length = Format.contentLength(w.buffer(), at, Format.HEAD_FRAME);
                 byte[] content = new byte[length];
-                System.arraycopy(w.buffer(), at + Format.FRAME, content, 0, length);
-                h = Head.of(content);
+                System.arraycopy(w.buffer(), at + Format.FRAME_HEADER_BYTES, content, 0, length);
+                h = Head.parse(content);
             }
             if (h == null) {
                 suspect.add(segment);
@@ -138,7 +138,7 @@
     }
 
     /** Adds a segment that is in use; a missing copy is created empty, to be filled by the repair. */
-    private void add(
+    private void addSegment(
             int segment, long firstFrame, long created, Map<Integer, Disk.Handle[]> files, Set<Integer> suspect) {
         if (log.segment(segment) != null) {
             return;
@@ -148,11 +148,11 @@
             if (of[c] == null) {
                 suspect.add(segment);
                 try {
-                    of[c] = log.disk(c).create(Format.name(segment));
+                    of[c] = log.disk(c).create(Format.segmentFileName(segment));
                     log.forceNames(c);
-                    log.figures().add(Figures.Of.FILES_REMADE);
+                    log.figures().add(Figures.Counter.FILES_REMADE);
                 } catch (IOException e) {
-                    log.figures().add(Figures.Of.UNREPAIRED);
+                    log.figures().add(Figures.Counter.UNREPAIRED);
                 }
             }
         }
@@ -160,42 +160,42 @@
     }
 
     /** Deletes files that the newest head does not list: incompletely created or compacted away. */
-    private void takeAway(Map<Integer, Disk.Handle[]> files, Set<Integer> counting) {
+    private void deleteUnused(Map<Integer, Disk.Handle[]> files, Set<Integer> used) {
         files.forEach((segment, of) -> {
-            if (!counting.contains(segment)) {
+            if (!used.contains(segment)) {
                 log.retire(new Segment(segment, 0, 0, of[0], of[1]));
             }
         });
         log.deleteRetired();
     }
 
-    private Set<Integer> counting(Head newest) {
-        Set<Integer> counting = new HashSet<>(Set.of(newest.segment()));
-        newest.older().forEach(o -> counting.add(o.segment()));
-        counting.removeAll(dropped);
-        return counting;
+    private Set<Integer> usedSegments(Head newest) {
+        Set<Integer> used = new HashSet<>(Set.of(newest.segment()));
+        newest.olderSegments().forEach(o -> used.add(o.segment()));
+        used.removeAll(droppedSegments);
+        return used;
     }
 
     private IndexFile snapshot(
-            Map<Integer, Head.Older> older, Map<Integer, Disk.Handle[]> files, Set<Integer> suspect) {
-        boolean distrust = log.has(Defence.SNAPSHOT_DISTRUST);
-        IndexFile f = IndexFile.newest(log.disk(0), log.storeId(), distrust, log.figures());
+            Map<Integer, Head.OlderSegment> older, Map<Integer, Disk.Handle[]> files, Set<Integer> suspect) {
+        boolean distrust = log.isEnabled(Defence.SNAPSHOT_DISTRUST);
+        IndexFile f = IndexFile.readNewest(log.disk(0), log.storeId(), distrust, log.figures());
         if (f == null) {
             return null;
         }
-        Head.Older with = older.get(f.lastSegment());
-        if (with != null && files.containsKey(f.lastSegment())) {
-            add(with.segment(), with.firstFrame(), with.created(), files, suspect);
+        Head.OlderSegment lastCovered = older.get(f.lastSegment());
+        if (lastCovered != null && files.containsKey(f.lastSegment())) {
+            addSegment(lastCovered.segment(), lastCovered.firstFrame(), lastCovered.createdStamp(), files, suspect);
         }
-        if (distrust && !f.fits(log)) {
-            log.figures().add(Figures.Of.SNAPSHOTS_DISTRUSTED);
+        if (distrust && !f.matchesLog(log)) {
+            log.figures().add(Figures.Counter.SNAPSHOTS_DISTRUSTED);
             return null;
         }
-        index = Index.of(f.leaves());
+        index = Index.fromLeaves(f.leaves());
         lastStamp = Math.max(lastStamp, f.lastStamp());
         nextFrame = f.nextFrame();
         fromSnapshot = true;
-        this.last = new Log.Last(f.lastSegment(), f.lastPlace(), f.lastSum());
+        this.lastFrame = new Log.FrameLocation(f.lastSegment(), f.lastOffset(), f.lastChecksum());
         return f;
     }
 
@@ -203,74 +203,74 @@
      * Finds the segments compacted away since the newest one was created: those the newest has a record of, and those
      * older than the snapshot but missing in it.
      */
-    private void findDropped(Segment newest, Iterable<Head.Older> older, IndexFile snapshot) throws IOException {
-        IndexFile.Of covered = snapshot == null ? null : snapshot.segments().get(newest.number);
+    private void findDropped(Segment newest, Iterable<Head.OlderSegment> older, IndexFile snapshot) throws IOException {
+        IndexFile.SegmentState covered = snapshot == null ? null : snapshot.segments().get(newest.number);
         Walk walk = covered == null
                 ? new Walk(log, newest, 0, newest.firstFrame, Long.MAX_VALUE, true)
-                : new Walk(log, newest, covered.end(), covered.endFrame(), Long.MAX_VALUE, true);
+                : new Walk(log, newest, covered.endOffset(), covered.endFrame(), Long.MAX_VALUE, true);
         while (walk.next()) {
-            int end = walk.content() + walk.contentLength();
-            for (int at = walk.content(); walk.start() > 0 && at < end; ) {
-                Format.Rec r = new Format.Rec(walk.buffer(), at);
-                if (!r.whole(end, log.has(Defence.CHECKSUM))) {
+            int end = walk.contentIndex() + walk.contentLength();
+            for (int at = walk.contentIndex(); walk.frameOffset() > 0 && at < end; ) {
+                Format.RecordView r = new Format.RecordView(walk.buffer(), at);
+                if (!r.isIntact(end, log.isEnabled(Defence.CHECKSUM))) {
                     break;
                 }
-                if (r.type() == Format.DROPPED && r.keyLength() == 4) {
-                    dropped.add(ByteBuffer.wrap(r.key()).getInt());
+                if (r.type() == Format.DROP_SEGMENT && r.keyLength() == 4) {
+                    droppedSegments.add(ByteBuffer.wrap(r.key()).getInt());
                 }
                 at += r.length();
             }
         }
-        walk.finish();
-        for (Head.Older o : older) {
+        walk.forceRepairs();
+        for (Head.OlderSegment o : older) {
             if (snapshot != null
                     && o.firstFrame() < snapshot.nextFrame()
                     && !snapshot.segments().containsKey(o.segment())) {
-                dropped.add(o.segment());
+                droppedSegments.add(o.segment());
             }
         }
-        for (int gone : dropped) {
+        for (int gone : droppedSegments) {
             if (log.segment(gone) != null) {
                 log.retire(log.segment(gone));
             }
         }
     }
 
-    private void read(Segment s, Head.Older bounds, IndexFile.Of covered, boolean suspect) throws IOException {
+    private void read(Segment s, Head.OlderSegment bounds, IndexFile.SegmentState covered, boolean suspect) throws IOException {
         long limit = bounds == null ? Long.MAX_VALUE : bounds.endFrame();
-        long place = covered == null ? 0 : covered.end();
+        long place = covered == null ? 0 : covered.endOffset();
         long frame = covered == null ? s.firstFrame : covered.endFrame();
         if (covered != null) {
-            s.puts = covered.puts();
-            s.tombstones = covered.tombstones();
-            s.lastTombstone = covered.lastTombstone();
-            if (suspect || shorter(s, place)) {
+            s.valueCount = covered.valueCount();
+            s.tombstoneBytes = covered.tombstoneBytes();
+            s.lastTombstoneStamp = covered.lastTombstoneStamp();
+            if (suspect || isShorterThan(s, place)) {
                 Walk again = new Walk(log, s, 0, s.firstFrame, frame, true);
                 while (again.next()) {
-                    log.figures().add(Figures.Of.FRAMES_READ);
+                    log.figures().add(Figures.Counter.FRAMES_READ);
                 }
-                again.finish();
+                again.forceRepairs();
             }
         }
         Walk walk = new Walk(log, s, place, frame, limit, true);
         while (walk.next()) {
-            log.figures().add(Figures.Of.FRAMES_READ);
-            if (walk.start() > 0) {
-                last = new Log.Last(s.number, walk.start(), walk.sum());
+            log.figures().add(Figures.Counter.FRAMES_READ);
+            if (walk.frameOffset() > 0) {
+                lastFrame = new Log.FrameLocation(s.number, walk.frameOffset(), walk.checksum());
                 replay(s, walk);
             }
         }
-        walk.finish();
+        walk.forceRepairs();
         log.figures()
                 .add(
-                        Figures.Of.LOST_FRAMES,
-                        walk.lost() + (bounds == null ? 0 : Math.max(0, limit - walk.nextFrame())));
+                        Figures.Counter.LOST_FRAMES,
+                        walk.lostFrames() + (bounds == null ? 0 : Math.max(0, limit - walk.nextFrame())));
         s.endFrame = bounds == null ? walk.nextFrame() : bounds.endFrame();
-        s.end = bounds == null ? Math.max(walk.nextPlace(), log.sector()) : bounds.end();
+        s.endOffset = bounds == null ? Math.max(walk.nextOffset(), log.sector()) : bounds.endOffset();
         nextFrame = Math.max(nextFrame, s.endFrame);
     }
 
-    private boolean shorter(Segment s, long end) throws IOException {
+    private boolean isShorterThan(Segment s, long end) throws IOException {
         for (int c = 0; c < log.copies(); c++) {
             if (s.copies[c] == null || s.copies[c].size() < end) {
                 return true;
@@ -280,32 +280,32 @@
     }
 
     private void replay(Segment s, Walk walk) {
-        int at = walk.content();
+        int at = walk.contentIndex();
         int end = at + walk.contentLength();
         while (at < end) {
-            Format.Rec r = new Format.Rec(walk.buffer(), at);
-            if (!r.whole(end, log.has(Defence.CHECKSUM))) {
+            Format.RecordView r = new Format.RecordView(walk.buffer(), at);
+            if (!r.isIntact(end, log.isEnabled(Defence.CHECKSUM))) {
                 return;
             }
-            replay(s, r, walk.contentPlace() + at - walk.content());
+            replay(s, r, walk.contentOffset() + at - walk.contentIndex());
             at += r.length();
         }
     }
 
-    private void replay(Segment s, Format.Rec r, long place) {
-        byte[] key = Index.key(r.namespace(), r.key());
+    private void replay(Segment s, Format.RecordView r, long place) {
+        byte[] key = Index.indexKey(r.namespace(), r.key());
         Index.Entry old = index.get(key);
         boolean newer = old == null || old.stamp() <= r.stamp();
         switch (r.type()) {
             case Format.PUT -> {
-                s.puts++;
+                s.valueCount++;
                 if (newer) {
-                    index = index.put(new Index.Entry(key, r.stamp(), s.number, (int) place, r.length(), r.expires()));
+                    index = index.put(new Index.Entry(key, r.stamp(), s.number, (int) place, r.length(), r.expiresAt()));
                 }
             }
             case Format.DELETE -> {
-                s.tombstones += r.length();
-                s.lastTombstone = Math.max(s.lastTombstone, r.stamp());
+                s.tombstoneBytes += r.length();
+                s.lastTombstoneStamp = Math.max(s.lastTombstoneStamp, r.stamp());
                 if (newer) {
                     index = index.remove(key);
                 }
@@ -316,19 +316,19 @@
     }
 
     /** Removes entries that refer to a dropped segment: a record moved elsewhere has been replayed there, others have expired. */
-    private void forgetGone() {
+    private void removeEntriesOfDroppedSegments() {
         boolean[] any = new boolean[1];
-        index.each((namespace, stamp, segment, length, expires) -> any[0] |= log.segment(segment) == null);
-        List<Index.Entry> gone = new ArrayList<>();
+        index.forEach((namespace, stamp, segment, length, expires) -> any[0] |= log.segment(segment) == null);
+        List<Index.Entry> stale = new ArrayList<>();
         if (!any[0]) {
             return;
         }
         for (Index.Entry e = index.atOrAfter(new byte[0]); e != null; e = index.after(e.key())) {
             if (log.segment(e.segment()) == null) {
-                gone.add(e);
+                stale.add(e);
             }
         }
-        for (Index.Entry e : gone) {
+        for (Index.Entry e : stale) {
             index = index.remove(e.key());
         }
     }
--- a/durable/src/main/java/tallyweir/durable/ReadOnly.java
+++ b/durable/src/main/java/tallyweir/durable/ReadOnly.java
@@ -13,13 +13,13 @@
         this.disk = disk;
     }
 
-    private static IOException refused() {
+    private static IOException readOnlyFailure() {
         return new IOException("the directory is opened read-only");
     }
 
     @Override
-    public List<String> names() throws IOException {
-        return disk.names();
+    public List<String> fileNames() throws IOException {
+        return disk.fileNames();
     }
 
     @Override
@@ -33,12 +33,12 @@
 
             @Override
             public int write(long at, ByteBuffer from) throws IOException {
-                throw refused();
+                throw readOnlyFailure();
             }
 
             @Override
             public void force() throws IOException {
-                throw refused();
+                throw readOnlyFailure();
             }
 
             @Override
@@ -55,22 +55,22 @@
 
     @Override
     public Handle create(String name) throws IOException {
-        throw refused();
+        throw readOnlyFailure();
     }
 
     @Override
     public Handle createNew(String name) throws IOException {
-        throw refused();
+        throw readOnlyFailure();
     }
 
     @Override
     public void delete(String name) throws IOException {
-        throw refused();
+        throw readOnlyFailure();
     }
 
     @Override
-    public void forceNames() throws IOException {
-        throw refused();
+    public void forceDirectory() throws IOException {
+        throw readOnlyFailure();
     }
 
     @Override
@@ -79,7 +79,7 @@
     }
 
     @Override
-    public String where() {
-        return disk.where();
+    public String description() {
+        return disk.description();
     }
 }
--- a/durable/src/main/java/tallyweir/durable/Refused.java
+++ b/durable/src/main/java/tallyweir/durable/Refused.java
@@ -30,20 +30,20 @@
         BUSY
     }
 
-    private final Cause why;
+    private final Cause reason;
 
-    public Refused(Cause why, String text) {
+    public Refused(Cause reason, String text) {
         super(text);
-        this.why = why;
+        this.reason = reason;
     }
 
-    public Refused(Cause why, String text, Throwable cause) {
+    public Refused(Cause reason, String text, Throwable cause) {
         super(text, cause);
-        this.why = why;
+        this.reason = reason;
     }
 
     /** The cause of the refusal. */
-    public Cause why() {
-        return why;
+    public Cause reason() {
+        return reason;
     }
 }
--- a/durable/src/main/java/tallyweir/durable/Scrub.java
+++ b/durable/src/main/java/tallyweir/durable/Scrub.java
@@ -8,7 +8,7 @@
  */
 final class Scrub {
     private final Log log;
-    private int after;
+    private int lastSegmentNumber;
     private Segment segment;
     private Walk walk;
 
@@ -20,44 +20,44 @@
     boolean step(long bytes) throws IOException {
         long read = 0;
         while (read < bytes) {
-            if (walk == null && !begin()) {
+            if (walk == null && !startNextSegment()) {
                 return false;
             }
             if (walk.next()) {
-                read += Format.FRAME + walk.contentLength();
+                read += Format.FRAME_HEADER_BYTES + walk.contentLength();
             } else {
-                end();
+                finishSegment();
             }
         }
-        log.figures().add(Figures.Of.SCRUBBED_BYTES, read);
+        log.figures().add(Figures.Counter.SCRUBBED_BYTES, read);
         return true;
     }
 
-    private boolean begin() {
+    private boolean startNextSegment() {
         for (Segment s : log.segments()) {
-            if (s.number > after && s.pin()) {
+            if (s.number > lastSegmentNumber && s.pin()) {
                 segment = s;
-                after = s.number;
+                lastSegmentNumber = s.number;
                 walk = new Walk(log, s, 0, s.firstFrame, s.endFrame, true);
                 return true;
             }
         }
-        after = 0;
-        log.figures().add(Figures.Of.SCRUBS);
+        lastSegmentNumber = 0;
+        log.figures().add(Figures.Counter.SCRUBS);
         return false;
     }
 
-    private void end() {
-        walk.finish();
-        log.figures().add(Figures.Of.LOST_FRAMES, walk.lost());
+    private void finishSegment() {
+        walk.forceRepairs();
+        log.figures().add(Figures.Counter.LOST_FRAMES, walk.lostFrames());
         segment.unpin();
         walk = null;
     }
 
     /** Abandons the current segment, for example because it cannot be read at all. */
-    void skip() {
+    void skipSegment() {
         if (walk != null) {
-            end();
+            finishSegment();
         }
     }
 }
--- a/durable/src/main/java/tallyweir/durable/Segment.java
+++ b/durable/src/main/java/tallyweir/durable/Segment.java
@@ -7,7 +7,7 @@
  * Readers pin a segment so that its files are not deleted while they read it.
  */
 final class Segment {
-    private static final int GONE = Integer.MIN_VALUE;
+    private static final int DELETED = Integer.MIN_VALUE;
 
     final int number;
     /** The number of its first frame. */
@@ -17,32 +17,32 @@
     /** The number after its last frame. */
     long endFrame;
     /** The offset at which the next frame would begin; everything before it is part of the store. */
-    long end;
+    long endOffset;
     /** The last stamp given before the segment was started. */
-    final long created;
+    final long createdStamp;
     /** The number of values in the segment, current or not. */
-    long puts;
+    long valueCount;
     /** The number of values that are the current ones of their keys. */
-    long current;
+    long currentCount;
     /** The bytes of the current values. */
-    long live;
+    long liveBytes;
     /** The bytes of tombstones in the segment. */
-    long tombstones;
+    long tombstoneBytes;
     /** The highest stamp of a tombstone in the segment. */
-    long lastTombstone;
+    long lastTombstoneStamp;
 
     private final AtomicInteger pins = new AtomicInteger();
 
     Segment(int number, long firstFrame, long created, Disk.Handle first, Disk.Handle second) {
         this.number = number;
         this.firstFrame = firstFrame;
-        this.created = created;
+        this.createdStamp = created;
         copies = new Disk.Handle[] {first, second};
     }
 
     /** Prevents deletion of the files until {@link #unpin}; false if they are being deleted already. */
     boolean pin() {
-        return pins.getAndUpdate(p -> p == GONE ? GONE : p + 1) != GONE;
+        return pins.getAndUpdate(p -> p == DELETED ? DELETED : p + 1) != DELETED;
     }
 
     void unpin() {
@@ -50,8 +50,8 @@
     }
 
     /** Marks the segment as deleted if it is not pinned; from then on {@link #pin} fails. Returns whether it did so. */
-    boolean goneIfUnpinned() {
-        return pins.compareAndSet(0, GONE);
+    boolean markDeletedIfUnpinned() {
+        return pins.compareAndSet(0, DELETED);
     }
 
     boolean isPinned() {
@@ -59,8 +59,8 @@
     }
 
     /** Whether the segment holds a value that is no longer current. */
-    boolean hasStale() {
-        return puts > current;
+    boolean hasStaleValues() {
+        return valueCount > currentCount;
     }
 
     @Override
--- a/durable/src/main/java/tallyweir/durable/SideBySide.java
+++ b/durable/src/main/java/tallyweir/durable/SideBySide.java
@@ -16,37 +16,37 @@
 
     @Override
     public void run(Action first, Action other) throws IOException {
-        Future<?> done = beside(other);
-        IOException failed = null;
+        Future<?> done = submit(other);
+        IOException failure = null;
         try {
             first.run();
         } catch (IOException e) {
-            failed = e;
+            failure = e;
         }
-        IOException too = failureOf(done);
-        if (failed != null || too != null) {
-            throw failed != null ? failed : too;
+        IOException otherFailure = awaitFailure(done);
+        if (failure != null || otherFailure != null) {
+            throw failure != null ? failure : otherFailure;
         }
     }
 
     @Override
     public void run(Action first, Action other, Runnable meanwhile) throws IOException {
-        Future<?> one = beside(first);
-        Future<?> two = beside(other);
-        IOException failed;
-        IOException too;
+        Future<?> one = submit(first);
+        Future<?> two = submit(other);
+        IOException failure;
+        IOException otherFailure;
         try {
             meanwhile.run();
         } finally {
-            failed = failureOf(one);
-            too = failureOf(two);
+            failure = awaitFailure(one);
+            otherFailure = awaitFailure(two);
         }
-        if (failed != null || too != null) {
-            throw failed != null ? failed : too;
+        if (failure != null || otherFailure != null) {
+            throw failure != null ? failure : otherFailure;
         }
     }
 
-    private Future<?> beside(Action action) {
+    private Future<?> submit(Action action) {
         return threads.submit(() -> {
             action.run();
             return null;
@@ -54,7 +54,7 @@
     }
 
     /** Waits for completion and returns the failure, or null on success. */
-    private static IOException failureOf(Future<?> done) {
+    private static IOException awaitFailure(Future<?> done) {
         boolean interrupted = false;
         try {
             while (true) {
--- a/durable/src/main/java/tallyweir/durable/SimDisk.java
+++ b/durable/src/main/java/tallyweir/durable/SimDisk.java
@@ -23,18 +23,18 @@
 public final class SimDisk implements Disk {
     /** State shared by the disks of one machine: the count of I/O operations, the time of the power cut, the faults. */
     public static final class Power {
-        private final SplittableRandom chance;
+        private final SplittableRandom random;
         private long operations;
-        private long cutAt = Long.MAX_VALUE;
+        private long cutAtOperation = Long.MAX_VALUE;
         private long forces;
-        private long failForce = Long.MAX_VALUE;
-        private long failAlso = Long.MAX_VALUE;
-        private long room = Long.MAX_VALUE;
+        private long failingForce = Long.MAX_VALUE;
+        private long secondFailingForce = Long.MAX_VALUE;
+        private long remainingBytes = Long.MAX_VALUE;
         private boolean shortIo;
         private boolean readOnly;
 
         public Power(long seed) {
-            chance = new SplittableRandom(seed);
+            random = new SplittableRandom(seed);
         }
 
         /** Number of modifying I/O operations so far. */
@@ -43,63 +43,63 @@
         }
 
         /** Cuts the power during the nth operation from the start, counted from 1. */
-        public synchronized void cutAt(long operation) {
-            cutAt = operation;
+        public synchronized void cutAtOperation(long operation) {
+            cutAtOperation = operation;
         }
 
         /** Makes the nth force from now fail, counted from 1; the changes it covered never reach the disk. */
         public synchronized void failForce(long n) {
-            failForce = forces + n;
+            failingForce = forces + n;
         }
 
         /** Makes the nth force from now and the second after it fail: one in each copy if a failed force is retried. */
         public synchronized void failForceOfBoth(long n) {
             failForce(n);
-            failAlso = failForce + 2;
+            secondFailingForce = failingForce + 2;
         }
 
         /** Sets the bytes that may still be written before the disks are full. */
-        public synchronized void room(long bytes) {
-            room = bytes;
+        public synchronized void setRemainingBytes(long bytes) {
+            remainingBytes = bytes;
         }
 
         /** Sets whether reads and writes may transfer fewer bytes than requested. */
-        public synchronized void shortIo(boolean may) {
-            shortIo = may;
+        public synchronized void allowShortIo(boolean allowed) {
+            shortIo = allowed;
         }
 
         /** Sets whether the disks are read-only. */
-        public synchronized void readOnly(boolean is) {
+        public synchronized void setReadOnly(boolean is) {
             readOnly = is;
         }
 
-        private synchronized boolean step() throws IOException {
-            if (operations >= cutAt) {
+        private synchronized boolean beginOperation() throws IOException {
+            if (operations >= cutAtOperation) {
                 throw new PowerCut();
             }
             operations++;
             if (readOnly) {
                 throw new IOException("Read-only file system");
             }
-            return operations == cutAt;
+            return operations == cutAtOperation;
         }
 
-        private synchronized int part(int length) {
-            return shortIo && length > 1 ? chance.nextInt(1, length + 1) : length;
+        private synchronized int transferLength(int length) {
+            return shortIo && length > 1 ? random.nextInt(1, length + 1) : length;
         }
 
-        private synchronized int taken(int length) throws IOException {
-            if (room <= 0 && length > 0) {
+        private synchronized int takeSpace(int length) throws IOException {
+            if (remainingBytes <= 0 && length > 0) {
                 throw new IOException("No space left on device");
             }
-            int taken = (int) Math.min(room, length);
-            room -= taken;
+            int taken = (int) Math.min(remainingBytes, length);
+            remainingBytes -= taken;
             return taken;
         }
 
         private synchronized boolean forceFails() {
             forces++;
-            return forces == failForce || forces == failAlso;
+            return forces == failingForce || forces == secondFailingForce;
         }
     }
 
@@ -113,28 +113,28 @@
     }
 
     private static final class Content {
-        private byte[] seen = new byte[0];
+        private byte[] current = new byte[0];
         private int size;
-        private byte[] safe = new byte[0];
-        private int safeSize;
+        private byte[] durable = new byte[0];
+        private int durableSize;
         private final Set<Integer> dirty = new HashSet<>();
 
         private void grow(int to) {
-            if (to > seen.length) {
-                seen = Arrays.copyOf(seen, Math.max(to, seen.length * 2));
+            if (to > current.length) {
+                current = Arrays.copyOf(current, Math.max(to, current.length * 2));
             }
             size = Math.max(size, to);
         }
     }
 
-    private record Change(String name, Content to) {}
+    private record NameChange(String name, Content content) {}
 
     private final Power power;
     private final int sector;
     private final String where;
     private final Map<String, Content> files = new TreeMap<>();
-    private final Map<String, Content> safe = new HashMap<>();
-    private final List<Change> changes = new ArrayList<>();
+    private final Map<String, Content> durableFiles = new HashMap<>();
+    private final List<NameChange> unforcedNameChanges = new ArrayList<>();
     private boolean locked;
 
     public SimDisk(Power power, int sector, String where) {
@@ -144,31 +144,31 @@
     }
 
     /** Returns the directory as it might be found once the power is back. */
-    public synchronized SimDisk afterCut(Power next, SplittableRandom chance) {
-        SimDisk left = new SimDisk(next, sector, where);
-        Map<String, Content> names = new TreeMap<>(safe);
-        for (Change c : changes) {
-            if (chance.nextBoolean()) {
-                if (c.to == null) {
+    public synchronized SimDisk afterCut(Power next, SplittableRandom random) {
+        SimDisk disk = new SimDisk(next, sector, where);
+        Map<String, Content> names = new TreeMap<>(durableFiles);
+        for (NameChange c : unforcedNameChanges) {
+            if (random.nextBoolean()) {
+                if (c.content == null) {
                     names.remove(c.name);
                 } else {
-                    names.put(c.name, c.to);
+                    names.put(c.name, c.content);
                 }
             }
         }
-        names.forEach((name, content) -> left.load(name, survivor(content, chance)));
-        return left;
+        names.forEach((name, content) -> disk.addDurable(name, contentAfterCut(content, random)));
+        return disk;
     }
 
-    private byte[] survivor(Content c, SplittableRandom chance) {
-        int size = chance.nextBoolean() ? c.size : c.safeSize;
-        byte[] b = Arrays.copyOf(c.safe, Math.max(c.size, c.safeSize));
+    private byte[] contentAfterCut(Content c, SplittableRandom random) {
+        int size = random.nextBoolean() ? c.size : c.durableSize;
+        byte[] b = Arrays.copyOf(c.durable, Math.max(c.size, c.durableSize));
         for (int s : c.dirty.stream().sorted().toList()) {
             int from = s * sector;
             int to = Math.min(from + sector, c.size);
-            int fate = chance.nextInt(3);
+            int fate = random.nextInt(3);
             if (fate > 0 && from < to) {
-                System.arraycopy(c.seen, from, b, from, fate == 1 ? to - from : chance.nextInt(to - from));
+                System.arraycopy(c.current, from, b, from, fate == 1 ? to - from : random.nextInt(to - from));
                 size = Math.max(size, to);
             }
         }
@@ -176,30 +176,30 @@
     }
 
     /** Adds a file whose name and content are already durable. */
-    public synchronized void load(String name, byte[] bytes) {
+    public synchronized void addDurable(String name, byte[] bytes) {
         Content c = new Content();
-        c.seen = bytes.clone();
+        c.current = bytes.clone();
         c.size = bytes.length;
-        c.safe = bytes.clone();
-        c.safeSize = bytes.length;
+        c.durable = bytes.clone();
+        c.durableSize = bytes.length;
         files.put(name, c);
-        safe.put(name, c);
+        durableFiles.put(name, c);
     }
 
     /** Returns a file's current content, or null if there is no such file. */
     public synchronized byte[] content(String name) {
         Content c = files.get(name);
-        return c == null ? null : Arrays.copyOf(c.seen, c.size);
+        return c == null ? null : Arrays.copyOf(c.current, c.size);
     }
 
     /** Removes a file durably, as if it had never existed. */
-    public synchronized void lose(String name) {
+    public synchronized void removeDurable(String name) {
         files.remove(name);
-        safe.remove(name);
+        durableFiles.remove(name);
     }
 
     @Override
-    public synchronized List<String> names() {
+    public synchronized List<String> fileNames() {
         return List.copyOf(files.keySet());
     }
 
@@ -214,10 +214,10 @@
 
     @Override
     public synchronized Handle create(String name) throws IOException {
-        boolean cut = power.step();
+        boolean cut = power.beginOperation();
         Content c = new Content();
         files.put(name, c);
-        changes.add(new Change(name, c));
+        unforcedNameChanges.add(new NameChange(name, c));
         if (cut) {
             throw new PowerCut();
         }
@@ -239,9 +239,9 @@
 
     @Override
     public synchronized void delete(String name) throws IOException {
-        boolean cut = power.step();
+        boolean cut = power.beginOperation();
         if (files.remove(name) != null) {
-            changes.add(new Change(name, null));
+            unforcedNameChanges.add(new NameChange(name, null));
         }
         if (cut) {
             throw new PowerCut();
@@ -249,16 +249,16 @@
     }
 
     @Override
-    public synchronized void forceNames() throws IOException {
-        if (power.step()) {
+    public synchronized void forceDirectory() throws IOException {
+        if (power.beginOperation()) {
             throw new PowerCut();
         }
         if (power.forceFails()) {
             throw new IOException("Input/output error");
         }
-        changes.clear();
-        safe.clear();
-        safe.putAll(files);
+        unforcedNameChanges.clear();
+        durableFiles.clear();
+        durableFiles.putAll(files);
     }
 
     @Override
@@ -271,25 +271,25 @@
     }
 
     @Override
-    public String where() {
+    public String description() {
         return where;
     }
 
     private final class File implements Handle {
-        private final Content c;
+        private final Content content;
 
-        File(Content c) {
-            this.c = c;
+        File(Content content) {
+            this.content = content;
         }
 
         @Override
         public int read(long at, ByteBuffer into) {
             synchronized (SimDisk.this) {
-                if (at >= c.size) {
+                if (at >= content.size) {
                     return -1;
                 }
-                int length = power.part((int) Math.min(into.remaining(), c.size - at));
-                into.put(c.seen, (int) at, length);
+                int length = power.transferLength((int) Math.min(into.remaining(), content.size - at));
+                into.put(content.current, (int) at, length);
                 return length;
             }
         }
@@ -297,14 +297,14 @@
         @Override
         public int write(long at, ByteBuffer from) throws IOException {
             synchronized (SimDisk.this) {
-                boolean cut = power.step();
-                int length = power.part(from.remaining());
-                int more = (int) Math.max(0, at + length - c.size); // overwriting needs no space
-                length -= more - power.taken(more);
-                c.grow((int) at + length);
-                from.get(c.seen, (int) at, length);
+                boolean cut = power.beginOperation();
+                int length = power.transferLength(from.remaining());
+                int more = (int) Math.max(0, at + length - content.size); // overwriting needs no space
+                length -= more - power.takeSpace(more);
+                content.grow((int) at + length);
+                from.get(content.current, (int) at, length);
                 for (long s = at / sector; length > 0 && s <= (at + length - 1) / sector; s++) {
-                    c.dirty.add((int) s);
+                    content.dirty.add((int) s);
                 }
                 if (cut) {
                     throw new PowerCut();
@@ -316,21 +316,21 @@
         @Override
         public void force() throws IOException {
             synchronized (SimDisk.this) {
-                if (power.step()) {
+                if (power.beginOperation()) {
                     throw new PowerCut();
                 }
                 boolean fails = power.forceFails();
                 if (!fails) {
-                    c.safe = Arrays.copyOf(c.safe, Math.max(c.safe.length, c.size));
-                    for (int s : c.dirty) {
+                    content.durable = Arrays.copyOf(content.durable, Math.max(content.durable.length, content.size));
+                    for (int s : content.dirty) {
                         int from = s * sector;
-                        if (from < c.size) {
-                            System.arraycopy(c.seen, from, c.safe, from, Math.min(sector, c.size - from));
+                        if (from < content.size) {
+                            System.arraycopy(content.current, from, content.durable, from, Math.min(sector, content.size - from));
                         }
                     }
-                    c.safeSize = c.size;
+                    content.durableSize = content.size;
                 }
-                c.dirty.clear(); // also on failure, as kernels mark the pages clean then
+                content.dirty.clear(); // also on failure, as kernels mark the pages clean then
                 if (fails) {
                     throw new IOException("Input/output error");
                 }
@@ -340,7 +340,7 @@
         @Override
         public long size() {
             synchronized (SimDisk.this) {
-                return c.size;
+                return content.size;
             }
         }
 
--- a/durable/src/main/java/tallyweir/durable/Stamp.java
+++ b/durable/src/main/java/tallyweir/durable/Stamp.java
@@ -9,17 +9,17 @@
     static final int COUNT_BITS = 14;
 
     /** The latest time that a stamp can represent, in tenths of a millisecond since 1970. */
-    public static final long LATEST = Long.MAX_VALUE >>> COUNT_BITS;
+    public static final long MAX_TIME_TENTHS_MS = Long.MAX_VALUE >>> COUNT_BITS;
 
     private Stamp() {}
 
     /** The stamp that follows the last one, at a time in tenths of a millisecond since 1970. */
     public static long next(long last, long now) {
-        return Math.max(last + 1, first(now));
+        return Math.max(last + 1, lowestAt(now));
     }
 
     /** The lowest stamp of a time in tenths of a millisecond since 1970. */
-    public static long first(long time) {
+    public static long lowestAt(long time) {
         return Math.max(0, time) << COUNT_BITS;
     }
 
--- a/durable/src/main/java/tallyweir/durable/Times.java
+++ b/durable/src/main/java/tallyweir/durable/Times.java
@@ -11,7 +11,7 @@
  */
 public final class Times {
     /** The steps. Their lower-case names are part of the printed keys. */
-    public enum Of {
+    public enum Step {
         /** A force of a log file in the first copy. */
         FORCE_FIRST,
         /** The same in the second. */
@@ -33,15 +33,15 @@
     }
 
     private static final int BUCKETS = 12;
-    private static final long BUCKET =
+    private static final long BUCKET_NANOS =
             5_000_000_000L; // the width of a bucket; together the buckets cover the last minute
-    private static final long UNIT = 100_000;
+    private static final long NANOS_PER_TENTH_MS = 100_000;
 
-    private final long[] counts = new long[Of.values().length];
-    private final long[] sums = new long[counts.length];
-    private final long[] longest = new long[counts.length];
-    private final long[][] lately = new long[counts.length][BUCKETS];
-    private final long[][] bucketOf = new long[counts.length][BUCKETS];
+    private final long[] counts = new long[Step.values().length];
+    private final long[] sumNanos = new long[counts.length];
+    private final long[] maxNanos = new long[counts.length];
+    private final long[][] recentMaxNanos = new long[counts.length][BUCKETS];
+    private final long[][] bucketNumbers = new long[counts.length][BUCKETS];
 
     /**
      * Records a completed step.
@@ -49,55 +49,55 @@
      * @param began the start of the step, nanoseconds of {@link System#nanoTime}
      * @param now its end, by the same clock
      */
-    synchronized void add(Of what, long began, long now) {
-        int i = what.ordinal();
-        long took = now - began;
+    synchronized void record(Step step, long startedAt, long endedAt) {
+        int i = step.ordinal();
+        long elapsed = endedAt - startedAt;
         counts[i]++;
-        sums[i] += took;
-        longest[i] = Math.max(longest[i], took);
-        long number = Math.floorDiv(now, BUCKET);
+        sumNanos[i] += elapsed;
+        maxNanos[i] = Math.max(maxNanos[i], elapsed);
+        long number = Math.floorDiv(endedAt, BUCKET_NANOS);
         int b = Math.floorMod(number, BUCKETS);
-        if (bucketOf[i][b] != number) {
-            bucketOf[i][b] = number;
-            lately[i][b] = 0;
+        if (bucketNumbers[i][b] != number) {
+            bucketNumbers[i][b] = number;
+            recentMaxNanos[i][b] = 0;
         }
-        lately[i][b] = Math.max(lately[i][b], took);
+        recentMaxNanos[i][b] = Math.max(recentMaxNanos[i][b], elapsed);
     }
 
     /** How often the step was recorded. */
-    public synchronized long count(Of what) {
-        return counts[what.ordinal()];
+    public synchronized long count(Step step) {
+        return counts[step.ordinal()];
     }
 
     /** The longest duration since the store was opened, in tenths of a millisecond, rounded up. */
-    public synchronized long longest(Of what) {
-        return up(longest[what.ordinal()]);
+    public synchronized long maxDuration(Step step) {
+        return toTenthsMsRoundedUp(maxNanos[step.ordinal()]);
     }
 
     /** The longest duration of about the last minute, in tenths of a millisecond, rounded up. */
-    public synchronized long lately(Of what, long now) {
-        long most = 0;
+    public synchronized long recentMaxDuration(Step step, long now) {
+        long max = 0;
         for (int b = 0; b < BUCKETS; b++) {
-            if (bucketOf[what.ordinal()][b] > Math.floorDiv(now, BUCKET) - BUCKETS) {
-                most = Math.max(most, lately[what.ordinal()][b]);
+            if (bucketNumbers[step.ordinal()][b] > Math.floorDiv(now, BUCKET_NANOS) - BUCKETS) {
+                max = Math.max(max, recentMaxNanos[step.ordinal()][b]);
             }
         }
-        return up(most);
+        return toTenthsMsRoundedUp(max);
     }
 
-    private static long up(long ns) {
-        return (ns + UNIT - 1) / UNIT;
+    private static long toTenthsMsRoundedUp(long ns) {
+        return (ns + NANOS_PER_TENTH_MS - 1) / NANOS_PER_TENTH_MS;
     }
 
     /** All statistics by printed key, durations in tenths of a millisecond, in a fixed order. */
-    public synchronized Map<String, Long> all(long now) {
+    public synchronized Map<String, Long> toMap(long now) {
         Map<String, Long> all = new LinkedHashMap<>();
-        for (Of of : Of.values()) {
+        for (Step of : Step.values()) {
             String name = of.name().toLowerCase(Locale.ROOT);
             all.put(name + "_count", counts[of.ordinal()]);
-            all.put(name + "_sum", sums[of.ordinal()] / UNIT);
-            all.put(name + "_longest", longest(of));
-            all.put(name + "_longest_lately", lately(of, now));
+            all.put(name + "_sum", sumNanos[of.ordinal()] / NANOS_PER_TENTH_MS);
+            all.put(name + "_longest", maxDuration(of));
+            all.put(name + "_longest_lately", recentMaxDuration(of, now));
         }
         return all;
     }
--- a/durable/src/main/java/tallyweir/durable/Upkeep.java
+++ b/durable/src/main/java/tallyweir/durable/Upkeep.java
@@ -25,77 +25,77 @@
         NONE
     }
 
-    private record Rule(BooleanSupplier when, Job then) {}
+    private record Rule(BooleanSupplier condition, Job job) {}
 
     /** Share of the store's bytes that may be dead before segments are compacted. */
-    private final double deadShare;
+    private final double maxDeadShare;
 
     private final int segmentBytes;
-    private final long scrubEvery;
-    private final long sweepEvery;
+    private final long scrubInterval;
+    private final long sweepInterval;
     private final List<Rule> rules = new ArrayList<>();
-    private boolean retired;
-    private boolean damage;
+    private boolean hasRetired;
+    private boolean hasDamage;
     private boolean compacting;
-    private Segment worst;
+    private Segment candidate;
     private boolean sweeping;
     private boolean scrubbing;
-    private boolean scrubWanted;
+    private boolean scrubRequested;
     private long now;
-    private long lastSweep;
-    private long lastScrub;
-    private long sinceSnapshot;
-    private long snapshotSize;
-    private long noGain;
+    private long lastSweepAt;
+    private long lastScrubAt;
+    private long bytesSinceSnapshot;
+    private long snapshotBytes;
+    private long compactionPauseBytes;
 
     /** Share of a segment that its compaction must free for the next compaction to start at once. */
-    private static final double GAIN = 0.125;
+    private static final double MIN_COMPACTION_GAIN = 0.125;
 
     /**
-     * @param deadShare between 0 and 1, both exclusive
-     * @param scrubEvery interval between scrub passes, 0 for none
-     * @param sweepEvery interval between sweeps for expired records
+     * @param maxDeadShare between 0 and 1, both exclusive
+     * @param scrubInterval interval between scrub passes, 0 for none
+     * @param sweepInterval interval between sweeps for expired records
      */
-    Upkeep(double deadShare, int segmentBytes, long scrubEvery, long sweepEvery, long now) {
-        this.deadShare = deadShare;
+    Upkeep(double maxDeadShare, int segmentBytes, long scrubInterval, long sweepInterval, long now) {
+        this.maxDeadShare = maxDeadShare;
         this.segmentBytes = segmentBytes;
-        this.scrubEvery = scrubEvery;
-        this.sweepEvery = sweepEvery;
-        lastSweep = now;
-        lastScrub = now;
+        this.scrubInterval = scrubInterval;
+        this.sweepInterval = sweepInterval;
+        lastSweepAt = now;
+        lastScrubAt = now;
         // Order: jobs that free space at once, repair, jobs that make space, then jobs that are only useful.
-        rule(() -> retired, Job.DELETE);
-        rule(() -> damage, Job.MEND);
-        rule(() -> compacting, Job.COMPACT);
-        rule(() -> worst != null, Job.CHOOSE);
-        rule(() -> sweeping || this.now - lastSweep >= this.sweepEvery, Job.SWEEP);
-        rule(() -> sinceSnapshot > Math.max(this.segmentBytes, 2 * snapshotSize), Job.SNAPSHOT);
-        rule(
-                () -> scrubbing || scrubWanted || this.scrubEvery > 0 && this.now - lastScrub >= this.scrubEvery,
+        addRule(() -> hasRetired, Job.DELETE);
+        addRule(() -> hasDamage, Job.MEND);
+        addRule(() -> compacting, Job.COMPACT);
+        addRule(() -> candidate != null, Job.CHOOSE);
+        addRule(() -> sweeping || this.now - lastSweepAt >= this.sweepInterval, Job.SWEEP);
+        addRule(() -> bytesSinceSnapshot > Math.max(this.segmentBytes, 2 * snapshotBytes), Job.SNAPSHOT);
+        addRule(
+                () -> scrubbing || scrubRequested || this.scrubInterval > 0 && this.now - lastScrubAt >= this.scrubInterval,
                 Job.SCRUB);
     }
 
-    private void rule(BooleanSupplier when, Job then) {
-        rules.add(new Rule(when, then));
+    private void addRule(BooleanSupplier condition, Job job) {
+        rules.add(new Rule(condition, job));
     }
 
     /**
      * Returns the next job.
      *
-     * @param retired whether files of retired segments can be deleted
+     * @param hasRetired whether files of retired segments can be deleted
      * @param damage whether reads have found damage
      * @param compacting whether a segment is being compacted
      */
     Job next(
             long now, Iterable<Segment> segments, Segment active, boolean retired, boolean damage, boolean compacting) {
         this.now = now;
-        this.retired = retired;
-        this.damage = damage;
+        this.hasRetired = retired;
+        this.hasDamage = damage;
         this.compacting = compacting;
-        worst = compacting || noGain > 0 ? null : worst(segments, active, false);
+        candidate = compacting || compactionPauseBytes > 0 ? null : compactionCandidate(segments, active, false);
         for (Rule r : rules) {
-            if (r.when.getAsBoolean()) {
-                return r.then;
+            if (r.condition.getAsBoolean()) {
+                return r.job;
             }
         }
         return Job.NONE;
@@ -105,62 +105,62 @@
      * Returns the segment with the smallest share of bytes to move, or null while too few bytes are dead. A segment with
      * nothing left to keep is returned at once; the active segment never is.
      *
-     * @param anyway whether to return a segment however little is dead
+     * @param anyDead whether to return a segment however little is dead
      */
-    Segment worst(Iterable<Segment> segments, Segment active, boolean anyway) {
-        long size = 0;
-        long kept = 0;
+    Segment compactionCandidate(Iterable<Segment> segments, Segment active, boolean anyDead) {
+        long totalBytes = 0;
+        long keptBytes = 0;
         long tombstones = 0;
-        Segment worst = null;
+        Segment best = null;
         Segment oldestStale = null;
-        double least = Double.MAX_VALUE;
+        double minKeptShare = Double.MAX_VALUE;
         for (Segment s : segments) {
-            long keeps = s.live + (needed(s, segments) ? s.tombstones : 0);
-            size += s.end;
-            kept += keeps;
-            tombstones += s.tombstones;
+            long keepsBytes = s.liveBytes + (mayHideOlderValue(s, segments) ? s.tombstoneBytes : 0);
+            totalBytes += s.endOffset;
+            keptBytes += keepsBytes;
+            tombstones += s.tombstoneBytes;
             if (s == active) {
                 continue;
             }
-            if (keeps == 0) {
+            if (keepsBytes == 0) {
                 return s;
             }
-            if (oldestStale == null && s.hasStale()) {
+            if (oldestStale == null && s.hasStaleValues()) {
                 oldestStale = s;
             }
-            if ((double) keeps / s.end < least) {
-                least = (double) keeps / s.end;
-                worst = s;
+            if ((double) keepsBytes / s.endOffset < minKeptShare) {
+                minKeptShare = (double) keepsBytes / s.endOffset;
+                best = s;
             }
         }
-        long dead = size - kept;
-        if (tombstones > deadShare * kept && tombstones > segmentBytes && oldestStale != null) {
+        long deadBytes = totalBytes - keptBytes;
+        if (tombstones > maxDeadShare * keptBytes && tombstones > segmentBytes && oldestStale != null) {
             return oldestStale; // its stale values keep the tombstones needed
         }
-        return anyway ? worst : dead >= Math.max(segmentBytes, deadShare * size) ? worst : null;
+        return anyDead ? best : deadBytes >= Math.max(segmentBytes, maxDeadShare * totalBytes) ? best : null;
     }
 
     /** Whether a tombstone of a segment may still hide an older value in another segment. */
-    static boolean needed(Segment s, Iterable<Segment> segments) {
-        return s.tombstones > 0 && needed(s.lastTombstone, s, segments);
+    static boolean mayHideOlderValue(Segment s, Iterable<Segment> segments) {
+        return s.tombstoneBytes > 0 && mayHideOlderValue(s.lastTombstoneStamp, s, segments);
     }
 
     /**
      * Whether a tombstone in a segment may still hide an older value in another one. Only a segment created before the
      * tombstone that holds stale values can contain such a value, because dead values are never moved.
      */
-    static boolean needed(long stamp, Segment in, Iterable<Segment> segments) {
+    static boolean mayHideOlderValue(long stamp, Segment in, Iterable<Segment> segments) {
         for (Segment o : segments) {
-            if (o != in && o.created < stamp && o.hasStale()) {
+            if (o != in && o.createdStamp < stamp && o.hasStaleValues()) {
                 return true;
             }
         }
         return false;
     }
 
-    void written(long bytes) {
-        sinceSnapshot += bytes;
-        noGain -= bytes;
+    void onWritten(long bytes) {
+        bytesSinceSnapshot += bytes;
+        compactionPauseBytes -= bytes;
     }
 
     /**
@@ -170,29 +170,29 @@
      * @param segment bytes of the compacted segment
      * @param wrote bytes written to replace it
      */
-    void compacted(long segment, long wrote) {
-        noGain = segment - wrote < GAIN * segment ? segmentBytes : 0;
+    void onCompacted(long compactedBytes, long writtenBytes) {
+        compactionPauseBytes = compactedBytes - writtenBytes < MIN_COMPACTION_GAIN * compactedBytes ? segmentBytes : 0;
     }
 
-    void snapshot(long size) {
-        sinceSnapshot = 0;
-        snapshotSize = size;
+    void onSnapshot(long bytes) {
+        bytesSinceSnapshot = 0;
+        snapshotBytes = bytes;
     }
 
-    void sweep(boolean goesOn) {
-        sweeping = goesOn;
-        lastSweep = now;
+    void onSweepStep(boolean unfinished) {
+        sweeping = unfinished;
+        lastSweepAt = now;
     }
 
     /** Requests a scrub pass regardless of the interval. Returns true if a pass is under way, after which it starts. */
-    boolean scrubSoon() {
-        scrubWanted = true;
+    boolean requestScrub() {
+        scrubRequested = true;
         return scrubbing;
     }
 
-    void scrub(boolean goesOn) {
-        scrubWanted &= scrubbing; // a pass already under way does not satisfy the request; one that starts now does
-        scrubbing = goesOn;
-        lastScrub = now;
+    void onScrubStep(boolean unfinished) {
+        scrubRequested &= scrubbing; // a pass already under way does not satisfy the request; one that starts now does
+        scrubbing = unfinished;
+        lastScrubAt = now;
     }
 }
--- a/durable/src/main/java/tallyweir/durable/View.java
+++ b/durable/src/main/java/tallyweir/durable/View.java
@@ -36,26 +36,26 @@
     }
 
     /** Number of records of a namespace, including expired ones not swept yet. */
-    public long keys(String namespace) {
+    public long keyCount(String namespace) {
         int n = names.indexOf(namespace);
-        return n < 0 || n >= state.keys().length ? 0 : state.keys()[n];
+        return n < 0 || n >= state.keyCounts().length ? 0 : state.keyCounts()[n];
     }
 
     /** Bytes of the records of a namespace, including expired ones not swept yet. */
-    public long bytes(String namespace) {
+    public long usedBytes(String namespace) {
         int n = names.indexOf(namespace);
-        return n < 0 || n >= state.used().length ? 0 : state.used()[n];
+        return n < 0 || n >= state.usedBytes().length ? 0 : state.usedBytes()[n];
     }
 
     /** Returns the record of a key, or null if there is none or it has expired. */
     public Found get(String namespace, byte[] key) throws Refused {
         int n = names.indexOf(namespace);
-        Index.Entry e = n < 0 ? null : state.index().get(Index.key(n, key));
-        return e == null || isOver(e) ? null : found(e);
+        Index.Entry e = n < 0 ? null : state.index().get(Index.indexKey(n, key));
+        return e == null || isExpired(e) ? null : found(e);
     }
 
-    private boolean isOver(Index.Entry e) {
-        return e.expires() != 0 && e.expires() <= now;
+    private boolean isExpired(Index.Entry e) {
+        return e.expiresAt() != 0 && e.expiresAt() <= now;
     }
 
     private Found found(Index.Entry e) throws Refused {
@@ -67,13 +67,13 @@
         for (int i = 0; of == null && i < pinned.size(); i++) {
             of = pinned.get(i).number == e.segment() ? pinned.get(i) : null;
         }
-        Format.Rec r = of == null ? null : log.read(of, e);
+        Format.RecordView r = of == null ? null : log.read(of, e);
         if (r == null) {
-            throw figures.count(new Refused(
+            throw figures.countRefusal(new Refused(
                     Refused.Cause.DAMAGED,
                     "a record of segment " + e.segment() + " at " + e.offset() + " can be read in neither copy"));
         }
-        return new Found(r.key(), r.value(), r.stamp(), r.expires());
+        return new Found(r.key(), r.value(), r.stamp(), r.expiresAt());
     }
 
     /**
@@ -83,13 +83,13 @@
      */
     public Iterator<Found> range(String namespace, byte[] from, byte[] to) {
         int n = names.indexOf(namespace);
-        byte[] end = to == null ? null : Index.key(n, to);
+        byte[] end = to == null ? null : Index.indexKey(n, to);
         return new Iterator<>() {
-            private Index.Entry e = n < 0 ? null : seek(state.index().atOrAfter(Index.key(n, from)));
+            private Index.Entry e = n < 0 ? null : seek(state.index().atOrAfter(Index.indexKey(n, from)));
 
             private Index.Entry seek(Index.Entry at) {
                 Index.Entry next = at;
-                while (next != null && isOver(next)) {
+                while (next != null && isExpired(next)) {
                     next = state.index().after(next.key());
                 }
                 return next == null
@@ -121,20 +121,20 @@
      * {@code to} exclusive, both in tenths of a millisecond since 1970. Holds the index entries of all matches in
      * memory.
      */
-    public Iterator<Found> between(String namespace, long from, long to) {
+    public Iterator<Found> writtenBetween(String namespace, long from, long to) {
         int n = names.indexOf(namespace);
-        long first = Stamp.first(from);
-        long end = Stamp.first(to);
-        List<Index.Entry> all = new ArrayList<>();
-        for (Index.Entry e = n < 0 ? null : state.index().atOrAfter(Index.key(n, new byte[0]));
+        long first = Stamp.lowestAt(from);
+        long end = Stamp.lowestAt(to);
+        List<Index.Entry> matches = new ArrayList<>();
+        for (Index.Entry e = n < 0 ? null : state.index().atOrAfter(Index.indexKey(n, new byte[0]));
                 e != null && e.namespace() == n;
                 e = state.index().after(e.key())) {
-            if (e.stamp() >= first && e.stamp() < end && !isOver(e)) {
-                all.add(e);
+            if (e.stamp() >= first && e.stamp() < end && !isExpired(e)) {
+                matches.add(e);
             }
         }
-        all.sort(Comparator.comparingLong(Index.Entry::stamp));
-        Iterator<Index.Entry> in = all.iterator();
+        matches.sort(Comparator.comparingLong(Index.Entry::stamp));
+        Iterator<Index.Entry> in = matches.iterator();
         return new Iterator<>() {
             @Override
             public boolean hasNext() {
--- a/durable/src/main/java/tallyweir/durable/Walk.java
+++ b/durable/src/main/java/tallyweir/durable/Walk.java
@@ -11,56 +11,56 @@
 final class Walk {
     private final Log log;
     private final Segment segment;
-    private final long limit;
-    private final boolean compares;
-    private final Window[] windows;
+    private final long limitFrame;
+    private final boolean comparesCopies;
+    private final Window[] buffers;
     private final boolean[] rewritten = new boolean[2];
-    private final boolean[] beyondRepair = new boolean[2];
-    private long next;
+    private final boolean[] repairFailed = new boolean[2];
+    private long nextOffset;
     private long nextFrame;
-    private long lost;
-    private int of = -1;
-    private int at;
+    private long lostFrames;
+    private int sourceCopy = -1;
+    private int frameIndex;
 
     /**
      * @param place the offset at which a frame begins, 0 for the head
      * @param frame the number of the frame there (for the head, the number of the first frame after it)
      * @param limit the number of the first frame that is not read
-     * @param compares whether the second copy is read and checked even if the frame is intact in the first
+     * @param comparesCopies whether the second copy is read and checked even if the frame is intact in the first
      */
-    Walk(Log log, Segment segment, long place, long frame, long limit, boolean compares) {
-        this.compares = compares;
+    Walk(Log log, Segment segment, long offset, long frame, long limitFrame, boolean compares) {
+        this.comparesCopies = compares;
         this.log = log;
         this.segment = segment;
-        this.limit = limit;
-        next = place;
+        this.limitFrame = limitFrame;
+        nextOffset = offset;
         nextFrame = frame;
-        windows = new Window[] {new Window(segment.copies[0]), new Window(log.copies() > 1 ? segment.copies[1] : null)};
+        buffers = new Window[] {new Window(segment.copies[0]), new Window(log.copies() > 1 ? segment.copies[1] : null)};
     }
 
     /** Moves to the next frame before the limit; false at the end. Throws only if neither copy can be read at all. */
     boolean next() throws IOException {
-        if (next > 0 && nextFrame >= limit) {
+        if (nextOffset > 0 && nextFrame >= limitFrame) {
             return false;
         }
-        if (!found(next, nextFrame)) {
-            return next == 0 && resume(log.sector()) || next > 0 && resume(next);
+        if (!readFrame(nextOffset, nextFrame)) {
+            return nextOffset == 0 && resync(log.sector()) || nextOffset > 0 && resync(nextOffset);
         }
-        step();
+        advance();
         return true;
     }
 
     /** Searches for the next intact frame at or after an offset. */
-    private boolean resume(long from) throws IOException {
+    private boolean resync(long from) throws IOException {
         long size = Math.max(size(0), size(1));
-        for (long place = from; place < size; place += log.sector()) {
-            if (found(place, -1)) {
-                long number = Format.number(windows[of].buffer(), at);
-                if (number >= nextFrame && number < limit) {
-                    lost += number - nextFrame;
-                    next = place;
+        for (long offset = from; offset < size; offset += log.sector()) {
+            if (readFrame(offset, -1)) {
+                long number = Format.frameNumber(buffers[sourceCopy].buffer(), frameIndex);
+                if (number >= nextFrame && number < limitFrame) {
+                    lostFrames += number - nextFrame;
+                    nextOffset = offset;
                     nextFrame = number;
-                    step();
+                    advance();
                     return true;
                 }
             }
@@ -72,104 +72,104 @@
         return segment.copies[copy] == null ? 0 : segment.copies[copy].size();
     }
 
-    private boolean found(long place, long number) throws IOException {
-        boolean checked = log.has(Defence.CHECKSUM);
+    private boolean readFrame(long offset, long number) throws IOException {
+        boolean verifyChecksum = log.isEnabled(Defence.CHECKSUM);
         int[] index = new int[2];
         index[1] = -1;
-        for (int c = 0; c < 2 && (c == 0 || compares || index[0] < 0); c++) {
-            index[c] = windows[c].frame(place, number, log.storeId(), segment.number, checked);
+        for (int c = 0; c < 2 && (c == 0 || comparesCopies || index[0] < 0); c++) {
+            index[c] = buffers[c].loadFrame(offset, number, log.storeId(), segment.number, verifyChecksum);
         }
-        of = index[0] >= 0 ? 0 : index[1] >= 0 ? 1 : -1;
-        if (of < 0) {
-            if (windows[0].failed != null && (windows[1].failed != null || log.copies() < 2)) {
-                throw windows[0].failed;
+        sourceCopy = index[0] >= 0 ? 0 : index[1] >= 0 ? 1 : -1;
+        if (sourceCopy < 0) {
+            if (buffers[0].failure != null && (buffers[1].failure != null || log.copies() < 2)) {
+                throw buffers[0].failure;
             }
             return false;
         }
-        at = index[of];
-        if (index[1 - of] < 0 && log.copies() > 1 && (compares || of == 1)) {
-            repair(1 - of, place);
+        frameIndex = index[sourceCopy];
+        if (index[1 - sourceCopy] < 0 && log.copies() > 1 && (comparesCopies || sourceCopy == 1)) {
+            repair(1 - sourceCopy, offset);
         }
         return true;
     }
 
-    private void step() {
-        nextFrame = next == 0 ? nextFrame : nextFrame + 1;
-        next = Format.align(next + Format.FRAME + contentLength(), log.sector());
+    private void advance() {
+        nextFrame = nextOffset == 0 ? nextFrame : nextFrame + 1;
+        nextOffset = Format.align(nextOffset + Format.FRAME_HEADER_BYTES + contentLength(), log.sector());
     }
 
-    private void repair(int copy, long place) {
-        if (beyondRepair[copy]) {
-            log.figures().add(Figures.Of.UNREPAIRED);
+    private void repair(int copy, long offset) {
+        if (repairFailed[copy]) {
+            log.figures().add(Figures.Counter.UNREPAIRED);
             return;
         }
-        int length = (int) Format.align(Format.FRAME + contentLength(), log.sector());
-        byte[] whole = new byte[length];
-        System.arraycopy(windows[of].buffer(), at, whole, 0, Format.FRAME + contentLength());
+        int length = (int) Format.align(Format.FRAME_HEADER_BYTES + contentLength(), log.sector());
+        byte[] frame = new byte[length];
+        System.arraycopy(buffers[sourceCopy].buffer(), frameIndex, frame, 0, Format.FRAME_HEADER_BYTES + contentLength());
         try {
             if (segment.copies[copy] == null) {
                 throw new IOException("the file could not be recreated");
             }
-            segment.copies[copy].writeFully(place, ByteBuffer.wrap(whole));
+            segment.copies[copy].writeFully(offset, ByteBuffer.wrap(frame));
             rewritten[copy] = true;
-            windows[copy].forget();
-            log.figures().add(Figures.Of.BYTES_WRITTEN, length);
-            log.figures().add(Figures.Of.REPAIRED);
+            buffers[copy].invalidate();
+            log.figures().add(Figures.Counter.BYTES_WRITTEN, length);
+            log.figures().add(Figures.Counter.REPAIRED);
         } catch (IOException e) {
-            beyondRepair[copy] = true;
-            log.figures().add(Figures.Of.UNREPAIRED);
+            repairFailed[copy] = true;
+            log.figures().add(Figures.Counter.UNREPAIRED);
         }
     }
 
     /** Forces the repairs; must be called at the end of each walk. */
-    void finish() {
+    void forceRepairs() {
         for (int c = 0; c < 2; c++) {
             if (rewritten[c]) {
                 try {
                     log.force(segment.copies[c]);
                 } catch (IOException e) {
-                    log.figures().add(Figures.Of.UNREPAIRED);
+                    log.figures().add(Figures.Counter.UNREPAIRED);
                 }
             }
         }
     }
 
     /** The number of frames skipped so far because they are intact in neither copy. */
-    long lost() {
-        return lost;
+    long lostFrames() {
+        return lostFrames;
     }
 
     /** Whether damage was found that could not be repaired. */
-    boolean leftDamage() {
-        return beyondRepair[0] || beyondRepair[1];
+    boolean hasUnrepairedDamage() {
+        return repairFailed[0] || repairFailed[1];
     }
 
     int contentLength() {
-        return Format.contentLength(windows[of].buffer(), at, windows[of].buffer()[at + 4]);
+        return Format.contentLength(buffers[sourceCopy].buffer(), frameIndex, buffers[sourceCopy].buffer()[frameIndex + 4]);
     }
 
     byte[] buffer() {
-        return windows[of].buffer();
+        return buffers[sourceCopy].buffer();
     }
 
     /** The index in the buffer at which the content begins. */
-    int content() {
-        return at + Format.FRAME;
+    int contentIndex() {
+        return frameIndex + Format.FRAME_HEADER_BYTES;
     }
 
     /** The offset in the file at which the content begins; valid only after a frame was found. */
-    long contentPlace() {
-        return start() + Format.FRAME;
+    long contentOffset() {
+        return frameOffset() + Format.FRAME_HEADER_BYTES;
     }
 
     /** The offset in the file at which the frame begins; valid only after a frame was found. */
-    long start() {
-        return next - Format.align(Format.FRAME + contentLength(), log.sector());
+    long frameOffset() {
+        return nextOffset - Format.align(Format.FRAME_HEADER_BYTES + contentLength(), log.sector());
     }
 
     /** The checksum in the frame's header. */
-    int sum() {
-        return ByteBuffer.wrap(windows[of].buffer()).getInt(at + 12);
+    int checksum() {
+        return ByteBuffer.wrap(buffers[sourceCopy].buffer()).getInt(frameIndex + 12);
     }
 
     /** The number of the frame after the last one found. */
@@ -178,7 +178,7 @@
     }
 
     /** The offset at which the frame after the last one found begins. */
-    long nextPlace() {
-        return next;
+    long nextOffset() {
+        return nextOffset;
     }
 }
--- a/durable/src/main/java/tallyweir/durable/Window.java
+++ b/durable/src/main/java/tallyweir/durable/Window.java
@@ -5,14 +5,14 @@
 
 /** A read buffer over one file, for reading frames sequentially. Not thread-safe. */
 final class Window {
-    private static final int LEAST = 1 << 18;
+    private static final int MIN_BUFFER_BYTES = 1 << 18;
 
     private final Disk.Handle file;
-    private byte[] buffer = new byte[LEAST];
-    private long start;
-    private int have;
+    private byte[] buffer = new byte[MIN_BUFFER_BYTES];
+    private long bufferOffset;
+    private int filledBytes;
     /** The failure of the last read from the file, null if it succeeded. */
-    IOException failed;
+    IOException failure;
 
     /** @param file the file, or null for a missing copy, which is treated as an empty file */
     Window(Disk.Handle file) {
@@ -24,31 +24,31 @@
     }
 
     /** The index in the buffer of the bytes at an offset, or -1 if the file has fewer bytes there or cannot be read. */
-    int bytes(long place, int length) {
-        if (place >= start && place + length <= start + have) {
-            return (int) (place - start);
+    int load(long offset, int length) {
+        if (offset >= bufferOffset && offset + length <= bufferOffset + filledBytes) {
+            return (int) (offset - bufferOffset);
         }
         if (file == null) {
             return -1;
         }
         try {
-            failed = null;
+            failure = null;
             if (length > buffer.length) {
-                buffer = new byte[(int) Format.align(length, LEAST)];
+                buffer = new byte[(int) Format.align(length, MIN_BUFFER_BYTES)];
             }
-            have = 0;
-            start = place;
-            have = file.readFully(place, ByteBuffer.wrap(buffer));
-            return have < length ? -1 : 0;
+            filledBytes = 0;
+            bufferOffset = offset;
+            filledBytes = file.readFully(offset, ByteBuffer.wrap(buffer));
+            return filledBytes < length ? -1 : 0;
         } catch (IOException e) {
-            failed = e;
+            failure = e;
             return -1;
         }
     }
 
     /** Discards the buffer, because the file has changed. */
-    void forget() {
-        have = 0;
+    void invalidate() {
+        filledBytes = 0;
     }
 
     /**
@@ -57,14 +57,14 @@
      * @param number the frame's number, or a negative number to accept any
      * @param checked whether to verify the checksum; false in drills only
      */
-    int frame(long place, long number, long storeId, int segment, boolean checked) {
-        byte kind = place == 0 ? Format.HEAD : Format.DATA;
-        int at = bytes(place, Format.FRAME);
+    int loadFrame(long offset, long number, long storeId, int segment, boolean verifyChecksum) {
+        byte kind = offset == 0 ? Format.HEAD_FRAME : Format.DATA_FRAME;
+        int at = load(offset, Format.FRAME_HEADER_BYTES);
         int content = at < 0 ? -1 : Format.contentLength(buffer, at, kind);
-        if (content < 0 || number >= 0 && Format.number(buffer, at) != number) {
+        if (content < 0 || number >= 0 && Format.frameNumber(buffer, at) != number) {
             return -1;
         }
-        at = bytes(place, Format.FRAME + content);
-        return at >= 0 && (!checked || Format.matches(buffer, at, storeId, segment, place)) ? at : -1;
+        at = load(offset, Format.FRAME_HEADER_BYTES + content);
+        return at >= 0 && (!verifyChecksum || Format.checksumMatches(buffer, at, storeId, segment, offset)) ? at : -1;
     }
 }
--- a/durable/src/test/java/tallyweir/durable/CommitterTest.java
+++ b/durable/src/test/java/tallyweir/durable/CommitterTest.java
@@ -21,7 +21,7 @@
 @Timeout(60)
 class CommitterTest {
     private static final int WRITERS = 16;
-    private static final int EACH = 400;
+    private static final int WRITES_PER_WRITER = 400;
 
     private final SimDisk.Power power = new SimDisk.Power(1);
     private final SimDisk first = new SimDisk(power, 512, "first");
@@ -38,7 +38,7 @@
                 0,
                 List.of(new Namespace("a", 1L << 30, false)),
                 1,
-                FileStore::clock,
+                FileStore::currentTime,
                 Runnable::run,
                 Set.of());
     }
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void eachWriterFindsWhatItWroteAndNeverAnOlderOne() throws Exception {
+    void readsSeeAcknowledgedWritesAndNeverOlderOnes() throws Exception {
         AtomicReference<String> wrong = new AtomicReference<>();
         try (SideBySide both = new SideBySide();
                 Durable d = open(both);
@@ -60,7 +60,7 @@
                 threads.add(new Thread(() -> {
                     try {
                         long seen = 0;
-                        for (long n = 1; n <= EACH; n++) {
+                        for (long n = 1; n <= WRITES_PER_WRITER; n++) {
                             c.write(new Batch().put("a", key, bytes(n)));
                             if (ByteBuffer.wrap(d.get("a", key).value()).getLong() != n) {
                                 wrong.set("a writer did not read its acknowledged value");
@@ -83,15 +83,15 @@
                 t.join();
             }
             assertEquals(null, wrong.get());
-            assertEquals(WRITERS * EACH, d.figures().get(Figures.Of.BATCHES));
-            assertTrue(d.figures().get(Figures.Of.GROUPS) < WRITERS * EACH, "no two batches shared a group");
-            assertTrue(d.figures().get(Figures.Of.COMPACTED) > 0, "nothing was compacted during the writes");
+            assertEquals(WRITERS * WRITES_PER_WRITER, d.figures().get(Figures.Counter.BATCHES));
+            assertTrue(d.figures().get(Figures.Counter.GROUPS) < WRITERS * WRITES_PER_WRITER, "no two batches shared a group");
+            assertTrue(d.figures().get(Figures.Counter.COMPACTED) > 0, "nothing was compacted during the writes");
         }
     }
 
     @Test
-    void nothingIsAcknowledgedByAForceThatFailed() throws Exception {
-        try (Durable d = open(Both.IN_TURN);
+    void failedForceAcknowledgesNothing() throws Exception {
+        try (Durable d = open(Both.SEQUENTIAL);
                 Committer c = new Committer(d, 1 << 20, 0, 1 << 20)) {
             c.write(new Batch().put("a", bytes(1), bytes(1)));
             power.failForce(1);
@@ -104,7 +104,7 @@
                 try {
                     f.get();
                 } catch (ExecutionException e) {
-                    assertEquals(Cause.UNKNOWN, ((Refused) e.getCause()).why());
+                    assertEquals(Cause.UNKNOWN, ((Refused) e.getCause()).reason());
                     failed++;
                 }
             }
@@ -114,8 +114,8 @@
     }
 
     @Test
-    void tooMuchThatWaitsIsRefusedAtOnceAndTheEndWritesWhatWaits() throws Exception {
-        Durable d = open(Both.IN_TURN);
+    void fullQueueRefusesAtOnceAndCloseWritesPendingBatches() throws Exception {
+        Durable d = open(Both.SEQUENTIAL);
         List<CompletableFuture<Void>> all = new ArrayList<>();
         int busy = 0;
         Committer c = new Committer(d, 2_000, 200_000_000, 1 << 20);
@@ -125,7 +125,7 @@
             if (f.isCompletedExceptionally()) {
                 Refused r = (Refused)
                         assertThrows(CompletionException.class, f::join).getCause();
-                assertEquals(Cause.BUSY, r.why());
+                assertEquals(Cause.BUSY, r.reason());
                 busy++;
             } else {
                 all.add(f);
@@ -139,7 +139,7 @@
         Refused after = (Refused) assertThrows(
                         CompletionException.class, c.submit(new Batch().put("a", bytes(1), bytes(1)))::join)
                 .getCause();
-        assertEquals(Cause.CLOSED, after.why());
+        assertEquals(Cause.CLOSED, after.reason());
         d.close();
     }
 }
--- a/durable/src/test/java/tallyweir/durable/CutTest.java
+++ b/durable/src/test/java/tallyweir/durable/CutTest.java
@@ -19,66 +19,66 @@
     private static final int SEEDS = 6;
 
     @Test
-    void thePowerIsCutWithinEveryOperationOfShortHistories() {
+    void survivesPowerFailureAtEveryOperation() {
         Drill.Tally all = new Drill.Tally();
         for (int seed = 0; seed < SEEDS; seed++) {
-            all.add(Drill.cuts(seed, 40, 1, 3, Set.of()));
+            all.add(Drill.powerCuts(seed, 40, 1, 3, Set.of()));
         }
-        assertEquals(List.of(), all.wrong());
+        assertEquals(List.of(), all.violations());
         assertTrue(all.openings() > 5_000, "only " + all.openings() + " openings");
         assertTrue(all.cutInOpening() > 500, "only " + all.cutInOpening() + " cut in the opening");
     }
 
     @Test
-    void forcesFailRoomEndsNothingCanBeWritten() {
+    void survivesFailedForcesFullDiskAndReadOnlyDisk() {
         Drill.Tally all = new Drill.Tally();
         for (int seed = 0; seed < SEEDS; seed++) {
-            all.add(Drill.faults(seed, 80, Set.of()));
+            all.add(Drill.diskFaults(seed, 80, Set.of()));
         }
-        all.add(Drill.faults(
+        all.add(Drill.diskFaults(
                 7, 400, Set.of())); // the clock steps back before an expiry time that compaction has acted on
-        assertEquals(List.of(), all.wrong());
+        assertEquals(List.of(), all.violations());
     }
 
     @Test
-    void oldVersionsDoNotComeBack() {
-        assertEquals(List.of(), Drill.oldVersions(1, 400, Set.of()).wrong());
+    void oldVersionsDoNotReappear() {
+        assertEquals(List.of(), Drill.staleVersions(1, 400, Set.of()).violations());
     }
 
     @Test
-    void whatTwoProcessesAcknowledgeIsFoundThoughTheLockIsLost() {
-        Drill.Tally t = Drill.turns(1, 1_500, Set.of());
-        assertEquals(List.of(), t.wrong());
+    void writesAcknowledgedByTwoProcessesAreFoundWithoutLock() {
+        Drill.Tally t = Drill.takeovers(1, 1_500, Set.of());
+        assertEquals(List.of(), t.violations());
         assertTrue(t.openings() > 3_500, "only " + t.openings() + " openings");
     }
 
     @Test
-    void eachFileIsCutOffAndChangedAtEveryOffset() throws IOException {
-        Drill.Tally t = Drill.damage(null, 3, 60, 1, 4, Set.of());
-        assertEquals(List.of(), t.wrong());
+    void survivesTruncationAndDamageAtEveryOffset() throws IOException {
+        Drill.Tally t = Drill.fileDamage(null, 3, 60, 1, 4, Set.of());
+        assertEquals(List.of(), t.violations());
         assertTrue(t.openings() > 20_000, "only " + t.openings() + " openings");
     }
 
     @Test
-    void theSameOnFiles(@TempDir Path dir) throws IOException {
-        Drill.Tally t = Drill.damage(dir, 4, 30, 41, 4, Set.of());
-        assertEquals(List.of(), t.wrong());
+    void survivesTruncationAndDamageOnFileSystem(@TempDir Path dir) throws IOException {
+        Drill.Tally t = Drill.fileDamage(dir, 4, 30, 41, 4, Set.of());
+        assertEquals(List.of(), t.violations());
         assertTrue(t.openings() > 200, "only " + t.openings() + " openings");
     }
 
     /** A defence is shown to be needed only if a fault without it breaks the store. */
     @ParameterizedTest
     @EnumSource(Defence.class)
-    void withoutOneOfItsDefencesTheStoreFails(Defence defence) throws IOException {
+    void storeFailsWithoutAnyOneDefence(Defence defence) throws IOException {
         Set<Defence> without = EnumSet.of(defence);
         Drill.Tally all = new Drill.Tally();
-        for (int seed = 0; seed < SEEDS && all.good(); seed++) {
-            all.add(Drill.damage(null, seed, 60, 7, 4, without));
-            all.add(Drill.cuts(seed, 40, 1, 3, without));
-            all.add(Drill.faults(seed, 80, without));
-            all.add(Drill.oldVersions(seed, 100, without));
-            all.add(Drill.turns(seed, 100, without));
+        for (int seed = 0; seed < SEEDS && all.passed(); seed++) {
+            all.add(Drill.fileDamage(null, seed, 60, 7, 4, without));
+            all.add(Drill.powerCuts(seed, 40, 1, 3, without));
+            all.add(Drill.diskFaults(seed, 80, without));
+            all.add(Drill.staleVersions(seed, 100, without));
+            all.add(Drill.takeovers(seed, 100, without));
         }
-        assertFalse(all.good(), "nothing went wrong without " + defence);
+        assertFalse(all.passed(), "nothing went wrong without " + defence);
     }
 }
--- a/durable/src/test/java/tallyweir/durable/DurableTest.java
+++ b/durable/src/test/java/tallyweir/durable/DurableTest.java
@@ -34,7 +34,7 @@
         return new Durable(
                 first,
                 second,
-                Both.IN_TURN,
+                Both.SEQUENTIAL,
                 segmentBytes,
                 512,
                 0.5,
@@ -59,7 +59,7 @@
     }
 
     private static Cause refusal(Durable d, Batch b) {
-        return assertThrows(Refused.class, () -> d.commit(b)).why();
+        return assertThrows(Refused.class, () -> d.commit(b)).reason();
     }
 
     private static List<String> keys(Iterator<Found> in) {
@@ -69,21 +69,21 @@
     }
 
     /** Runs all due upkeep, which must come to an end. */
-    private static void keepUp(Durable d) throws IOException {
+    private static void runUpkeep(Durable d) throws IOException {
         for (int steps = 0; d.upkeep(1 << 16); steps++) {
             assertTrue(steps < 2_000, "upkeep does not terminate");
         }
     }
 
     @Test
-    void nothingAndTheMost() throws IOException {
-        byte[] longest = new byte[Format.KEY_MOST];
-        byte[] largest = new byte[Format.VALUE_MOST];
+    void acceptsEmptyAndMaximumSizes() throws IOException {
+        byte[] longest = new byte[Format.MAX_KEY_BYTES];
+        byte[] largest = new byte[Format.MAX_VALUE_BYTES];
         largest[largest.length - 1] = 7;
         try (Durable d = open()) {
             d.commit(new Batch().put("a", new byte[0], new byte[0]).put("a", longest, largest));
-            assertEquals(Cause.TOO_LONG, refusal(d, new Batch().put("a", new byte[Format.KEY_MOST + 1], b(""))));
-            assertEquals(Cause.TOO_LONG, refusal(d, new Batch().put("a", b("k"), new byte[Format.VALUE_MOST + 1])));
+            assertEquals(Cause.TOO_LONG, refusal(d, new Batch().put("a", new byte[Format.MAX_KEY_BYTES + 1], b(""))));
+            assertEquals(Cause.TOO_LONG, refusal(d, new Batch().put("a", b("k"), new byte[Format.MAX_VALUE_BYTES + 1])));
             assertEquals(
                     Cause.TOO_LONG,
                     refusal(d, new Batch().put("a", b("k"), largest).put("a", b("l"), largest)));
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void atTheBoundOneNamespaceRefusesAndTheOtherDropsItsOldest() throws IOException {
+    void namespaceAtItsBoundRefusesOrDropsItsOldest() throws IOException {
         try (Durable d = open()) {
             for (int i = 0; i < 4; i++) {
                 d.commit(new Batch().put("few", b("k" + i), new byte[60]).put("ring", b("k" + i), new byte[60]));
@@ -118,7 +118,7 @@
             d.commit(new Batch().delete("few", b("k1")));
             d.commit(new Batch().put("few", b("k4"), new byte[60]));
             assertEquals(Cause.AT_BOUND, refusal(d, new Batch().put("ring", b("big"), new byte[400])));
-            assertEquals(2, d.figures().refused(Cause.AT_BOUND));
+            assertEquals(2, d.figures().refusals(Cause.AT_BOUND));
         }
         try (Durable d = open()) {
             assertEquals(List.of("k0", "k2", "k3", "k4"), keys(d.view().range("ring", new byte[0], null)));
@@ -128,7 +128,7 @@
     }
 
     @Test
-    void whatHasExpiredMakesRoom() throws IOException {
+    void expiredRecordsFreeSpace() throws IOException {
         try (Durable d = open()) {
             d.commit(new Batch().put("few", b("k"), new byte[300], clock + 100));
             assertEquals(Cause.AT_BOUND, refusal(d, new Batch().put("few", b("l"), new byte[300])));
@@ -139,7 +139,7 @@
     }
 
     @Test
-    void theClockMayStepBack() throws IOException {
+    void clockMayStepBack() throws IOException {
         try (Durable d = open()) {
             d.commit(new Batch().put("a", b("k"), b("v"), clock + 1_000));
             d.commit(new Batch().put("a", b("l"), b("v")));
@@ -151,8 +151,8 @@
             assertNull(d.get("a", b("k")), "an expired record is found again");
             d.commit(new Batch().put("a", b("n"), b("v")));
             assertEquals(
-                    List.of("l", "m", "n"), keys(d.view().between("a", 0, 1L << 45)), "not in the order of writing");
-            assertEquals(List.of("m", "n"), keys(d.view().between("a", then + 1, then + 50_000)));
+                    List.of("l", "m", "n"), keys(d.view().writtenBetween("a", 0, 1L << 45)), "not in the order of writing");
+            assertEquals(List.of("m", "n"), keys(d.view().writtenBetween("a", then + 1, then + 50_000)));
         }
         try (Durable d = open()) {
             assertNull(d.get("a", b("k")), "an expired record is found again after opening");
@@ -164,7 +164,7 @@
      * that had expired and been removed. The long drill found it in one round of a thousand.
      */
     @Test
-    void whatWentBecauseItsTimeWasOverStaysOverThoughTheClockStepsBack() throws IOException {
+    void removedRecordsStayExpiredWhenTheClockStepsBack() throws IOException {
         for (boolean swept : new boolean[] {true, false}) {
             first = new SimDisk(power, 512, "first");
             second = new SimDisk(power, 512, "second");
@@ -174,7 +174,7 @@
             d.commit(new Batch().put("a", b("l"), b("v")));
             clock = over + 700_000;
             if (swept) {
-                keepUp(d);
+                runUpkeep(d);
             } else {
                 d.compactAll();
             }
@@ -194,7 +194,7 @@
     }
 
     @Test
-    void aViewStaysAsItWasWhileSegmentsAreCompactedAway() throws IOException {
+    void viewIsUnchangedByCompaction() throws IOException {
         try (Durable d = open(4_096)) {
             for (int i = 0; i < 40; i++) {
                 d.commit(new Batch().put("a", b("k" + i), b("old" + i)));
@@ -204,26 +204,26 @@
                 d.commit(new Batch().put("a", b("k" + i), b("new" + i)));
             }
             d.compactAll();
-            int files = first.names().size();
+            int files = first.fileNames().size();
             for (int i = 0; i < 40; i++) {
                 assertEquals("old" + i, text(view.get("a", b("k" + i))));
                 assertEquals("new" + i, text(d.get("a", b("k" + i))));
             }
             view.close();
-            keepUp(d);
-            assertTrue(first.names().size() < files, "the files of old segments were not deleted");
+            runUpkeep(d);
+            assertTrue(first.fileNames().size() < files, "the files of old segments were not deleted");
         }
     }
 
     @Test
-    void compactionGivesBackWhatIsDead() throws IOException {
+    void compactionFreesDeadBytes() throws IOException {
         try (Durable d = open(4_096)) {
             for (int i = 0; i < 600; i++) {
                 d.commit(new Batch().put("a", b("k" + i % 7), new byte[100]));
                 d.upkeep(2_048);
             }
-            keepUp(d);
-            assertTrue(first.names().size() < 12, first.names().size() + " files for seven keys");
+            runUpkeep(d);
+            assertTrue(first.fileNames().size() < 12, first.fileNames().size() + " files for seven keys");
             for (int i = 0; i < 7; i++) {
                 assertNotNull(d.get("a", b("k" + i)));
             }
@@ -232,7 +232,7 @@
 
     /** Tombstones and segments must not accumulate when short-lived keys are written next to long-lived ones. */
     @Test
-    void shortLivedKeysLeaveNothingBehind() throws IOException {
+    void shortLivedKeysDoNotAccumulate() throws IOException {
         try (Durable d = open(4_096)) {
             for (int i = 0; i < 20; i++) {
                 d.commit(new Batch().put("a", b("stays" + i), new byte[300]));
@@ -246,24 +246,24 @@
                 d.upkeep(4_096);
             }
             clock += 700_000;
-            keepUp(d);
-            assertEquals(20, d.keys());
+            runUpkeep(d);
+            assertEquals(20, d.keyCount());
             long size = (Long) d.info().get("bytes_of_each_copy");
             assertTrue(size < 80_000, size + " bytes for 20 keys");
         }
     }
 
     @Test
-    void aSecondOpeningIsKeptOut(@TempDir Path dir) throws IOException {
+    void secondOpeningIsRefused(@TempDir Path dir) throws IOException {
         try (Durable d = open()) {
-            assertEquals(Cause.IN_USE, assertThrows(Refused.class, this::open).why());
+            assertEquals(Cause.IN_USE, assertThrows(Refused.class, this::open).reason());
             d.commit(new Batch().put("a", b("k"), b("v")));
         }
         open().close();
         FileDisk one = new FileDisk(dir.resolve("one"));
         FileDisk other = new FileDisk(dir.resolve("other"));
         try (Durable d = new Durable(
-                one, other, Both.IN_TURN, 4_096, 512, 0.5, 0, SPACES, 1, () -> clock, Runnable::run, Set.of())) {
+                one, other, Both.SEQUENTIAL, 4_096, 512, 0.5, 0, SPACES, 1, () -> clock, Runnable::run, Set.of())) {
             assertEquals(
                     Cause.IN_USE,
                     assertThrows(
@@ -271,7 +271,7 @@
                                     () -> new Durable(
                                             one,
                                             other,
-                                            Both.IN_TURN,
+                                            Both.SEQUENTIAL,
                                             4_096,
                                             512,
                                             0.5,
@@ -281,48 +281,48 @@
                                             () -> clock,
                                             Runnable::run,
                                             Set.of()))
-                            .why());
+                            .reason());
             d.commit(new Batch().put("a", b("k"), b("v")));
         }
     }
 
     @Test
-    void aNewerFormatIsRefusedAndLeftAlone() throws IOException {
+    void newerFormatIsRefusedAndNotModified() throws IOException {
         try (Durable d = open()) {
             d.commit(new Batch().put("a", b("k"), b("v")));
         }
-        String name = Format.name(1);
+        String name = Format.segmentFileName(1);
         byte[] file = first.content(name);
         byte[] newer = file.clone();
-        ByteBuffer.wrap(newer).putInt(Format.FRAME, Format.VERSION + 1);
+        ByteBuffer.wrap(newer).putInt(Format.FRAME_HEADER_BYTES, Format.VERSION + 1);
         int length = ByteBuffer.wrap(newer).getInt(8);
-        Format.seal(newer, 0, Format.HEAD, length, Format.number(newer, 0), 0, 1, 0);
-        first.load(name, newer);
-        second.load(name, newer);
+        Format.writeFrameHeader(newer, 0, Format.HEAD_FRAME, length, Format.frameNumber(newer, 0), 0, 1, 0);
+        first.addDurable(name, newer);
+        second.addDurable(name, newer);
         Refused r = assertThrows(Refused.class, this::open);
-        assertEquals(Cause.NEWER_FORMAT, r.why());
+        assertEquals(Cause.NEWER_FORMAT, r.reason());
         assertTrue(r.getMessage().contains("format " + (Format.VERSION + 1)), r.getMessage());
         assertArrayEquals(newer, first.content(name));
-        first.load(name, file);
-        second.load(name, file);
+        first.addDurable(name, file);
+        second.addDurable(name, file);
         try (Durable d = open()) {
             assertEquals("v", text(d.get("a", b("k"))));
         }
     }
 
     @Test
-    void aWholeDirectoryMayBeGone() throws IOException {
+    void oneDirectoryMayBeLost() throws IOException {
         try (Durable d = open(4_096)) {
             for (int i = 0; i < 50; i++) {
                 d.commit(new Batch().put("a", b("k" + i), new byte[200]));
             }
         }
-        first.names().forEach(first::lose);
+        first.fileNames().forEach(first::removeDurable);
         try (Durable d = open(4_096)) {
-            assertTrue(d.figures().get(Figures.Of.FILES_REMADE) > 3);
+            assertTrue(d.figures().get(Figures.Counter.FILES_REMADE) > 3);
             assertEquals(50, keys(d.view().range("a", new byte[0], null)).size());
         }
-        second.names().forEach(second::lose);
+        second.fileNames().forEach(second::removeDurable);
         try (Durable d = open(4_096)) {
             assertEquals(50, keys(d.view().range("a", new byte[0], null)).size());
         }
@@ -333,78 +333,78 @@
         for (int i = at; i < at + length; i++) {
             file[i] ^= 0x55;
         }
-        disk.load(name, file);
+        disk.addDurable(name, file);
     }
 
     /** Damage at the same place in both copies cannot be repaired: the loss is reported and the rest stays readable. */
     @Test
-    void damageInBothCopiesIsToldAndTheRestIsRead() throws IOException {
+    void damageInBothCopiesIsReportedAndTheRestIsReadable() throws IOException {
         try (Durable d = open()) {
             for (int i = 0; i < 10; i++) {
                 d.commit(new Batch().put("a", b("k" + i), new byte[100]));
             }
             d.abandon();
         }
-        damage(first, Format.name(1), 512 * 4 + 60, 3);
-        damage(second, Format.name(1), 512 * 4 + 90, 3);
+        damage(first, Format.segmentFileName(1), 512 * 4 + 60, 3);
+        damage(second, Format.segmentFileName(1), 512 * 4 + 90, 3);
         try (Durable d = open()) {
-            assertEquals(1, d.figures().get(Figures.Of.LOST_FRAMES));
+            assertEquals(1, d.figures().get(Figures.Counter.LOST_FRAMES));
             assertEquals(9, keys(d.view().range("a", new byte[0], null)).size());
             d.commit(new Batch().put("a", b("new"), b("v")));
         }
     }
 
     @Test
-    void damageFoundByAReadIsAnsweredFromTheSecondCopyAndMended(@TempDir Path dir) throws IOException {
+    void damagedReadUsesTheSecondCopyAndIsRepaired(@TempDir Path dir) throws IOException {
         try (Durable d = open()) {
             for (int i = 0; i < 10; i++) {
                 d.commit(new Batch().put("a", b("k" + i), b("v" + i)));
             }
         }
         try (Durable d = open()) {
-            damage(first, Format.name(1), 512 * 4 + 30, 3);
+            damage(first, Format.segmentFileName(1), 512 * 4 + 30, 3);
             d.abandon();
         }
         try (Durable d = open()) { // opened from the snapshot, so the damage is not noticed yet
             assertTrue(d.openedFromSnapshot());
-            assertEquals(0, d.figures().get(Figures.Of.REPAIRED));
+            assertEquals(0, d.figures().get(Figures.Counter.REPAIRED));
             for (int i = 0; i < 10; i++) {
                 assertEquals("v" + i, text(d.get("a", b("k" + i))));
             }
-            assertEquals(1, d.figures().get(Figures.Of.SECOND_READS));
+            assertEquals(1, d.figures().get(Figures.Counter.SECOND_READS));
             assertTrue(d.upkeep(1 << 16));
-            assertEquals(1, d.figures().get(Figures.Of.REPAIRED));
-            assertArrayEquals(second.content(Format.name(1)), first.content(Format.name(1)));
+            assertEquals(1, d.figures().get(Figures.Counter.REPAIRED));
+            assertArrayEquals(second.content(Format.segmentFileName(1)), first.content(Format.segmentFileName(1)));
         }
     }
 
     @Test
-    void theScrubMendsWhatNobodyReads() throws IOException {
+    void scrubRepairsUnreadRecords() throws IOException {
         try (Durable d = open(4_096)) {
             for (int i = 0; i < 60; i++) {
                 d.commit(new Batch().put("a", b("k" + i), new byte[420]));
             }
         }
-        damage(second, Format.name(2), 512 * 3 + 30, 40);
-        damage(first, Format.name(3), 10, 4);
+        damage(second, Format.segmentFileName(2), 512 * 3 + 30, 40);
+        damage(first, Format.segmentFileName(3), 10, 4);
         try (Durable d = new Durable(
-                first, second, Both.IN_TURN, 4_096, 512, 0.5, 1_000, SPACES, 1, () -> clock, Runnable::run, Set.of())) {
+                first, second, Both.SEQUENTIAL, 4_096, 512, 0.5, 1_000, SPACES, 1, () -> clock, Runnable::run, Set.of())) {
             clock += 2_000;
-            while (d.figures().get(Figures.Of.SCRUBS) == 0) {
+            while (d.figures().get(Figures.Counter.SCRUBS) == 0) {
                 assertTrue(d.upkeep(1_024), "the scrub ended early");
             }
-            assertEquals(2, d.figures().get(Figures.Of.REPAIRED));
-            assertArrayEquals(second.content(Format.name(2)), first.content(Format.name(2)));
-            assertArrayEquals(second.content(Format.name(3)), first.content(Format.name(3)));
+            assertEquals(2, d.figures().get(Figures.Counter.REPAIRED));
+            assertArrayEquals(second.content(Format.segmentFileName(2)), first.content(Format.segmentFileName(2)));
+            assertArrayEquals(second.content(Format.segmentFileName(3)), first.content(Format.segmentFileName(3)));
         }
     }
 
     @Test
-    void aFullDiskRefusesReadsOnAndResumes() throws IOException {
+    void fullDiskRefusesWritesAllowsReadsAndRecovers() throws IOException {
         try (Durable d = open(4_096)) {
             d.commit(new Batch().put("a", b("k"), b("v")));
             for (long room = 0; room < 4_000; room += 130) {
-                power.room(room);
+                power.setRemainingBytes(room);
                 assertEquals(
                         Cause.NO_ROOM,
                         refusal(
@@ -417,7 +417,7 @@
             }
             d.abandon();
         }
-        power.room(Long.MAX_VALUE);
+        power.setRemainingBytes(Long.MAX_VALUE);
         try (Durable d = open(4_096)) {
             assertEquals("v", text(d.get("a", b("k"))), "a refused batch was found after opening");
             d.commit(new Batch().put("a", b("k"), b("w")));
@@ -428,22 +428,22 @@
     }
 
     @Test
-    void aDirectoryThatCannotBeWrittenIsRead() throws IOException {
+    void readOnlyDirectoryCanBeRead() throws IOException {
         try (Durable d = open()) {
             d.commit(new Batch().put("a", b("k"), b("v")));
         }
-        power.readOnly(true);
+        power.setReadOnly(true);
         try (Durable d = open()) {
             assertEquals("v", text(d.get("a", b("k"))));
             assertEquals(Cause.NO_ROOM, refusal(d, new Batch().put("a", b("k"), b("w"))));
-            power.readOnly(false);
+            power.setReadOnly(false);
             d.commit(new Batch().put("a", b("k"), b("w")));
             assertEquals("w", text(d.get("a", b("k"))));
         }
     }
 
     @Test
-    void whoeverIsTakenOverFromReadsOnAndWritesNoMore() throws IOException {
+    void fencedHolderReadsButDoesNotWrite() throws IOException {
         try (Durable old = open()) {
             old.commit(new Batch().put("a", b("k"), b("v")));
             first.breakLock();
@@ -451,11 +451,11 @@
             try (Durable d = open()) {
                 assertEquals("v", text(d.get("a", b("k"))));
                 assertEquals(Cause.FENCED, refusal(old, new Batch().put("a", b("k"), b("late"))));
-                assertTrue(old.fenced());
+                assertTrue(old.isFenced());
                 assertFalse(old.upkeep(1 << 16), "upkeep runs on a store that was taken over");
                 assertEquals("v", text(old.get("a", b("k"))));
                 d.commit(new Batch().put("a", b("k"), b("w")));
-                assertFalse(d.fenced());
+                assertFalse(d.isFenced());
                 assertEquals(2L, d.info().get("turn"));
             }
         }
@@ -463,15 +463,15 @@
 
     /** A store opened while the disk was read-only may write only if no other process has written since. */
     @Test
-    void aTurnThatIsTakenLateIsOnlyTakenIfNobodyWroteMeanwhile() throws IOException {
+    void fenceIsRaisedLateOnlyIfNobodyElseWrote() throws IOException {
         try (Durable old = open()) {
             old.commit(new Batch().put("a", b("k"), b("v")));
-            power.readOnly(true);
+            power.setReadOnly(true);
             first.breakLock();
             second.breakLock();
             try (Durable d = open()) {
-                assertEquals(1, d.figures().get(Figures.Of.TURNS_NOT_TAKEN));
-                power.readOnly(false);
+                assertEquals(1, d.figures().get(Figures.Counter.TURNS_NOT_TAKEN));
+                power.setReadOnly(false);
                 old.commit(new Batch().put("a", b("l"), b("x")));
                 assertEquals(Cause.FENCED, refusal(d, new Batch().put("a", b("k"), b("w"))));
                 assertEquals(
@@ -488,14 +488,14 @@
 
     /** The disk reports a failed force once, and success afterwards. */
     @Test
-    void aForceThatFailedIsNeverTrustedLater() throws IOException {
+    void failedForceIsNeverTrustedLater() throws IOException {
         try (Durable d = open()) {
             d.commit(new Batch().put("a", b("k"), b("v")));
             power.failForce(1);
             assertEquals(Cause.UNKNOWN, refusal(d, new Batch().put("a", b("k"), b("w"))));
             assertEquals("v", text(d.get("a", b("k"))));
             d.commit(new Batch().put("a", b("l"), b("x")));
-            assertEquals(1, d.figures().get(Figures.Of.ABANDONED));
+            assertEquals(1, d.figures().get(Figures.Counter.ABANDONED));
             d.abandon();
         }
         try (Durable d = open()) {
@@ -505,11 +505,11 @@
     }
 
     @Test
-    void aSnapshotOfAnotherTimeOrStoreIsNoHarm() throws IOException {
+    void outdatedOrForeignSnapshotIsHarmless() throws IOException {
         try (Durable d = open(4_096)) {
             d.commit(new Batch().put("a", b("k"), b("old")));
         }
-        String old = first.names().stream()
+        String old = first.fileNames().stream()
                 .filter(n -> n.endsWith(".idx"))
                 .findFirst()
                 .orElseThrow();
@@ -521,8 +521,8 @@
             d.compactAll();
             d.abandon();
         }
-        first.names().stream().filter(n -> n.endsWith(".idx")).forEach(first::lose);
-        first.load(old, oldBytes);
+        first.fileNames().stream().filter(n -> n.endsWith(".idx")).forEach(first::removeDurable);
+        first.addDurable(old, oldBytes);
         try (Durable d = open(4_096)) {
             assertEquals("new59", text(d.get("a", b("k"))));
             assertEquals(61, keys(d.view().range("a", new byte[0], null)).size());
@@ -533,26 +533,26 @@
         first = new SimDisk(power, 512, "first");
         second = new SimDisk(power, 512, "second");
         try (Durable d = new Durable(
-                first, second, Both.IN_TURN, 4_096, 512, 0.5, 0, SPACES, 99, () -> clock, Runnable::run, Set.of())) {
+                first, second, Both.SEQUENTIAL, 4_096, 512, 0.5, 0, SPACES, 99, () -> clock, Runnable::run, Set.of())) {
             for (int i = 0; i < 300; i++) {
                 d.commit(new Batch().put("a", b("k"), b("foreign")));
             }
         }
-        String foreign = first.names().stream()
+        String foreign = first.fileNames().stream()
                 .filter(n -> n.endsWith(".idx"))
                 .findFirst()
                 .orElseThrow();
-        mine.load(foreign, first.content(foreign));
+        mine.addDurable(foreign, first.content(foreign));
         first = mine;
         second = mineToo;
         try (Durable d = open(4_096)) {
             assertEquals("new59", text(d.get("a", b("k"))));
-            assertFalse(d.figures().get(Figures.Of.SNAPSHOTS_DISTRUSTED) == 0);
+            assertFalse(d.figures().get(Figures.Counter.SNAPSHOTS_DISTRUSTED) == 0);
         }
     }
 
     @Test
-    void aBackupIsAStoreWithTheSameRecords(@TempDir Path dir) throws IOException {
+    void backupIsAStoreWithTheSameRecords(@TempDir Path dir) throws IOException {
         try (Durable d = open(4_096)) {
             for (int i = 0; i < 200; i++) {
                 d.commit(new Batch()
@@ -567,7 +567,7 @@
                     Durable copy = new Durable(
                             new FileDisk(dir.resolve("first")),
                             new FileDisk(dir.resolve("second")),
-                            Both.IN_TURN,
+                            Both.SEQUENTIAL,
                             1 << 16,
                             512,
                             0.5,
@@ -584,14 +584,14 @@
                 assertNull(copy.get("a", b("later")), "the backup contains a later write");
                 try (View there = copy.view()) {
                     for (String space : List.of("a", "ring")) {
-                        Iterator<Found> is = there.between(space, 0, 1L << 45);
-                        for (Iterator<Found> was = view.between(space, 0, 1L << 45); was.hasNext(); ) {
+                        Iterator<Found> is = there.writtenBetween(space, 0, 1L << 45);
+                        for (Iterator<Found> was = view.writtenBetween(space, 0, 1L << 45); was.hasNext(); ) {
                             Found f = was.next();
                             Found g = is.next();
                             assertArrayEquals(f.key(), g.key());
                             assertArrayEquals(f.value(), g.value());
                             assertEquals(f.stamp(), g.stamp());
-                            assertEquals(f.expires(), g.expires());
+                            assertEquals(f.expiresAt(), g.expiresAt());
                         }
                         assertFalse(is.hasNext());
                     }
@@ -602,7 +602,7 @@
     }
 
     @Test
-    void closedItSaysSo() throws IOException {
+    void closedStoreRefuses() throws IOException {
         Durable d = open();
         d.commit(new Batch().put("a", b("k"), b("v")));
         d.close();
--- a/durable/src/test/java/tallyweir/durable/IndexTest.java
+++ b/durable/src/test/java/tallyweir/durable/IndexTest.java
@@ -17,23 +17,23 @@
 
 /** Compares the index with a sorted map under random changes. */
 class IndexTest {
-    private static byte[] key(SplittableRandom chance, int alphabet) {
-        int length = chance.nextInt(20) == 0 ? chance.nextInt(Format.KEY_MOST + 1) : chance.nextInt(6);
+    private static byte[] key(SplittableRandom random, int alphabet) {
+        int length = random.nextInt(20) == 0 ? random.nextInt(Format.MAX_KEY_BYTES + 1) : random.nextInt(6);
         byte[] k = new byte[2 + length];
         for (int i = 1; i < k.length; i++) {
-            k[i] = (byte) (chance.nextInt(alphabet) * 37);
+            k[i] = (byte) (random.nextInt(alphabet) * 37);
         }
         return k;
     }
 
-    private static Index.Entry entry(SplittableRandom chance, byte[] key) {
+    private static Index.Entry entry(SplittableRandom random, byte[] key) {
         return new Index.Entry(
                 key,
-                chance.nextLong(Long.MAX_VALUE),
-                chance.nextInt(1 << 20),
-                chance.nextInt(1 << 30),
-                chance.nextInt(1 << 24),
-                chance.nextLong(1L << 47));
+                random.nextLong(Long.MAX_VALUE),
+                random.nextInt(1 << 20),
+                random.nextInt(1 << 30),
+                random.nextInt(1 << 24),
+                random.nextLong(1L << 47));
     }
 
     private static List<String> all(Index index) {
@@ -48,62 +48,62 @@
         return e == null
                 ? "none"
                 : Arrays.toString(e.key()) + e.stamp() + "/" + e.segment() + "/" + e.offset() + "/" + e.length() + "/"
-                        + e.expires();
+                        + e.expiresAt();
     }
 
     @Property(tries = 300, seed = "15", shrinking = ShrinkingMode.OFF)
-    void isLikeASortedMap(
+    void matchesSortedMapUnderRandomChanges(
             @ForAll long seed,
             @ForAll @IntRange(min = 2, max = 7) int alphabet,
             @ForAll @IntRange(min = 1, max = 1_500) int steps,
             @ForAll @IntRange(min = 10, max = 90) int puts) {
-        SplittableRandom chance = new SplittableRandom(seed);
-        TreeMap<byte[], Index.Entry> plain = new TreeMap<>(Arrays::compareUnsigned);
+        SplittableRandom random = new SplittableRandom(seed);
+        TreeMap<byte[], Index.Entry> expected = new TreeMap<>(Arrays::compareUnsigned);
         Index index = Index.EMPTY;
-        Index kept = index;
-        List<String> keptShows = all(kept);
+        Index snapshot = index;
+        List<String> snapshotEntries = all(snapshot);
         for (int i = 0; i < steps; i++) {
-            byte[] key = key(chance, alphabet);
-            if (chance.nextInt(100) < puts) {
-                Index.Entry e = entry(chance, key);
-                plain.put(key, e);
+            byte[] key = key(random, alphabet);
+            if (random.nextInt(100) < puts) {
+                Index.Entry e = entry(random, key);
+                expected.put(key, e);
                 index = index.put(e);
             } else {
-                plain.remove(key);
+                expected.remove(key);
                 index = index.remove(key);
             }
-            byte[] asked = key(chance, alphabet);
-            assertEquals(text(plain.get(asked)), text(index.get(asked)));
-            Map.Entry<byte[], Index.Entry> next = plain.ceilingEntry(asked);
-            assertEquals(text(next == null ? null : next.getValue()), text(index.atOrAfter(asked)));
+            byte[] probe = key(random, alphabet);
+            assertEquals(text(expected.get(probe)), text(index.get(probe)));
+            Map.Entry<byte[], Index.Entry> next = expected.ceilingEntry(probe);
+            assertEquals(text(next == null ? null : next.getValue()), text(index.atOrAfter(probe)));
             if (i == steps / 2) {
-                kept = index;
-                keptShows = all(kept);
+                snapshot = index;
+                snapshotEntries = all(snapshot);
             }
         }
-        List<String> wanted = plain.values().stream().map(IndexTest::text).toList();
-        assertEquals(wanted, all(index));
-        assertEquals(plain.size(), index.size());
-        assertEquals(keptShows, all(kept), "an older index has changed");
-        assertEquals(wanted, all(Index.of(index.leaves())));
-        assertEquals(wanted, all(Index.ofSorted(new ArrayList<>(plain.values()))));
+        List<String> expectedEntries = expected.values().stream().map(IndexTest::text).toList();
+        assertEquals(expectedEntries, all(index));
+        assertEquals(expected.size(), index.size());
+        assertEquals(snapshotEntries, all(snapshot), "an older index has changed");
+        assertEquals(expectedEntries, all(Index.fromLeaves(index.leaves())));
+        assertEquals(expectedEntries, all(Index.fromSortedEntries(new ArrayList<>(expected.values()))));
         long[] seen = new long[1];
-        index.each((namespace, stamp, segment, length, expires) -> seen[0] += stamp + segment + length + expires);
+        index.forEach((namespace, stamp, segment, length, expires) -> seen[0] += stamp + segment + length + expires);
         assertEquals(
-                plain.values().stream()
-                        .mapToLong(e -> e.stamp() + e.segment() + e.length() + e.expires())
+                expected.values().stream()
+                        .mapToLong(e -> e.stamp() + e.segment() + e.length() + e.expiresAt())
                         .sum(),
                 seen[0]);
     }
 
     @Test
-    void emptiedItIsEmpty() {
+    void indexIsEmptyAfterRemovingAllKeys() {
         Index index = Index.EMPTY;
-        SplittableRandom chance = new SplittableRandom(1);
+        SplittableRandom random = new SplittableRandom(1);
         List<byte[]> keys = new ArrayList<>();
         for (int i = 0; i < 20_000; i++) {
-            keys.add(Index.key(1, Integer.toString(i).getBytes()));
-            index = index.put(entry(chance, keys.get(i)));
+            keys.add(Index.indexKey(1, Integer.toString(i).getBytes()));
+            index = index.put(entry(random, keys.get(i)));
         }
         assertEquals(20_000, index.size());
         for (byte[] key : keys) {
--- a/durable/src/test/java/tallyweir/durable/LinearTest.java
+++ b/durable/src/test/java/tallyweir/durable/LinearTest.java
@@ -28,7 +28,7 @@
                 new Durable(
                         new SimDisk(power, 512, "first"),
                         new SimDisk(power, 512, "second"),
-                        Both.IN_TURN,
+                        Both.SEQUENTIAL,
                         4_096,
                         512,
                         0.5,
--- a/fleet/src/main/java/tallyweir/fleet/Answer.java
+++ b/fleet/src/main/java/tallyweir/fleet/Answer.java
@@ -13,7 +13,7 @@
      * @param floorShare the share of a cap that is divided among the slots as floors
      * @param next time until the next report, at most, by the server's clock
      */
-    record Joined(Incarnation as, int places, double floorShare, long next) implements Answer {}
+    record Joined(Incarnation incarnation, int slots, double floorShare, long maxReportDelay) implements Answer {}
 
     /**
      * A report was accepted.
@@ -21,7 +21,7 @@
      * @param number the number of the report
      * @param lease how long the server may use the connections lent to it, by its own clock and counted from when it sent this
      *     report; 0 while it is not a member
-     * @param floorLease how long it may use its floors, counted likewise
+     * @param floorLeaseDuration how long it may use its floors, counted likewise
      * @param floorsFree whether floors that are higher than before may be used, because nothing is lent against them any more
      * @param inForce the revision in force
      * @param age how long that revision has been in force
@@ -29,16 +29,16 @@
      * @param shares what the server is lent by tenant; tenants without a share are left out
      * @param next time until the next report, at most, by the server's clock
      */
-    record Told(
-            long number,
-            long lease,
-            long floorLease,
+    record ReportAccepted(
+            long reportNumber,
+            long leaseDuration,
+            long floorLeaseDuration,
             boolean floorsFree,
             RevisionRoot inForce,
-            long age,
-            RevisionRoot toCheck,
-            Map<TenantId, Grant> shares,
-            long next)
+            long inForceDuration,
+            RevisionRoot proposed,
+            Map<TenantId, Grant> grants,
+            long maxReportDelay)
             implements Answer {}
 
     /**
@@ -57,5 +57,5 @@
     record Waiting(int ahead) implements Answer {}
 
     /** The command was rejected and nothing has changed. */
-    record Refused(Fault why) implements Answer {}
+    record Refused(Fault fault) implements Answer {}
 }
--- a/fleet/src/main/java/tallyweir/fleet/CapPool.java
+++ b/fleet/src/main/java/tallyweir/fleet/CapPool.java
@@ -12,7 +12,7 @@
  * {@link Lending} computes how much may be lent and passes it in.
  */
 final class CapPool {
-    private static final int NO_LEVEL = Integer.MAX_VALUE; // everybody's demand fits
+    private static final int UNLIMITED = Integer.MAX_VALUE; // everybody's demand fits
     private static final long NEVER = Long.MIN_VALUE;
 
     /** What one slot holds beyond its floor. */
@@ -28,11 +28,11 @@
             new ArrayDeque<>(); // oldest first, in descending order of floor, all above the current floor
     private int cap;
     private int floor;
-    private long granted; // sum over all slots
-    private long wanted; // sum over all slots
-    private int level = NO_LEVEL;
-    private long levelAt = NEVER;
-    private int turn;
+    private long totalGranted; // sum over all slots
+    private long totalWanted; // sum over all slots
+    private int fairLevel = UNLIMITED;
+    private long levelComputedAt = NEVER;
+    private int firstExtra;
 
     CapPool(TenantId tenant, int cap, int floor) {
         this.tenant = tenant;
@@ -53,7 +53,7 @@
     }
 
     long granted() {
-        return granted;
+        return totalGranted;
     }
 
     /**
@@ -68,14 +68,14 @@
      * since that revision, because it may be ahead of its last report. A floor is therefore recorded only until an equal or
      * higher one follows, which keeps the recorded floors in descending order.
      */
-    void change(int newCap, int newFloor, long revision) {
-        earlierFloors.addLast(new LendingPart.EarlierFloor(revision, floor));
+    void changeCap(int newCap, int newFloor, long fromRevision) {
+        earlierFloors.addLast(new LendingPart.EarlierFloor(fromRevision, floor));
         while (!earlierFloors.isEmpty() && earlierFloors.getLast().floor() <= newFloor) {
             earlierFloors.removeLast();
         }
         cap = newCap;
         floor = newFloor;
-        levelAt = NEVER;
+        levelComputedAt = NEVER;
     }
 
     boolean hasEarlierFloors() {
@@ -84,7 +84,7 @@
 
     /** Drops the floors that ended by a revision, once no slot acts on an earlier revision than that one. */
     void forgetFloorsBefore(long revision) {
-        while (!earlierFloors.isEmpty() && earlierFloors.getFirst().until() <= revision) {
+        while (!earlierFloors.isEmpty() && earlierFloors.getFirst().untilRevision() <= revision) {
             earlierFloors.removeFirst();
         }
     }
@@ -93,49 +93,49 @@
      * The sum over all slots of how much the floor that a slot may use under an earlier revision exceeds the current
      * floor.
      */
-    long floorsOver(PlacesByRevision places) {
-        long over = 0;
+    long excessOfEarlierFloors(PlacesByRevision slots) {
+        long excess = 0;
         long from = Long.MIN_VALUE;
         for (LendingPart.EarlierFloor earlier : earlierFloors) {
-            over += (long) places.between(from, earlier.until()) * (earlier.floor() - floor);
-            from = earlier.until();
+            excess += (long) slots.countBetween(from, earlier.untilRevision()) * (earlier.floor() - floor);
+            from = earlier.untilRevision();
         }
-        return over;
+        return excess;
     }
 
     /**
      * Takes a slot's reported need and lends it more at once, as far as it is entitled to more and something is free.
      */
-    Grant report(int place, Need need, long lendable, long now, long levelEvery) {
-        Share share = shares.computeIfAbsent(place, x -> new Share());
-        int kept = Math.min(share.granted, Math.max(0, need.keep()));
-        set(share, kept, need.want());
+    Grant updateNeed(int slot, Need need, long lendable, long now, long levelInterval) {
+        Share share = shares.computeIfAbsent(slot, x -> new Share());
+        int kept = Math.min(share.granted, Math.max(0, need.kept()));
+        set(share, kept, need.wanted());
         if (cap != Caps.UNCAPPED) {
-            lend(share, lendable, now, levelEvery);
+            lend(share, lendable, now, levelInterval);
         }
         if (share.granted == 0 && share.want == 0) {
-            shares.remove(place);
+            shares.remove(slot);
         }
         return new Grant(share.granted, target(share));
     }
 
     private void set(Share share, int nowGranted, int nowWanted) {
-        granted += nowGranted - share.granted;
-        wanted += nowWanted - share.want;
+        totalGranted += nowGranted - share.granted;
+        totalWanted += nowWanted - share.want;
         share.granted = nowGranted;
         share.want = nowWanted;
     }
 
-    private void lend(Share share, long lendable, long now, long levelEvery) {
-        if (wanted <= lendable) {
-            level = NO_LEVEL;
-            levelAt = NEVER;
-        } else if (levelAt == NEVER || now - levelAt >= levelEvery) {
-            level(lendable, now);
+    private void lend(Share share, long lendable, long now, long levelInterval) {
+        if (totalWanted <= lendable) {
+            fairLevel = UNLIMITED;
+            levelComputedAt = NEVER;
+        } else if (levelComputedAt == NEVER || now - levelComputedAt >= levelInterval) {
+            computeLevel(lendable, now);
         }
-        long more = Math.min(target(share) - share.granted, lendable - granted);
-        if (more > 0) {
-            set(share, share.granted + (int) more, share.want);
+        long increase = Math.min(target(share) - share.granted, lendable - totalGranted);
+        if (increase > 0) {
+            set(share, share.granted + (int) increase, share.want);
         }
     }
 
@@ -143,7 +143,7 @@
         if (cap == Caps.UNCAPPED) {
             return share.granted;
         }
-        return level == NO_LEVEL ? share.want : Math.min(share.want, level + (share.extra ? 1 : 0));
+        return fairLevel == UNLIMITED ? share.want : Math.min(share.want, fairLevel + (share.extra ? 1 : 0));
     }
 
     /**
@@ -151,7 +151,7 @@
      * slots that want more, starting at another slot each time, so that under a cap smaller than their number each gets a
      * turn.
      */
-    private void level(long lendable, long now) {
+    private void computeLevel(long lendable, long now) {
         List<Share> wanting = new ArrayList<>();
         for (Share share : shares.values()) {
             share.extra = false;
@@ -159,35 +159,35 @@
                 wanting.add(share);
             }
         }
-        long left = share(wanting, Math.max(0, lendable));
-        levelAt = now;
-        giveExtras(wanting, left);
-        turn = wanting.isEmpty() ? 0 : (turn + 1) % wanting.size();
+        long remainder = setFairLevel(wanting, Math.max(0, lendable));
+        levelComputedAt = now;
+        distributeRemainder(wanting, remainder);
+        firstExtra = wanting.isEmpty() ? 0 : (firstExtra + 1) % wanting.size();
     }
 
     /** Sets the level and returns the remainder that does not divide evenly. */
-    private long share(List<Share> wanting, long lendable) {
+    private long setFairLevel(List<Share> wanting, long lendable) {
         List<Share> byWant = new ArrayList<>(wanting);
         byWant.sort(Comparator.comparingInt(share -> share.want));
-        long left = lendable;
-        level = 0;
+        long remainder = lendable;
+        fairLevel = 0;
         for (int i = 0; i < byWant.size(); i++) {
-            int others = byWant.size() - i;
-            long each = left / others;
+            int unserved = byWant.size() - i;
+            long each = remainder / unserved;
             if (byWant.get(i).want > each) {
-                level = (int) each;
-                return left - each * others;
+                fairLevel = (int) each;
+                return remainder - each * unserved;
             }
-            left -= byWant.get(i).want;
+            remainder -= byWant.get(i).want;
         }
-        return left;
+        return remainder;
     }
 
-    private void giveExtras(List<Share> wanting, long extras) {
-        long left = extras;
+    private void distributeRemainder(List<Share> wanting, long remainder) {
+        long left = remainder;
         for (int i = 0; i < wanting.size() && left > 0; i++) {
-            Share share = wanting.get((turn + i) % wanting.size());
-            if (share.want > level) {
+            Share share = wanting.get((firstExtra + i) % wanting.size());
+            if (share.want > fairLevel) {
                 share.extra = true;
                 left--;
             }
@@ -195,29 +195,29 @@
     }
 
     /** What a slot holds and should hold; zeros if it has no share. */
-    Grant lent(int place) {
-        Share share = shares.get(place);
+    Grant grantOf(int slot) {
+        Share share = shares.get(slot);
         return share == null ? new Grant(0, 0) : new Grant(share.granted, target(share));
     }
 
     /** Whether a slot holds or wants anything. */
-    boolean concerns(int place) {
-        Share share = shares.get(place);
+    boolean holdsOrWants(int slot) {
+        Share share = shares.get(slot);
         return share != null && (share.granted > 0 || share.want > 0);
     }
 
     /** Takes back all that a slot was lent, once none of it can be in use there any more. */
-    void back(int place) {
-        Share share = shares.get(place);
+    void reclaim(int slot) {
+        Share share = shares.get(slot);
         if (share != null) {
             set(share, 0, 0);
         }
     }
 
     /** Takes back all that a slot was lent and drops its share. */
-    void remove(int place) {
-        back(place);
-        shares.remove(place);
+    void remove(int slot) {
+        reclaim(slot);
+        shares.remove(slot);
     }
 
     // ---- for snapshots
@@ -226,19 +226,19 @@
         List<LendingPart.ShareState> saved = new ArrayList<>();
         shares.forEach(
                 (place, share) -> saved.add(new LendingPart.ShareState(place, share.granted, share.want, share.extra)));
-        return new LendingPart.PoolState(tenant, cap, level, levelAt, turn, List.copyOf(earlierFloors), saved);
+        return new LendingPart.PoolState(tenant, cap, fairLevel, levelComputedAt, firstExtra, List.copyOf(earlierFloors), saved);
     }
 
     void load(LendingPart.PoolState state) {
-        level = state.level();
-        levelAt = state.levelAt();
-        turn = state.turn();
+        fairLevel = state.level();
+        levelComputedAt = state.levelComputedAt();
+        firstExtra = state.extraTurn();
         earlierFloors.addAll(state.earlierFloors());
         for (LendingPart.ShareState saved : state.shares()) {
             Share share = new Share();
-            shares.put(saved.place(), share);
-            set(share, saved.granted(), saved.want());
-            share.extra = saved.extra();
+            shares.put(saved.slot(), share);
+            set(share, saved.granted(), saved.wanted());
+            share.extra = saved.hasExtra();
         }
     }
 }
--- a/fleet/src/main/java/tallyweir/fleet/ChangeQueue.java
+++ b/fleet/src/main/java/tallyweir/fleet/ChangeQueue.java
@@ -13,7 +13,7 @@
 /** Changes of entries that wait until the proposed revision has been decided, oldest first. */
 final class ChangeQueue {
     /** Maximum number of waiting changes; further ones are rejected. */
-    static final int WAITING_MOST = 1_000;
+    static final int MAX_WAITING = 1_000;
 
     /** Parts of rejected batches; each is proposed by itself, before anything that waits. */
     private final ArrayDeque<List<ChangeRecord>> retries = new ArrayDeque<>();
@@ -26,7 +26,7 @@
     }
 
     boolean isFull() {
-        return size() >= WAITING_MOST;
+        return size() >= MAX_WAITING;
     }
 
     int size() {
@@ -42,7 +42,7 @@
     }
 
     /** The waiting change of the entry with this key. */
-    Optional<ChangeRecord> touching(Key key) {
+    Optional<ChangeRecord> findByKey(Key key) {
         return Optional.ofNullable(byKey.get(key));
     }
 
@@ -52,9 +52,9 @@
     }
 
     /** Puts a batch that was rejected as a whole back as two halves, each to be proposed by itself. */
-    void split(List<ChangeRecord> batch) {
+    void requeueInHalves(List<ChangeRecord> batch) {
         int half = batch.size() / 2;
-        batch.forEach(ChangeRecord::waits);
+        batch.forEach(ChangeRecord::markWaiting);
         retry(batch.subList(half, batch.size()));
         retry(batch.subList(0, half));
     }
@@ -94,8 +94,8 @@
     // ---- for snapshots
 
     /** Passes on each part of a rejected batch that is to be proposed by itself. */
-    void forEachRetry(Consumer<List<ChangeRecord>> to) {
-        retries.forEach(to);
+    void forEachRetry(Consumer<List<ChangeRecord>> consumer) {
+        retries.forEach(consumer);
     }
 
     /** The changes that arrived while a revision was proposed, without the retries. */
--- a/fleet/src/main/java/tallyweir/fleet/ChangeRecord.java
+++ b/fleet/src/main/java/tallyweir/fleet/ChangeRecord.java
@@ -30,10 +30,10 @@
     private final OperatorCommand command;
     private final Kind kind;
     private final List<Change> changes;
-    private final String by;
-    private final String why;
+    private final String author;
+    private final String reason;
     private final boolean forced;
-    private final long wall;
+    private final long requestedAtMs;
     private Outcome outcome = Outcome.WAITING;
     private RevisionId revision = RevisionId.NONE;
     private Fault.KeyConflict fault;
@@ -42,17 +42,17 @@
             OperatorCommand command,
             Kind kind,
             List<Change> changes,
-            String by,
-            String why,
+            String author,
+            String reason,
             boolean forced,
-            long wall) {
+            long requestedAtMs) {
         this.command = command;
         this.kind = kind;
         this.changes = List.copyOf(changes);
-        this.by = by;
-        this.why = why;
+        this.author = author;
+        this.reason = reason;
         this.forced = forced;
-        this.wall = wall;
+        this.requestedAtMs = requestedAtMs;
     }
 
     /** Restores a record from a snapshot. */
@@ -61,34 +61,34 @@
                 saved.command(),
                 saved.kind(),
                 saved.kind() == Kind.ENTRIES ? changes : List.of(),
-                saved.by(),
-                saved.why(),
+                saved.author(),
+                saved.reason(),
                 saved.forced(),
-                saved.wall());
+                saved.recordedAtMs());
         outcome = saved.outcome();
         revision = saved.revision();
         fault = saved.fault().orElse(null);
     }
 
     /** @param more number of snapshot parts with its changes that follow */
-    SnapshotPart.Record save(int more) {
+    SnapshotPart.Record save(int changeParts) {
         return new SnapshotPart.Record(
-                command, kind, by, why, forced, wall, outcome, revision, Optional.ofNullable(fault), more);
+                command, kind, author, reason, forced, requestedAtMs, outcome, revision, Optional.ofNullable(fault), changeParts);
     }
 
     /** Its revision was rejected as a whole: it waits to become part of another. */
-    void waits() {
+    void markWaiting() {
         outcome = Outcome.WAITING;
     }
 
     /** It has become part of a revision. */
-    void taken(RevisionId into) {
+    void markTaken(RevisionId into) {
         outcome = Outcome.TAKEN;
         revision = into;
     }
 
     /** It was rejected and will not be part of any revision. */
-    void refused(Fault.KeyConflict cause) {
+    void markRefused(Fault.KeyConflict cause) {
         outcome = Outcome.REFUSED;
         fault = cause;
     }
@@ -110,16 +110,16 @@
     }
 
     /** Whether it changes the entry with this key. */
-    boolean names(Key key) {
+    boolean changesKey(Key key) {
         return changes.stream().anyMatch(change -> change.key().equals(key));
     }
 
-    public String by() {
-        return by;
+    public String author() {
+        return author;
     }
 
-    public String why() {
-        return why;
+    public String reason() {
+        return reason;
     }
 
     /** Whether it comes into force even if servers cannot take it, without asking them. */
@@ -128,8 +128,8 @@
     }
 
     /** When it was requested, in ms since 1970 by the leader's wall clock. */
-    public long wall() {
-        return wall;
+    public long requestedAtMs() {
+        return requestedAtMs;
     }
 
     public Outcome outcome() {
--- a/fleet/src/main/java/tallyweir/fleet/Command.java
+++ b/fleet/src/main/java/tallyweir/fleet/Command.java
@@ -13,15 +13,15 @@
     record Tick() implements Command {}
 
     /** Creates the fleet, or gives it settings of a higher version. */
-    record Found(String fleet, FleetSettings settings) implements Command {}
+    record CreateFleet(String fleet, FleetSettings settings) implements Command {}
 
     /**
      * A server asks for a slot.
      *
-     * @param listen the address that the server listens at
+     * @param listenAddress the address that the server listens at
      * @param life number of the server's process, higher for each later process
      */
-    record Join(String fleet, ServerId server, String listen, long life) implements Command {}
+    record Join(String fleet, ServerId server, String listenAddress, long processNumber) implements Command {}
 
     /**
      * A server reports which revision it acts on and what it needs. A report counts only if it names the server's current
@@ -31,7 +31,7 @@
      * @param number sequence number of the server's reports; a report that repeats a number changes nothing
      * @param acting the revision that the server acts on
      * @param inForce digest of the table in use there, computed from its entries
-     * @param outdated queries that began under the previous revision after this one came into force, as far as the server knows
+     * @param outdatedQueries queries that began under the previous revision after this one came into force, as far as the server knows
      * @param checked the revision that the server validated last, NONE if it has validated none
      * @param cannot why it cannot act on that revision, empty if it can
      * @param ended number of queries that have ended since the server's process started
@@ -40,20 +40,20 @@
      */
     record Report(
             ServerId server,
-            Incarnation as,
-            long number,
-            RevisionId acting,
-            Digest inForce,
-            long outdated,
-            RevisionId checked,
-            String cannot,
-            long ended,
-            long bad,
+            Incarnation incarnation,
+            long reportNumber,
+            RevisionId actingRevision,
+            Digest tableDigest,
+            long outdatedQueries,
+            RevisionId checkedRevision,
+            String rejectReason,
+            long endedQueries,
+            long badQueries,
             Map<TenantId, Need> needs)
             implements Command {}
 
     /** A server has answered all its queries and shuts down. */
-    record Leave(ServerId server, Incarnation as) implements Command {}
+    record Leave(ServerId server, Incarnation incarnation) implements Command {}
 
     /**
      * An operator proposes a whole revision, given as its difference from the expected one.
@@ -62,16 +62,16 @@
      *     command is rejected
      */
     record Publish(
-            OperatorCommand command, RevisionId expected, List<Change> changes, String by, String why, boolean force)
+            OperatorCommand command, RevisionId expected, List<Change> changes, String author, String reason, boolean force)
             implements Command {}
 
     /**
      * An operator changes some entries, each on condition that its current value is the change's {@code before} value.
      */
-    record ChangeEntries(OperatorCommand command, List<Change> changes, String by, String why, boolean force)
+    record ChangeEntries(OperatorCommand command, List<Change> changes, String author, String reason, boolean force)
             implements Command {}
 
     /** An operator rolls back to an earlier revision: proposes a new one with the same table. */
-    record Rollback(OperatorCommand command, RevisionId expected, RevisionId to, String by, String why, boolean force)
+    record Rollback(OperatorCommand command, RevisionId expected, RevisionId target, String author, String reason, boolean force)
             implements Command {}
 }
--- a/fleet/src/main/java/tallyweir/fleet/Explorer.java
+++ b/fleet/src/main/java/tallyweir/fleet/Explorer.java
@@ -42,15 +42,15 @@
     private static final TenantId TENANT = new TenantId("t");
     private static final Key TENANT_KEY = new Key(Kind.CAP, TENANT.value());
     private static final long LEASE = 2;
-    private static final long OPEN_MOST = 2; // maximum time that a query is open
+    private static final long MAX_OPEN_TIME = 2; // maximum time that a query is open
     private static final long HORIZON = 5;
     private static final int CAP = 4; // each of two servers has a floor of one of these
-    private static final int EXCHANGES = 8; // more than a server needs in one contact
-    private static final int CROWDS = 2; // maximum number of bursts of callers at one server
-    private static final int SPEAKS = 3; // maximum number of contacts of one server with the fleet
+    private static final int MAX_EXCHANGES = 8; // more than a server needs in one contact
+    private static final int MAX_BURSTS = 2; // maximum number of bursts of callers at one server
+    private static final int MAX_CONTACTS = 3; // maximum number of contacts of one server with the fleet
 
     /** The entry that each operator changes in {@link Scene#CHANGES}; a and b change the same one. */
-    private static final Map<String, Key> ENTRIES = Map.of(
+    private static final Map<String, Key> ENTRY_BY_OPERATOR = Map.of(
             "a", new Key(Kind.STAND_BACK, "x"),
             "b", new Key(Kind.STAND_BACK, "x"),
             "c", new Key(Kind.STAND_BACK, "y"));
@@ -63,65 +63,65 @@
      * @param without guards that are switched off
      * @param most maximum number of states, after which the exploration gives up and reports so
      */
-    public static Search.Seen explore(Scene scene, Set<Guard> without, long most) {
-        return Search.explore(() -> new Fleet(scene, without), most);
+    public static Search.SearchResult explore(Scene scene, Set<Guard> without, long maxStates) {
+        return Search.explore(() -> new Fleet(scene, without), maxStates);
     }
 
     /** One server with its own side of the protocol and its messages to the fleet. */
     private static final class Server implements MemberActions {
-        private final Fleet in;
+        private final Fleet fleet;
         private final ServerId id;
         private Gate gate;
         private Member member;
-        private Command asked; // the request on its way to the fleet
-        private Command late; // on its way to the fleet although the server has given it up
-        private long life;
-        private RevisionId said = RevisionId.NONE; // the revision that it reports to act on
-        private RevisionId acts = RevisionId.NONE; // the revision that it does act on
+        private Command pendingRequest; // the request on its way to the fleet
+        private Command delayedRequest; // on its way to the fleet although the server has given it up
+        private long processNumber;
+        private RevisionId reportedRevision = RevisionId.NONE; // the revision that it reports to act on
+        private RevisionId actualRevision = RevisionId.NONE; // the revision that it does act on
         private Table table = Table.EMPTY; // in use
-        private boolean mixed; // the table in use belongs to no revision
-        private RevisionRoot toAct = RevisionRoot.NONE;
-        private RevisionRoot toCheck = RevisionRoot.NONE;
-        private final ArrayDeque<Long> open = new ArrayDeque<>(); // start times, each query on its own connection
-        private final ArrayDeque<ConnectionId> on = new ArrayDeque<>();
-        private int connections;
-        private int crowds;
-        private int speaks;
-
-        Server(Fleet in, String name) {
-            this.in = in;
+        private boolean hasUnknownTable; // the table in use belongs to no revision
+        private RevisionRoot revisionToAct = RevisionRoot.NONE;
+        private RevisionRoot revisionToCheck = RevisionRoot.NONE;
+        private final ArrayDeque<Long> openQueries = new ArrayDeque<>(); // start times, each query on its own connection
+        private final ArrayDeque<ConnectionId> openConnections = new ArrayDeque<>();
+        private int lastConnection;
+        private int bursts;
+        private int contacts;
+
+        Server(Fleet fleet, String name) {
+            this.fleet = fleet;
             id = new ServerId(name);
             start();
         }
 
         private void start() {
             gate = new Gate(0);
-            member = new Member(this, gate, id, id.value(), 1, false, 1, in.time, in.without);
-            life++;
-            said = RevisionId.NONE;
-            acts = RevisionId.NONE;
+            member = new Member(this, gate, id, id.value(), 1, false, 1, fleet.time, fleet.without);
+            processNumber++;
+            reportedRevision = RevisionId.NONE;
+            actualRevision = RevisionId.NONE;
             table = Table.EMPTY;
-            mixed = false;
-            toAct = RevisionRoot.NONE;
-            toCheck = RevisionRoot.NONE;
-            open.clear();
-            on.clear();
-            asked = null;
+            hasUnknownTable = false;
+            revisionToAct = RevisionRoot.NONE;
+            revisionToCheck = RevisionRoot.NONE;
+            openQueries.clear();
+            openConnections.clear();
+            pendingRequest = null;
         }
 
         String describe() {
             return id.value()
-                    + member.describe(in.time)
-                    + gate.describe(in.time)
-                    + (late != null)
-                    + life
-                    + said.value()
-                    + acts.value()
-                    + toAct.id().value()
-                    + toCheck.id().value()
-                    + open.stream().map(t -> in.time - t).toList()
-                    + crowds
-                    + speaks;
+                    + member.describe(fleet.time)
+                    + gate.describe(fleet.time)
+                    + (delayedRequest != null)
+                    + processNumber
+                    + reportedRevision.value()
+                    + actualRevision.value()
+                    + revisionToAct.id().value()
+                    + revisionToCheck.id().value()
+                    + openQueries.stream().map(t -> fleet.time - t).toList()
+                    + bursts
+                    + contacts;
         }
 
         /**
@@ -131,23 +131,23 @@
          * @param part whether only a part of the next table arrives
          */
         void exchange(boolean lie, boolean part) {
-            for (int i = 0; i < EXCHANGES; i++) {
-                RevisionId had = said;
-                member.clock(in.time);
-                hear();
-                if (toCheck.id().value() > 0) {
-                    RevisionId r = toCheck.id();
-                    toCheck = RevisionRoot.NONE;
-                    member.checked(r, "");
-                    hear();
+            for (int i = 0; i < MAX_EXCHANGES; i++) {
+                RevisionId before = reportedRevision;
+                member.clock(fleet.time);
+                deliver();
+                if (revisionToCheck.id().value() > 0) {
+                    RevisionId revision = revisionToCheck.id();
+                    revisionToCheck = RevisionRoot.NONE;
+                    member.checked(revision, "");
+                    deliver();
                 }
-                if (toAct.id().value() > 0) {
-                    RevisionRoot wanted = toAct;
-                    toAct = RevisionRoot.NONE;
+                if (revisionToAct.id().value() > 0) {
+                    RevisionRoot wanted = revisionToAct;
+                    revisionToAct = RevisionRoot.NONE;
                     act(wanted, lie, part);
-                    hear();
+                    deliver();
                 }
-                if (member.as() != null && said.equals(had) && said.value() > 0) {
+                if (member.incarnation() != null && reportedRevision.equals(before) && reportedRevision.value() > 0) {
                     return;
                 }
             }
@@ -155,84 +155,84 @@
 
         private void act(RevisionRoot wanted, boolean lie, boolean part) {
             Table fetched = fetched(wanted, part);
-            if (!fetched.root().equals(wanted.root()) && !in.without.contains(Guard.ROOT)) {
-                member.cannotAct(wanted.id());
+            if (!fetched.root().equals(wanted.root()) && !fleet.without.contains(Guard.ROOT)) {
+                member.applyFailed(wanted.id());
                 return;
             }
-            said = wanted.id();
+            reportedRevision = wanted.id();
             if (!lie) {
-                acts = said;
+                actualRevision = reportedRevision;
                 table = fetched;
-                mixed = in.state.table(table.root()).isEmpty();
+                hasUnknownTable = fleet.state.table(table.root()).isEmpty();
             }
             gate.caps(tenant -> RevisionControl.connections(fetched.get(new Key(Kind.CAP, tenant.value()))));
-            member.acting(said, lie ? new Digest("lie") : table.root(), 0);
+            member.applied(reportedRevision, lie ? new Digest("lie") : table.root(), 0);
         }
 
         private Table fetched(RevisionRoot wanted, boolean part) {
-            List<Change> differ = table.differenceTo(in.state.table(wanted.id()));
-            return table.apply(part ? differ.subList(0, differ.size() / 2) : differ);
+            List<Change> difference = table.differenceTo(fleet.state.table(wanted.id()));
+            return table.apply(part ? difference.subList(0, difference.size() / 2) : difference);
         }
 
-        private void hear() {
-            while (asked != null) {
-                Command now = asked;
-                asked = null;
-                member.hear(later(in.state.apply(now)));
+        private void deliver() {
+            while (pendingRequest != null) {
+                Command request = pendingRequest;
+                pendingRequest = null;
+                member.onAnswer(postponed(fleet.state.apply(request)));
             }
         }
 
         /** Postpones the next report by one step, because the clock of a scene is coarse. */
-        private static Answer later(Answer answer) {
-            return answer instanceof Answer.Told told
-                    ? new Answer.Told(
-                            told.number(),
-                            told.lease(),
-                            told.floorLease(),
-                            told.floorsFree(),
-                            told.inForce(),
-                            told.age(),
-                            told.toCheck(),
-                            told.shares(),
-                            told.next() + 1)
+        private static Answer postponed(Answer answer) {
+            return answer instanceof Answer.ReportAccepted accepted
+                    ? new Answer.ReportAccepted(
+                            accepted.reportNumber(),
+                            accepted.leaseDuration(),
+                            accepted.floorLeaseDuration(),
+                            accepted.floorsFree(),
+                            accepted.inForce(),
+                            accepted.inForceDuration(),
+                            accepted.proposed(),
+                            accepted.grants(),
+                            accepted.maxReportDelay() + 1)
                     : answer;
         }
 
         /** Sends a report and gives up waiting for the answer; the report may still arrive. */
-        void cut() {
-            member.clock(in.time);
-            late = asked;
-            asked = null;
-            member.failed();
+        void sendAndGiveUp() {
+            member.clock(fleet.time);
+            delayedRequest = pendingRequest;
+            pendingRequest = null;
+            member.requestFailed();
         }
 
         @Override
-        public Ended ended() {
-            return new Ended(0, 0);
+        public QueryCounts endedQueries() {
+            return new QueryCounts(0, 0);
         }
 
         @Override
         public void join(ServerId server, String listen) {
-            asked = new Command.Join("f", server, listen, life);
+            pendingRequest = new Command.Join("f", server, listen, processNumber);
         }
 
         @Override
         public void report(Command.Report report) {
-            asked = report;
+            pendingRequest = report;
         }
 
         @Override
         public void check(RevisionRoot revision) {
-            toCheck = revision;
+            revisionToCheck = revision;
         }
 
         @Override
-        public void act(RevisionRoot revision) {
-            toAct = revision;
+        public void apply(RevisionRoot revision) {
+            revisionToAct = revision;
         }
 
         @Override
-        public void standBack(boolean back) {
+        public void setWithdrawn(boolean back) {
             throw new IllegalStateException("unexpected call: no server should withdraw in these scenes");
         }
     }
@@ -242,37 +242,37 @@
         private final Set<Guard> without;
         private final State state;
         private final List<Server> servers = new ArrayList<>();
-        private final List<String> wrong = new ArrayList<>();
+        private final List<String> violations = new ArrayList<>();
         private final TreeSet<String> operators = new TreeSet<>();
-        private final List<Long> acknowledged = new ArrayList<>();
-        private final TreeSet<String> accepted = new TreeSet<>(); // operators whose change of an entry was accepted
+        private final List<Long> acknowledgedRevisions = new ArrayList<>();
+        private final TreeSet<String> acceptedOperators = new TreeSet<>(); // operators whose change of an entry was accepted
         private long time;
-        private int stopped = -1;
+        private int stoppedServer = -1;
         private boolean hasStopped;
-        private boolean restarted;
-        private boolean cut;
-        private boolean lied;
-        private boolean broken; // a transfer was cut short
+        private boolean hasRestarted;
+        private boolean hasCut;
+        private boolean hasLied;
+        private boolean hasBrokenTransfer; // a transfer was cut short
 
         Fleet(Scene scene, Set<Guard> without) {
             this.scene = scene;
             this.without = without;
             state = new State(without);
-            boolean share = share();
-            clock();
-            state.apply(new Command.Found(
+            boolean lendsShare = lendsShare();
+            advanceStateClock();
+            state.apply(new Command.CreateFleet(
                     "f",
                     new FleetSettings(
                             1,
                             LEASE,
-                            OPEN_MOST,
+                            MAX_OPEN_TIME,
                             2 * HORIZON,
-                            share ? HORIZON : 2,
+                            lendsShare ? HORIZON : 2,
                             0,
-                            share ? 1 : 0.5,
+                            lendsShare ? 1 : 0.5,
                             0,
-                            share ? 2 : 3,
-                            share ? 0.5 : 0,
+                            lendsShare ? 2 : 3,
+                            lendsShare ? 0.5 : 0,
                             0,
                             1,
                             1)));
@@ -286,7 +286,7 @@
             } else if (scene == Scene.TRANSFER) {
                 operators.add("a");
             } else if (scene == Scene.CHANGES) {
-                operators.addAll(ENTRIES.keySet());
+                operators.addAll(ENTRY_BY_OPERATOR.keySet());
             }
         }
 
@@ -295,11 +295,11 @@
             return scene == Scene.STOP ? HORIZON : scene == Scene.RACE ? 3 : 2;
         }
 
-        private boolean share() {
+        private boolean lendsShare() {
             return scene == Scene.STOP || scene == Scene.RESTART;
         }
 
-        private void clock() {
+        private void advanceStateClock() {
             state.clock(time, 0);
         }
 
@@ -317,14 +317,14 @@
                     "",
                     false));
             if (answer instanceof Answer.Done done) {
-                acknowledged.add(done.revision().value());
-            } else if (!(answer instanceof Answer.Refused refused && refused.why() instanceof Fault.LostRace)) {
-                wrong.add("an operator received " + answer);
+                acknowledgedRevisions.add(done.revision().value());
+            } else if (!(answer instanceof Answer.Refused refused && refused.fault() instanceof Fault.LostRace)) {
+                violations.add("an operator received " + answer);
             }
         }
 
         private Answer change(String operator) {
-            Change change = new Change(ENTRIES.get(operator), Optional.empty(), Optional.of(new Value.Present()));
+            Change change = new Change(ENTRY_BY_OPERATOR.get(operator), Optional.empty(), Optional.of(new Value.Present()));
             return state.apply(
                     new Command.ChangeEntries(new OperatorCommand(operator), List.of(change), operator, "", false));
         }
@@ -332,39 +332,39 @@
         private void firstChange(String operator) {
             Answer answer = change(operator);
             if (answer instanceof Answer.Done || answer instanceof Answer.Waiting) {
-                accepted.add(operator);
-            } else if (!(answer instanceof Answer.Refused refused && refused.why() instanceof Fault.KeyConflict)) {
-                wrong.add("an operator received " + answer);
+                acceptedOperators.add(operator);
+            } else if (!(answer instanceof Answer.Refused refused && refused.fault() instanceof Fault.KeyConflict)) {
+                violations.add("an operator received " + answer);
             }
         }
 
         /** Whether an operator's change is reported as done although its entry is not in force. */
         private boolean isLost(String operator) {
             return change(operator) instanceof Answer.Done
-                    && state.table(state.inForce()).get(ENTRIES.get(operator)).isEmpty();
+                    && state.table(state.inForce()).get(ENTRY_BY_OPERATOR.get(operator)).isEmpty();
         }
 
         @Override
         public String describe() {
-            StringBuilder all = new StringBuilder()
+            StringBuilder text = new StringBuilder()
                     .append(time)
-                    .append(stopped)
+                    .append(stoppedServer)
                     .append(hasStopped)
-                    .append(restarted)
-                    .append(cut)
-                    .append(lied)
-                    .append(broken)
+                    .append(hasRestarted)
+                    .append(hasCut)
+                    .append(hasLied)
+                    .append(hasBrokenTransfer)
                     .append(operators)
-                    .append(acknowledged)
-                    .append(accepted)
+                    .append(acknowledgedRevisions)
+                    .append(acceptedOperators)
                     .append(entries())
                     .append(state.inForce())
                     .append(state.proposed())
                     .append(state.lent(TENANT))
-                    .append(state.spoken(TENANT));
-            state.servers().forEach(x -> all.append(x.describe(time)).append(since(state.behindSince(x))));
-            servers.forEach(s -> all.append(s.describe()));
-            return all.toString();
+                    .append(state.committed(TENANT));
+            state.servers().forEach(x -> text.append(x.describe(time)).append(since(state.behindSince(x))));
+            servers.forEach(s -> text.append(s.describe()));
+            return text.toString();
         }
 
         /** The table in force and the waiting changes, in the scene CHANGES only. */
@@ -382,133 +382,133 @@
         }
 
         @Override
-        public List<String> enabled() {
-            List<String> all = new ArrayList<>();
+        public List<String> enabledActions() {
+            List<String> actions = new ArrayList<>();
             if (time < horizon()) {
-                all.add("time");
+                actions.add("time");
             }
             for (int i = 0; i < servers.size(); i++) {
                 Server s = servers.get(i);
-                if (s.late != null) {
-                    all.add("late " + i);
+                if (s.delayedRequest != null) {
+                    actions.add("late " + i);
                 }
-                if (i == stopped) {
+                if (i == stoppedServer) {
                     continue;
                 }
-                if (s.member.next() <= time && s.speaks < SPEAKS) {
-                    all.add("exchange " + i);
-                    if (!cut && i == 0 && scene != Scene.STOP) {
-                        all.add("cut " + i);
+                if (s.member.nextDeadline() <= time && s.contacts < MAX_CONTACTS) {
+                    actions.add("exchange " + i);
+                    if (!hasCut && i == 0 && scene != Scene.STOP) {
+                        actions.add("cut " + i);
                     }
-                    if (scene == Scene.RACE && !lied) {
-                        all.add("lie " + i);
+                    if (scene == Scene.RACE && !hasLied) {
+                        actions.add("lie " + i);
                     }
-                    if (scene == Scene.TRANSFER && !broken) {
-                        all.add("part " + i);
+                    if (scene == Scene.TRANSFER && !hasBrokenTransfer) {
+                        actions.add("part " + i);
                     }
                 }
-                if (share() && s.crowds < CROWDS) {
-                    all.add("crowd " + i);
+                if (lendsShare() && s.bursts < MAX_BURSTS) {
+                    actions.add("crowd " + i);
                 }
             }
             if (scene == Scene.STOP && !hasStopped) {
-                all.add("stop 0");
+                actions.add("stop 0");
             }
-            if (stopped >= 0) {
-                all.add("continue 0");
+            if (stoppedServer >= 0) {
+                actions.add("continue 0");
             }
-            if (scene == Scene.RESTART && !restarted) {
-                all.add("restart 0");
+            if (scene == Scene.RESTART && !hasRestarted) {
+                actions.add("restart 0");
             }
-            operators.forEach(o -> all.add((scene == Scene.CHANGES ? "change " : "publish ") + o));
-            return all;
+            operators.forEach(o -> actions.add((scene == Scene.CHANGES ? "change " : "publish ") + o));
+            return actions;
         }
 
         @Override
-        public void act(String action) {
-            String[] a = action.split(" ");
-            Server s = a.length > 1 && a[1].matches("[0-9]") ? servers.get(Integer.parseInt(a[1])) : null;
-            clock();
-            switch (a[0]) {
-                case "time" -> time();
+        public void perform(String action) {
+            String[] words = action.split(" ");
+            Server s = words.length > 1 && words[1].matches("[0-9]") ? servers.get(Integer.parseInt(words[1])) : null;
+            advanceStateClock();
+            switch (words[0]) {
+                case "time" -> passTime();
                 case "exchange" -> {
-                    s.speaks++;
+                    s.contacts++;
                     s.exchange(false, false);
                 }
                 case "lie" -> {
-                    lied = true;
+                    hasLied = true;
                     s.exchange(true, false);
                 }
                 case "part" -> {
-                    broken = true;
+                    hasBrokenTransfer = true;
                     s.exchange(false, true);
                 }
                 case "cut" -> {
-                    cut = true;
-                    s.cut();
+                    hasCut = true;
+                    s.sendAndGiveUp();
                 }
                 case "late" -> {
-                    state.apply(s.late); // the answer is discarded
-                    s.late = null;
+                    state.apply(s.delayedRequest); // the answer is discarded
+                    s.delayedRequest = null;
                 }
-                case "crowd" -> crowd(s);
+                case "crowd" -> burst(s);
                 case "stop" -> {
-                    stopped = 0;
+                    stoppedServer = 0;
                     hasStopped = true;
                 }
-                case "continue" -> stopped = -1;
+                case "continue" -> stoppedServer = -1;
                 case "restart" -> {
-                    restarted = true;
+                    hasRestarted = true;
                     s.start();
                 }
                 case "change" -> {
-                    operators.remove(a[1]);
-                    firstChange(a[1]);
+                    operators.remove(words[1]);
+                    firstChange(words[1]);
                 }
                 default -> {
-                    operators.remove(a[1]);
-                    propose(a[1], 1);
+                    operators.remove(words[1]);
+                    propose(words[1], 1);
                 }
             }
-            look();
+            checkInvariants();
         }
 
-        private void time() {
+        private void passTime() {
             time++;
-            clock();
+            advanceStateClock();
             state.apply(new Command.Tick());
             for (Server x : servers) {
-                while (!x.open.isEmpty() && time - x.open.peek() >= OPEN_MOST) {
-                    x.open.poll(); // its hard limit is over, whatever the server does
-                    x.gate.over(x.on.poll(), TENANT);
+                while (!x.openQueries.isEmpty() && time - x.openQueries.peek() >= MAX_OPEN_TIME) {
+                    x.openQueries.poll(); // its hard limit is over, whatever the server does
+                    x.gate.onQueryEnd(x.openConnections.poll(), TENANT);
                 }
             }
         }
 
         /** Callers enter until one is rejected. */
-        private void crowd(Server s) {
-            s.crowds++;
+        private void burst(Server s) {
+            s.bursts++;
             s.member.clock(time);
-            ConnectionId c = new ConnectionId(++s.connections);
-            while (s.gate.enter(c, TENANT)) {
-                s.open.add(time);
-                s.on.add(c);
-                c = new ConnectionId(++s.connections);
+            ConnectionId c = new ConnectionId(++s.lastConnection);
+            while (s.gate.admit(c, TENANT)) {
+                s.openQueries.add(time);
+                s.openConnections.add(c);
+                c = new ConnectionId(++s.lastConnection);
             }
         }
 
-        private void look() {
-            if (share()) {
-                if (servers.stream().mapToInt(s -> s.open.size()).sum() > CAP) {
-                    wrong.add("over cap");
+        private void checkInvariants() {
+            if (lendsShare()) {
+                if (servers.stream().mapToInt(s -> s.openQueries.size()).sum() > CAP) {
+                    violations.add("over cap");
                 }
                 return;
             }
-            if (acknowledged.stream()
+            if (acknowledgedRevisions.stream()
                             .filter(r -> state.revision(new RevisionId(r)).fate() != Revision.Fate.TURNED_DOWN)
                             .count()
                     > 2) {
-                wrong.add("two operators were both told that theirs is the next revision");
+                violations.add("two operators were both told that theirs is the next revision");
             }
             for (ServerRecord record : state.servers()) {
                 Server s = servers.stream()
@@ -516,54 +516,54 @@
                         .findFirst()
                         .orElseThrow();
                 if (record.status() == ServerRecord.Status.LIVE
-                        && !record.odd()
-                        && s.said.equals(record.acting())
-                        && !s.acts.equals(s.said)) {
-                    wrong.add("a server that does not act on the revision it reports goes unnoticed");
+                        && !record.digestMismatch()
+                        && s.reportedRevision.equals(record.appliedRevision())
+                        && !s.actualRevision.equals(s.reportedRevision)) {
+                    violations.add("a server that does not act on the revision it reports goes unnoticed");
                 }
             }
-            if (accepted.containsAll(List.of("a", "b"))) {
-                wrong.add("two operators were both told that their change of the same entry was accepted");
+            if (acceptedOperators.containsAll(List.of("a", "b"))) {
+                violations.add("two operators were both told that their change of the same entry was accepted");
             }
-            if (servers.stream().anyMatch(server -> server.mixed)) {
-                wrong.add("a server acts on a table that belongs to no revision");
+            if (servers.stream().anyMatch(server -> server.hasUnknownTable)) {
+                violations.add("a server acts on a table that belongs to no revision");
             }
             if (state.out() > (state.live() + state.out()) / 2) {
-                wrong.add("too many servers are shut out");
+                violations.add("too many servers are shut out");
             }
         }
 
         @Override
-        public boolean rests(List<String> enabled) {
+        public boolean isQuiescent(List<String> enabled) {
             return time >= horizon()
                     && enabled.stream().noneMatch(a -> a.startsWith("exchange") || a.startsWith("late"));
         }
 
         @Override
-        public String wrongAtRest() {
+        public String quiescentViolation() {
             for (ServerRecord record : state.servers()) {
                 if (record.status() == ServerRecord.Status.LIVE
                         && !record.silent()
                         && !record.marked()
-                        && !record.acting().equals(state.inForce())
+                        && !record.appliedRevision().equals(state.inForce())
                         && !state.proposed().equals(state.inForce())
                         && servers.stream()
-                                .anyMatch(s -> s.id.equals(record.server()) && s.acts.equals(state.inForce()))) {
+                                .anyMatch(s -> s.id.equals(record.server()) && s.actualRevision.equals(state.inForce()))) {
                     return "the fleet does not know which revision a server acts on";
                 }
             }
             boolean isDecided = state.proposed().equals(RevisionId.NONE);
-            return isDecided && accepted.stream().anyMatch(this::isLost) ? "an accepted change is lost" : null;
+            return isDecided && acceptedOperators.stream().anyMatch(this::isLost) ? "an accepted change is lost" : null;
         }
 
         @Override
-        public List<String> wrong() {
-            return wrong;
+        public List<String> violations() {
+            return violations;
         }
     }
 
     /** The guards without which the exploration must find a violation, each with the scene that shows it. */
-    public static Map<Guard, Scene> guards() {
+    public static Map<Guard, Scene> scenesByGuard() {
         return Map.of(
                 Guard.LEASE,
                 Scene.STOP,
--- a/fleet/src/main/java/tallyweir/fleet/Fault.java
+++ b/fleet/src/main/java/tallyweir/fleet/Fault.java
@@ -9,16 +9,16 @@
  */
 public sealed interface Fault {
     /** What is wrong, in one sentence. */
-    String what();
+    String description();
 
     /** What an operator can do, in one sentence. */
     String advice();
 
     /** The exit code of a command that fails with this fault. */
-    int exit();
+    int exitCode();
 
     /** This fault as an exception. */
-    default FleetException thrown() {
+    default FleetException toException() {
         return new FleetException(this);
     }
 
@@ -47,10 +47,10 @@
     }
 
     /** No reachable voter is the leader, so the replicated state can be neither changed nor queried. */
-    record NoLeader(String asked, long afterMs) implements Fault {
+    record NoLeader(String voters, long timeoutMs) implements Fault {
         @Override
-        public String what() {
-            return "no leader among " + asked + " within " + afterMs + " ms";
+        public String description() {
+            return "no leader among " + voters + " within " + timeoutMs + " ms";
         }
 
         @Override
@@ -60,16 +60,16 @@
         }
 
         @Override
-        public int exit() {
+        public int exitCode() {
             return 10;
         }
     }
 
     /** Another change was made first. */
-    record LostRace(long expected, long found, String by, long atMs) implements Fault {
+    record LostRace(long expected, long found, String author, long atMs) implements Fault {
         @Override
-        public String what() {
-            return "revision " + found + " by " + by + " at " + atMs + " ms since 1970 came first, " + expected
+        public String description() {
+            return "revision " + found + " by " + author + " at " + atMs + " ms since 1970 came first, " + expected
                     + " was expected to be the latest";
         }
 
@@ -79,7 +79,7 @@
         }
 
         @Override
-        public int exit() {
+        public int exitCode() {
             return 11;
         }
     }
@@ -87,7 +87,7 @@
     /** The content of a revision is invalid. */
     record BodyFaulty(String faults) implements Fault {
         @Override
-        public String what() {
+        public String description() {
             return "the revision cannot be proposed: " + faults;
         }
 
@@ -97,7 +97,7 @@
         }
 
         @Override
-        public int exit() {
+        public int exitCode() {
             return 12;
         }
     }
@@ -105,7 +105,7 @@
     /** Too many servers reported that they cannot act on a revision. */
     record CannotTake(long revision, String reasons) implements Fault {
         @Override
-        public String what() {
+        public String description() {
             return "revision " + revision + " was turned down: " + reasons;
         }
 
@@ -115,7 +115,7 @@
         }
 
         @Override
-        public int exit() {
+        public int exitCode() {
             return 13;
         }
     }
@@ -123,7 +123,7 @@
     /** The revision does not exist or was never in force. */
     record NoSuchRevision(long revision, long newest) implements Fault {
         @Override
-        public String what() {
+        public String description() {
             return "revision " + revision + " was never in force; the newest is " + newest;
         }
 
@@ -133,7 +133,7 @@
         }
 
         @Override
-        public int exit() {
+        public int exitCode() {
             return 14;
         }
     }
@@ -141,7 +141,7 @@
     /** A command was sent and not answered: it may have been carried out or not. */
     record OutcomeUnknown(String command) implements Fault {
         @Override
-        public String what() {
+        public String description() {
             return "no answer came to command " + command + ": it may have been carried out or not";
         }
 
@@ -151,7 +151,7 @@
         }
 
         @Override
-        public int exit() {
+        public int exitCode() {
             return 15;
         }
     }
@@ -159,31 +159,31 @@
     /**
      * A server was shut out, which ended its incarnation.
      *
-     * @param backAfter time until it may return, in tenths of a millisecond
+     * @param returnDelayTenthsMs time until it may return, in tenths of a millisecond
      */
-    record ShutOut(String server, String cause, long backAfter) implements Fault {
+    record ShutOut(String server, String cause, long returnDelayTenthsMs) implements Fault {
         @Override
-        public String what() {
+        public String description() {
             return server + " is shut out: " + cause;
         }
 
         @Override
         public String advice() {
-            return "remove the cause; the server returns by itself once " + backAfter / 10
+            return "remove the cause; the server returns by itself once " + returnDelayTenthsMs / 10
                     + " ms have passed and its table is that" + " of the revision in force";
         }
 
         @Override
-        public int exit() {
+        public int exitCode() {
             return 16;
         }
     }
 
     /** Another server has the same name. */
-    record NameTaken(String server, String listen) implements Fault {
+    record NameTaken(String server, String listenAddress) implements Fault {
         @Override
-        public String what() {
-            return "a server " + server + " that listens at " + listen + " is in the fleet or may still be running";
+        public String description() {
+            return "a server " + server + " that listens at " + listenAddress + " is in the fleet or may still be running";
         }
 
         @Override
@@ -192,16 +192,16 @@
         }
 
         @Override
-        public int exit() {
+        public int exitCode() {
             return 17;
         }
     }
 
     /** All slots of the fleet are in use. */
-    record NoPlace(int places) implements Fault {
+    record NoPlace(int slots) implements Fault {
         @Override
-        public String what() {
-            return "all " + places + " server slots of the fleet are in use";
+        public String description() {
+            return "all " + slots + " server slots of the fleet are in use";
         }
 
         @Override
@@ -210,7 +210,7 @@
         }
 
         @Override
-        public int exit() {
+        public int exitCode() {
             return 18;
         }
     }
@@ -218,12 +218,12 @@
     /**
      * A server that was shut out has to wait before it may return.
      *
-     * @param backAfter time until it may return, in tenths of a millisecond
+     * @param returnDelayTenthsMs time until it may return, in tenths of a millisecond
      */
-    record NotYet(String server, long backAfter) implements Fault {
+    record NotYet(String server, long returnDelayTenthsMs) implements Fault {
         @Override
-        public String what() {
-            return server + " was shut out and may return in " + backAfter / 10 + " ms";
+        public String description() {
+            return server + " was shut out and may return in " + returnDelayTenthsMs / 10 + " ms";
         }
 
         @Override
@@ -232,16 +232,16 @@
         }
 
         @Override
-        public int exit() {
+        public int exitCode() {
             return 19;
         }
     }
 
     /** The sender belongs to another fleet. */
-    record Stranger(String theirs, String ours) implements Fault {
+    record Stranger(String senderFleet, String thisFleet) implements Fault {
         @Override
-        public String what() {
-            return "a member of fleet " + theirs + " sent a request to fleet " + ours;
+        public String description() {
+            return "a member of fleet " + senderFleet + " sent a request to fleet " + thisFleet;
         }
 
         @Override
@@ -250,16 +250,16 @@
         }
 
         @Override
-        public int exit() {
+        public int exitCode() {
             return 20;
         }
     }
 
     /** A voter could not write its log. */
-    record LogFull(String voter, String why) implements Fault {
+    record LogFull(String voter, String reason) implements Fault {
         @Override
-        public String what() {
-            return "the log of voter " + voter + " cannot be written: " + why;
+        public String description() {
+            return "the log of voter " + voter + " cannot be written: " + reason;
         }
 
         @Override
@@ -268,16 +268,16 @@
         }
 
         @Override
-        public int exit() {
+        public int exitCode() {
             return 21;
         }
     }
 
     /** A voter's log cannot be read. */
-    record LogDamaged(String voter, String why) implements Fault {
+    record LogDamaged(String voter, String reason) implements Fault {
         @Override
-        public String what() {
-            return "the log of voter " + voter + " cannot be read: " + why;
+        public String description() {
+            return "the log of voter " + voter + " cannot be read: " + reason;
         }
 
         @Override
@@ -286,7 +286,7 @@
         }
 
         @Override
-        public int exit() {
+        public int exitCode() {
             return 22;
         }
     }
@@ -294,7 +294,7 @@
     /** The voters have not created the fleet yet. */
     record NotFounded(String fleet) implements Fault {
         @Override
-        public String what() {
+        public String description() {
             return "fleet " + fleet + " has not been created yet";
         }
 
@@ -304,7 +304,7 @@
         }
 
         @Override
-        public int exit() {
+        public int exitCode() {
             return 23;
         }
     }
@@ -312,10 +312,10 @@
     /**
      * An entry of a change is not valid in a table: its kind is unknown, its value is out of range, or it is too long.
      */
-    record EntryFaulty(String key, String why) implements Fault {
+    record EntryFaulty(String key, String reason) implements Fault {
         @Override
-        public String what() {
-            return "the entry " + key + " cannot be taken: " + why;
+        public String description() {
+            return "the entry " + key + " cannot be taken: " + reason;
         }
 
         @Override
@@ -324,16 +324,16 @@
         }
 
         @Override
-        public int exit() {
+        public int exitCode() {
             return 24;
         }
     }
 
     /** Fetched data does not hash to the expected digest. */
-    record DigestMismatch(String wanted, String found) implements Fault {
+    record DigestMismatch(String expected, String actual) implements Fault {
         @Override
-        public String what() {
-            return "the fetched data hashes to " + found + " instead of " + wanted;
+        public String description() {
+            return "the fetched data hashes to " + actual + " instead of " + expected;
         }
 
         @Override
@@ -342,7 +342,7 @@
         }
 
         @Override
-        public int exit() {
+        public int exitCode() {
             return 25;
         }
     }
@@ -350,7 +350,7 @@
     /** A difference was requested, or given, from a table that the fleet does not retain. */
     record UnknownRoot(String root) implements Fault {
         @Override
-        public String what() {
+        public String description() {
             return "no revision of the fleet has a table with the root " + root;
         }
 
@@ -360,15 +360,15 @@
         }
 
         @Override
-        public int exit() {
+        public int exitCode() {
             return 26;
         }
     }
 
     /** Too many changes wait for the proposed revision to be decided. */
-    record QueueFull(int waiting, long againMs) implements Fault {
+    record QueueFull(int waiting, long retryAfterMs) implements Fault {
         @Override
-        public String what() {
+        public String description() {
             return "the maximum of " + waiting + " changes wait already";
         }
 
@@ -378,16 +378,16 @@
         }
 
         @Override
-        public int exit() {
+        public int exitCode() {
             return 27;
         }
     }
 
     /** Another operator's change of the same entry came first or waits to be made. */
-    record KeyConflict(String key, String by, long atMs) implements Fault {
+    record KeyConflict(String key, String author, long atMs) implements Fault {
         @Override
-        public String what() {
-            return "the entry " + key + " was changed first, by " + by + " at " + atMs + " ms since 1970";
+        public String description() {
+            return "the entry " + key + " was changed first, by " + author + " at " + atMs + " ms since 1970";
         }
 
         @Override
@@ -396,7 +396,7 @@
         }
 
         @Override
-        public int exit() {
+        public int exitCode() {
             return 28;
         }
     }
--- a/fleet/src/main/java/tallyweir/fleet/FleetClient.java
+++ b/fleet/src/main/java/tallyweir/fleet/FleetClient.java
@@ -16,7 +16,7 @@
      * @param to receives the answer
      * @param failed runs if no answer came: the command may have been applied or not
      */
-    void send(Command command, Executor deciding, Consumer<Answer> to, Runnable failed);
+    void send(Command command, Executor executor, Consumer<Answer> onAnswer, Runnable onFailure);
 
     /**
      * Fetches the table of a revision: as the difference from a table that the server has, or in chunks if that table is too
@@ -31,13 +31,13 @@
      * @param failed receives the reason: {@link Fault.DigestMismatch}, {@link Fault.UnknownRoot}, or {@link Fault.NoLeader} if no
      *     voter answered; retrying is up to the caller, and the client delays retries as long as the voters fail
      */
-    void fetch(Table have, RevisionRoot wanted, Executor deciding, Consumer<Table> to, Consumer<Fault> failed);
+    void fetch(Table base, RevisionRoot wanted, Executor executor, Consumer<Table> onTable, Consumer<Fault> onFailure);
 
     /**
      * Tells the fleet that a server shuts down in an orderly way. Best effort: if no voter answers, the message is lost
      * silently.
      */
-    void leave(ServerId server, Incarnation as);
+    void leave(ServerId server, Incarnation incarnation);
 
     /** Closes the client; pending callbacks may not run. */
     @Override
--- a/fleet/src/main/java/tallyweir/fleet/FleetClients.java
+++ b/fleet/src/main/java/tallyweir/fleet/FleetClients.java
@@ -25,5 +25,5 @@
             String self,
             String dir,
             FleetSettings settings,
-            Set<Guard> without);
+            Set<Guard> disabledGuards);
 }
--- a/fleet/src/main/java/tallyweir/fleet/FleetContext.java
+++ b/fleet/src/main/java/tallyweir/fleet/FleetContext.java
@@ -8,19 +8,19 @@
  * fleet's clock are tenths of a millisecond.
  */
 final class FleetContext {
-    private final Set<Guard> without;
+    private final Set<Guard> disabledGuards;
     private String fleet = "";
     private FleetSettings settings = FleetSettings.NONE;
-    private long tail;
+    private long maxOpenDuration;
     private long now;
-    private long wall;
+    private long wallMs;
 
-    FleetContext(Set<Guard> without) {
-        this.without = without.isEmpty() ? EnumSet.noneOf(Guard.class) : EnumSet.copyOf(without);
+    FleetContext(Set<Guard> disabledGuards) {
+        this.disabledGuards = disabledGuards.isEmpty() ? EnumSet.noneOf(Guard.class) : EnumSet.copyOf(disabledGuards);
     }
 
-    boolean has(Guard guard) {
-        return !without.contains(guard);
+    boolean isEnabled(Guard guard) {
+        return !disabledGuards.contains(guard);
     }
 
     String fleet() {
@@ -34,12 +34,12 @@
     void settings(String fleet, FleetSettings settings) {
         this.fleet = fleet;
         this.settings = settings;
-        tail = LeaseSpans.waited(settings.tail(), settings.drift());
+        maxOpenDuration = LeaseSpans.forGrantor(settings.maxOpenDuration(), settings.maxClockDrift());
     }
 
     /** How long after the end of a server's lease queries that it accepted may still be open, by the fleet's clock. */
-    long tail() {
-        return has(Guard.WAIT) ? tail : 0;
+    long maxOpenDuration() {
+        return isEnabled(Guard.WAIT) ? maxOpenDuration : 0;
     }
 
     /** The fleet's clock, in tenths of a millisecond. It never goes back. */
@@ -48,12 +48,12 @@
     }
 
     /** The leader's wall clock in ms since 1970, only shown to people. */
-    long wall() {
-        return wall;
+    long wallMs() {
+        return wallMs;
     }
 
-    void clock(long at, long wall) {
+    void advanceClock(long at, long wallMs) {
         now = Math.max(now, at);
-        this.wall = wall;
+        this.wallMs = wallMs;
     }
 }
--- a/fleet/src/main/java/tallyweir/fleet/FleetException.java
+++ b/fleet/src/main/java/tallyweir/fleet/FleetException.java
@@ -7,7 +7,7 @@
     private final transient Fault fault;
 
     FleetException(Fault fault) {
-        super(fault.what());
+        super(fault.description());
         this.fault = fault;
     }
 
--- a/fleet/src/main/java/tallyweir/fleet/FleetSettings.java
+++ b/fleet/src/main/java/tallyweir/fleet/FleetSettings.java
@@ -5,54 +5,54 @@
  *
  * @param version settings are adopted only if their version is higher than that of the current ones
  * @param lease how long after a report a server may use the connections lent to it
- * @param tail how long after the lease the queries that it accepted may still be open, by its own clock: the longest hard limit
+ * @param maxOpenDuration how long after the lease the queries that it accepted may still be open, by its own clock: the longest hard limit
  *     plus the linger time
- * @param floorLease how long after a report a server may use its floors
+ * @param floorLeaseDuration how long after a report a server may use its floors
  * @param behindMost maximum time that a server may be behind the revision in force before it is shut out
- * @param drift maximum ratio by which a clock may run fast or slow
- * @param mostOut maximum share of servers that may be shut out at once
- * @param mostCannot maximum share of servers that cannot act on a revision for it to come into force nevertheless
- * @param serversMost number of slots; this and the floor share are fixed when the fleet is created, because servers rely on the
+ * @param maxClockDrift maximum ratio by which a clock may run fast or slow
+ * @param maxShutOutShare maximum share of servers that may be shut out at once
+ * @param maxRejectingShare maximum share of servers that cannot act on a revision for it to come into force nevertheless
+ * @param maxServers number of slots; this and the floor share are fixed when the fleet is created, because servers rely on the
  *     floors that follow from them
  * @param floorShare the share of a cap that is divided among all slots as floors
- * @param probation how long after it came into force a revision is rolled back if servers do worse under it, 0 for never
- * @param worseRatio a server does worse if its share of late and errored queries is more than this many times that before
- * @param sickShare the minimum share of live servers that must do worse for a rollback
+ * @param probationDuration how long after it came into force a revision is rolled back if servers do worse under it, 0 for never
+ * @param maxBadShareRatio a server does worse if its share of late and errored queries is more than this many times that before
+ * @param minWorseServersShare the minimum share of live servers that must do worse for a rollback
  */
 public record FleetSettings(
         long version,
-        long lease,
-        long tail,
-        long floorLease,
-        long behindMost,
-        double drift,
-        double mostOut,
-        double mostCannot,
-        int serversMost,
+        long leaseDuration,
+        long maxOpenDuration,
+        long floorLeaseDuration,
+        long maxBehindDuration,
+        double maxClockDrift,
+        double maxShutOutShare,
+        double maxRejectingShare,
+        int maxServers,
         double floorShare,
-        long probation,
-        double worseRatio,
-        double sickShare) {
+        long probationDuration,
+        double maxBadShareRatio,
+        double minWorseServersShare) {
     /** The settings before a fleet is created. */
     static final FleetSettings NONE = new FleetSettings(0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
 
     /**
      * These settings for a fleet that has others already: the number of slots and the floor share stay as they were.
      */
-    FleetSettings after(FleetSettings before) {
+    FleetSettings withFixedPartsOf(FleetSettings before) {
         return new FleetSettings(
                 version,
-                lease,
-                tail,
-                floorLease,
-                behindMost,
-                drift,
-                mostOut,
-                mostCannot,
-                before.serversMost,
+                leaseDuration,
+                maxOpenDuration,
+                floorLeaseDuration,
+                maxBehindDuration,
+                maxClockDrift,
+                maxShutOutShare,
+                maxRejectingShare,
+                before.maxServers,
                 before.floorShare,
-                probation,
-                worseRatio,
-                sickShare);
+                probationDuration,
+                maxBadShareRatio,
+                minWorseServersShare);
     }
 }
--- a/fleet/src/main/java/tallyweir/fleet/FloorMemory.java
+++ b/fleet/src/main/java/tallyweir/fleet/FloorMemory.java
@@ -10,65 +10,65 @@
  * value even if it rose again.
  */
 final class FloorMemory {
-    private static final int CAPS_MOST = 32; // with more, all floors are 0 until they are declared free again
+    private static final int MAX_CAPS = 32; // with more, all floors are 0 until they are declared free again
 
-    private final List<Caps> sinceFree = new ArrayList<>();
-    private boolean known; // whether capsSinceFree holds all caps since the floors were last free
-    private Caps inForce = Caps.NONE;
-    private int places = 1;
+    private final List<Caps> capsSinceFree = new ArrayList<>();
+    private boolean isComplete; // whether capsSinceFree holds all caps since the floors were last free
+    private Caps capsInForce = Caps.NONE;
+    private int slots = 1;
     private double floorShare;
 
     /** Sets how floors are derived from caps in this fleet. */
-    void settings(int places, double floorShare) {
-        this.places = places;
+    void configure(int slots, double floorShare) {
+        this.slots = slots;
         this.floorShare = floorShare;
     }
 
     /** Other caps have come into force here. */
-    void caps(Caps caps) {
-        inForce = caps;
-        if (!known) {
+    void onCapsInForce(Caps caps) {
+        capsInForce = caps;
+        if (!isComplete) {
             return;
         }
-        if (sinceFree.size() < CAPS_MOST) {
-            sinceFree.add(caps);
+        if (capsSinceFree.size() < MAX_CAPS) {
+            capsSinceFree.add(caps);
         } else {
-            sinceFree.clear();
-            known = false;
+            capsSinceFree.clear();
+            isComplete = false;
         }
     }
 
     /** The fleet has declared that the floors of the caps in force here may be used. */
-    void free() {
-        sinceFree.clear();
-        sinceFree.add(inForce);
-        known = true;
+    void onFloorsFree() {
+        capsSinceFree.clear();
+        capsSinceFree.add(capsInForce);
+        isComplete = true;
     }
 
     /** The floor that follows from the caps in force. */
-    int inForce(TenantId tenant) {
-        return floor(inForce, tenant);
+    int floorInForce(TenantId tenant) {
+        return floor(capsInForce, tenant);
     }
 
     /** The floor that may be used now. */
-    int usable(TenantId tenant) {
-        if (!known) {
+    int usableFloor(TenantId tenant) {
+        if (!isComplete) {
             return 0;
         }
-        int least = Integer.MAX_VALUE;
-        for (Caps caps : sinceFree) {
-            least = Math.min(least, floor(caps, tenant));
+        int minFloor = Integer.MAX_VALUE;
+        for (Caps caps : capsSinceFree) {
+            minFloor = Math.min(minFloor, floor(caps, tenant));
         }
-        return least;
+        return minFloor;
     }
 
     private int floor(Caps caps, TenantId tenant) {
         int cap = caps.of(tenant);
-        return cap == Caps.UNCAPPED ? 0 : Gate.floor(cap, floorShare, places);
+        return cap == Caps.UNCAPPED ? 0 : Gate.floor(cap, floorShare, slots);
     }
 
     /** A text that is equal for equal states; the exploration of states compares it. */
     String describe() {
-        return known + "," + sinceFree.size();
+        return isComplete + "," + capsSinceFree.size();
     }
 }
