--- a/fleet/src/main/java/tallyweir/fleet/Gate.java
+++ b/fleet/src/main/java/tallyweir/fleet/Gate.java
@@ -17,76 +17,76 @@
  * Times are in the unit of the clock that the caller passes in.
  */
 public final class Gate {
-    private static final int AHEAD = 4; // headroom asked for above the need: one in so many, plus one
-    private static final int IDLE_REPORTS = 8; // reports after which peaks are reset, so that unused shares return
+    private static final int HEADROOM_DIVISOR = 4; // headroom asked for above the need: one in so many, plus one
+    private static final int PEAK_WINDOW_REPORTS = 8; // reports after which peaks are reset, so that unused shares return
 
-    private record Lingering(long until, TenantId tenant, ConnectionId connection, long since) {}
+    private record Lingering(long expiresAt, TenantId tenant, ConnectionId connection, long idleSince) {}
 
     /** A connection that counts for a tenant. */
-    private static final class Use {
-        int open; // queries
+    private static final class ConnectionUse {
+        int openQueries; // queries
         long idleSince = -1; // since when no query is open, -1 while one is
-        boolean ending; // accepts no more queries, because the limit was lowered
+        boolean retiring; // accepts no more queries, because the limit was lowered
     }
 
     private static final class Tenant {
-        final LinkedHashMap<ConnectionId, Use> uses = new LinkedHashMap<>();
+        final LinkedHashMap<ConnectionId, ConnectionUse> uses = new LinkedHashMap<>();
         int cap = -1; // none
         int floor;
         int granted;
         int target;
-        int ending; // number of connections that accept no more queries
-        int most; // peak number of connections within the last reports
-        final HashSet<ConnectionId> turned = new HashSet<>(); // connections rejected since the last report
+        int retiring; // number of connections that accept no more queries
+        int peak; // peak number of connections within the last reports
+        final HashSet<ConnectionId> rejected = new HashSet<>(); // connections rejected since the last report
         int wanted; // as of the last report
-        boolean full; // the fleet grants less than is wanted
+        boolean fleetFull; // the fleet grants less than is wanted
 
         /** Whether this equals the state of a tenant seen for the first time, so that it can be dropped. */
         boolean isIdle() {
             return uses.isEmpty()
-                    && turned.isEmpty()
+                    && rejected.isEmpty()
                     && granted == 0
-                    && !full
-                    && (cap == Caps.UNCAPPED || most == 0 && wanted == 0);
+                    && !fleetFull
+                    && (cap == Caps.UNCAPPED || peak == 0 && wanted == 0);
         }
     }
 
-    private final long linger;
+    private final long lingerTime;
     private final Map<TenantId, Tenant> tenants = new HashMap<>(); // only tenants in use
-    private final Map<ConnectionId, ArrayDeque<TenantId>> ofConnection = new HashMap<>();
+    private final Map<ConnectionId, ArrayDeque<TenantId>> tenantsByConnection = new HashMap<>();
     private final ArrayDeque<Lingering> lingering = new ArrayDeque<>(); // by expiry
     private long now;
     private long leaseUntil = Long.MIN_VALUE;
     private long floorUntil = Long.MIN_VALUE;
     private final FloorMemory floors = new FloorMemory();
     private Caps caps; // null until the first caps are known; until then every tenant counts as at its cap
-    private int reports; // since the peaks were last reset
-    private boolean pressed; // a tenant was rejected since the last report
+    private int reportsInPeakWindow; // since the peaks were last reset
+    private boolean rejectedSinceReport; // a tenant was rejected since the last report
 
-    public Gate(long linger) {
-        this.linger = linger;
+    public Gate(long lingerTime) {
+        this.lingerTime = lingerTime;
     }
 
     /** The part of a cap that each slot may use without being lent anything. */
-    public static int floor(int cap, double floorShare, int places) {
-        return (int) Math.floor(cap * floorShare / places);
+    public static int floor(int cap, double floorShare, int slots) {
+        return (int) Math.floor(cap * floorShare / slots);
     }
 
     /** Advances the clock and releases the connections whose linger time is over. */
-    public void clock(long now) {
+    public void advanceClock(long now) {
         this.now = Math.max(this.now, now);
-        while (!lingering.isEmpty() && lingering.peek().until <= this.now) {
+        while (!lingering.isEmpty() && lingering.peek().expiresAt <= this.now) {
             Lingering expired = lingering.poll();
-            Use use = use(expired.connection, expired.tenant);
-            if (use != null && use.idleSince == expired.since) {
+            ConnectionUse use = use(expired.connection, expired.tenant);
+            if (use != null && use.idleSince == expired.idleSince) {
                 release(expired.tenant, expired.connection);
             }
         }
     }
 
     /** When {@link #clock} next has a connection to release, MAX_VALUE if there is none. */
-    public long next() {
-        return lingering.isEmpty() ? Long.MAX_VALUE : lingering.peek().until;
+    public long nextReleaseAt() {
+        return lingering.isEmpty() ? Long.MAX_VALUE : lingering.peek().expiresAt;
     }
 
     /** The state of a tenant, created on first use as if the tenant had been in use all along. */
@@ -94,19 +94,19 @@
         return tenants.computeIfAbsent(tenant, t -> {
             Tenant state = new Tenant();
             state.cap = caps == null ? Caps.UNCAPPED : caps.of(t);
-            state.floor = floors.usable(t);
+            state.floor = floors.usableFloor(t);
             return state;
         });
     }
 
-    private Use use(ConnectionId connection, TenantId tenant) {
+    private ConnectionUse use(ConnectionId connection, TenantId tenant) {
         Tenant state = tenants.get(tenant);
         return state == null ? null : state.uses.get(connection);
     }
 
     /** Sets how floors are derived from caps in this fleet. */
-    void floors(int places, double floorShare) {
-        floors.settings(places, floorShare);
+    void configureFloors(int slots, double floorShare) {
+        floors.configure(slots, floorShare);
     }
 
     /**
@@ -119,10 +119,10 @@
             return;
         }
         this.caps = caps;
-        floors.caps(caps);
+        floors.onCapsInForce(caps);
         tenants.forEach((t, state) -> {
             state.cap = caps.of(t);
-            state.floor = Math.min(state.floor, floors.inForce(t));
+            state.floor = Math.min(state.floor, floors.floorInForce(t));
         });
     }
 
@@ -139,19 +139,19 @@
      * @param floorUntil when the floors expire
      * @param floorsFree whether the floors of the caps in force here may be used, even if they are higher than before
      */
-    public void lent(Map<TenantId, Grant> shares, long leaseUntil, long floorUntil, boolean floorsFree) {
+    public void updateGrants(Map<TenantId, Grant> grants, long leaseUntil, long floorUntil, boolean floorsFree) {
         this.leaseUntil = leaseUntil;
         this.floorUntil = floorUntil;
         if (floorsFree) {
-            floors.free();
+            floors.onFloorsFree();
         }
-        shares.keySet().forEach(this::tenant);
+        grants.keySet().forEach(this::tenant);
         tenants.forEach((t, state) -> {
-            Grant grant = shares.get(t);
+            Grant grant = grants.get(t);
             state.granted = grant == null ? 0 : grant.granted();
             state.target = grant == null ? 0 : grant.target();
-            state.full = state.target < state.wanted;
-            state.floor = floorsFree ? floors.inForce(t) : state.floor;
+            state.fleetFull = state.target < state.wanted;
+            state.floor = floorsFree ? floors.floorInForce(t) : state.floor;
         });
     }
 
@@ -160,42 +160,42 @@
         leaseUntil = Long.MIN_VALUE;
     }
 
-    private int floorNow(Tenant state) {
+    private int currentFloor(Tenant state) {
         return now < floorUntil ? state.floor : 0;
     }
 
     /** The maximum number of connections. */
-    private int most(Tenant state) {
-        return floorNow(state) + (now < leaseUntil ? state.granted : 0);
+    private int maxConnections(Tenant state) {
+        return currentFloor(state) + (now < leaseUntil ? state.granted : 0);
     }
 
     /** The number of connections that the fleet wants the server to reduce to. */
-    private int aim(Tenant state) {
-        return floorNow(state) + (now < leaseUntil ? Math.min(state.granted, state.target) : 0);
+    private int targetConnections(Tenant state) {
+        return currentFloor(state) + (now < leaseUntil ? Math.min(state.granted, state.target) : 0);
     }
 
     /**
      * Retires connections above the target: idle ones stop counting at once, the others once their last query is
      * answered.
      */
-    private void trim(TenantId t, Tenant state, int aim) {
-        if (state.uses.size() - state.ending <= aim) {
+    private void trim(TenantId t, Tenant state, int target) {
+        if (state.uses.size() - state.retiring <= target) {
             return;
         }
-        for (Iterator<Map.Entry<ConnectionId, Use>> i = state.uses.entrySet().iterator();
-                i.hasNext() && state.uses.size() - state.ending > aim; ) {
-            Map.Entry<ConnectionId, Use> entry = i.next();
-            if (entry.getValue().open == 0) {
+        for (Iterator<Map.Entry<ConnectionId, ConnectionUse>> i = state.uses.entrySet().iterator();
+                i.hasNext() && state.uses.size() - state.retiring > target; ) {
+            Map.Entry<ConnectionId, ConnectionUse> entry = i.next();
+            if (entry.getValue().openQueries == 0) {
                 i.remove();
-                leave(t, entry.getKey());
+                unlink(t, entry.getKey());
             }
         }
-        for (Use use : state.uses.values()) {
-            if (state.uses.size() - state.ending <= aim) {
+        for (ConnectionUse use : state.uses.values()) {
+            if (state.uses.size() - state.retiring <= target) {
                 return;
             }
-            state.ending += use.ending ? 0 : 1;
-            use.ending = true;
+            state.retiring += use.retiring ? 0 : 1;
+            use.retiring = true;
         }
     }
 
@@ -203,54 +203,54 @@
      * Called for each query read. Returns whether the query may proceed, in which case its connection counts for the
      * tenant.
      */
-    public boolean enter(ConnectionId connection, TenantId tenant) {
+    public boolean admit(ConnectionId connection, TenantId tenant) {
         if (caps == null) {
             return false;
         }
         Tenant state = tenant(tenant);
         if (state.cap >= 0) {
-            trim(tenant, state, aim(state));
+            trim(tenant, state, targetConnections(state));
         }
-        Use use = state.uses.get(connection);
-        if (state.cap >= 0 && (use == null || use.ending)) {
-            boolean room =
-                    state.uses.size() - state.ending < aim(state) && (use != null || state.uses.size() < most(state));
-            if (!room) {
-                state.turned.add(connection);
-                pressed = true;
+        ConnectionUse use = state.uses.get(connection);
+        if (state.cap >= 0 && (use == null || use.retiring)) {
+            boolean hasRoom =
+                    state.uses.size() - state.retiring < targetConnections(state) && (use != null || state.uses.size() < maxConnections(state));
+            if (!hasRoom) {
+                state.rejected.add(connection);
+                rejectedSinceReport = true;
                 return false;
             }
         }
         if (use == null) {
-            use = new Use();
+            use = new ConnectionUse();
             state.uses.put(connection, use);
-            ofConnection.computeIfAbsent(connection, c -> new ArrayDeque<>(1)).add(tenant);
-            state.most = Math.max(state.most, state.uses.size());
+            tenantsByConnection.computeIfAbsent(connection, c -> new ArrayDeque<>(1)).add(tenant);
+            state.peak = Math.max(state.peak, state.uses.size());
         }
-        state.ending -= use.ending ? 1 : 0;
-        use.ending = false;
-        use.open++;
+        state.retiring -= use.retiring ? 1 : 0;
+        use.retiring = false;
+        use.openQueries++;
         use.idleSince = -1;
         return true;
     }
 
     /** A query that was admitted has been answered or its caller has disconnected. */
-    public void over(ConnectionId connection, TenantId tenant) {
-        Use use = use(connection, tenant);
-        if (use == null || --use.open > 0) {
+    public void onQueryEnd(ConnectionId connection, TenantId tenant) {
+        ConnectionUse use = use(connection, tenant);
+        if (use == null || --use.openQueries > 0) {
             return;
         }
-        if (use.ending || linger == 0) {
+        if (use.retiring || lingerTime == 0) {
             release(tenant, connection);
         } else {
             use.idleSince = now;
-            lingering.add(new Lingering(now + linger, tenant, connection, now));
+            lingering.add(new Lingering(now + lingerTime, tenant, connection, now));
         }
     }
 
     /** A connection has closed: it counts for no tenant any more. */
-    public void closed(ConnectionId connection) {
-        ArrayDeque<TenantId> counted = ofConnection.get(connection);
+    public void onConnectionClosed(ConnectionId connection) {
+        ArrayDeque<TenantId> counted = tenantsByConnection.get(connection);
         while (counted != null && !counted.isEmpty()) {
             release(counted.peek(), connection);
         }
@@ -258,19 +258,19 @@
 
     private void release(TenantId t, ConnectionId connection) {
         Tenant state = tenants.get(t);
-        Use use = state.uses.remove(connection);
-        state.ending -= use.ending ? 1 : 0;
-        leave(t, connection);
+        ConnectionUse use = state.uses.remove(connection);
+        state.retiring -= use.retiring ? 1 : 0;
+        unlink(t, connection);
         if (state.isIdle()) {
             tenants.remove(t);
         }
     }
 
-    private void leave(TenantId t, ConnectionId connection) {
-        ArrayDeque<TenantId> counted = ofConnection.get(connection);
+    private void unlink(TenantId t, ConnectionId connection) {
+        ArrayDeque<TenantId> counted = tenantsByConnection.get(connection);
         counted.remove(t);
         if (counted.isEmpty()) {
-            ofConnection.remove(connection);
+            tenantsByConnection.remove(connection);
         }
     }
 
@@ -279,62 +279,62 @@
      * is used, whether or not the report arrives.
      */
     public Map<TenantId, Need> needs() {
-        Map<TenantId, Need> needs = new TreeMap<>((a, b) -> a.value().compareTo(b.value()));
-        pressed = false;
-        reports = (reports + 1) % IDLE_REPORTS;
+        Map<TenantId, Need> result = new TreeMap<>((a, b) -> a.value().compareTo(b.value()));
+        rejectedSinceReport = false;
+        reportsInPeakWindow = (reportsInPeakWindow + 1) % PEAK_WINDOW_REPORTS;
         tenants.forEach((t, state) -> {
             if (state.cap >= 0) {
                 Need need = need(t, state);
-                if (need.keep() > 0 || need.want() > 0) {
-                    needs.put(t, need);
+                if (need.kept() > 0 || need.wanted() > 0) {
+                    result.put(t, need);
                 }
             }
-            state.turned.clear();
-            if (reports == 0) {
-                state.most = state.uses.size();
+            state.rejected.clear();
+            if (reportsInPeakWindow == 0) {
+                state.peak = state.uses.size();
             }
         });
         tenants.values().removeIf(Tenant::isIdle);
-        return needs;
+        return result;
     }
 
     private Need need(TenantId t, Tenant state) {
-        trim(t, state, aim(state));
+        trim(t, state, targetConnections(state));
         int used = state.uses.size();
-        int most = Math.max(state.most, used) + Math.min(state.turned.size(), state.cap);
-        state.wanted = most == 0 ? 0 : Math.max(0, Math.min(state.cap, most + most / AHEAD + 1) - state.floor);
-        int open = Math.max(0, used - floorNow(state));
+        int peak = Math.max(state.peak, used) + Math.min(state.rejected.size(), state.cap);
+        state.wanted = peak == 0 ? 0 : Math.max(0, Math.min(state.cap, peak + peak / HEADROOM_DIVISOR + 1) - state.floor);
+        int open = Math.max(0, used - currentFloor(state));
         state.granted = Math.min(state.granted, Math.max(open, Math.min(state.target, state.wanted)));
         return new Need(Math.max(state.granted, open), state.wanted);
     }
 
     /** Whether a tenant was rejected since the last report, so that the next report should be sent at once. */
-    public boolean pressed() {
-        return pressed;
+    public boolean hasRejected() {
+        return rejectedSinceReport;
     }
 
     /** The number of connections that count for a tenant now. */
-    public int used(TenantId tenant) {
+    public int usedConnections(TenantId tenant) {
         Tenant state = tenants.get(tenant);
         return state == null ? 0 : state.uses.size();
     }
 
     /** The maximum number of connections of a tenant now, -1 for no limit. */
-    public int most(TenantId tenant) {
+    public int maxConnections(TenantId tenant) {
         Tenant state = tenants.get(tenant);
         if (state != null) {
-            return state.cap < 0 ? -1 : most(state);
+            return state.cap < 0 ? -1 : maxConnections(state);
         }
         if (caps == null || caps.of(tenant) < 0) {
             return -1;
         }
-        return now < floorUntil ? floors.usable(tenant) : 0;
+        return now < floorUntil ? floors.usableFloor(tenant) : 0;
     }
 
     /** Whether, as far as this server knows, the fleet has no more connections to lend to a tenant. */
-    public boolean fleetFull(TenantId tenant) {
+    public boolean isFleetFull(TenantId tenant) {
         Tenant state = tenants.get(tenant);
-        return now < leaseUntil && state != null && state.full;
+        return now < leaseUntil && state != null && state.fleetFull;
     }
 
     /** Number of tenants in use: connected or lent to, or recently connected or rejected. */
@@ -352,7 +352,7 @@
                 .append(',')
                 .append(floorUntil > from ? floorUntil - from : -1)
                 .append(caps != null)
-                .append(reports)
+                .append(reportsInPeakWindow)
                 .append(floors.describe());
         tenants.forEach((t, state) -> {
             text.append(t.value())
@@ -364,12 +364,12 @@
                     .append(',')
                     .append(state.target)
                     .append(',')
-                    .append(state.ending)
+                    .append(state.retiring)
                     .append(',')
-                    .append(state.most)
+                    .append(state.peak)
                     .append(',')
-                    .append(state.turned.size());
-            state.uses.forEach((c, use) -> text.append(use.open).append(use.ending));
+                    .append(state.rejected.size());
+            state.uses.forEach((c, use) -> text.append(use.openQueries).append(use.retiring));
         });
         return text.toString();
     }
--- a/fleet/src/main/java/tallyweir/fleet/Health.java
+++ b/fleet/src/main/java/tallyweir/fleet/Health.java
@@ -5,19 +5,19 @@
  * errored. Pairs of counts hold the ended queries first, then the bad ones (late or errored).
  */
 final class Health {
-    private long ended; // by its last report, since its process started
-    private long bad;
-    private long since; // start of the current window
-    private final long[] span = new long[2];
-    private final long[] before = new long[2];
-    private final long[] after = new long[2];
-    private double usual = -1; // the share of bad queries before the revision in force, -1 if unknown
+    private long endedQueries; // by its last report, since its process started
+    private long badQueries;
+    private long windowStartedAt; // start of the current window
+    private final long[] currentWindow = new long[2];
+    private final long[] previousWindow = new long[2];
+    private final long[] sinceChange = new long[2];
+    private double baselineBadShare = -1; // the share of bad queries before the revision in force, -1 if unknown
     private RevisionId inForce = RevisionId.NONE; // the revision since which "after" counts
 
     /** The server runs in another process, whose counts start at zero. */
-    void begin() {
-        ended = 0;
-        bad = 0;
+    void onProcessStart() {
+        endedQueries = 0;
+        badQueries = 0;
     }
 
     /**
@@ -27,73 +27,73 @@
      * @param bad those of them that were late or errored
      * @param length of a window of the time before a change, in the unit of {@code now}
      */
-    void report(long ended, long bad, boolean onProbation, long now, long length) {
-        long[] to = onProbation ? after : span;
-        to[0] += Math.max(0, ended - this.ended);
-        to[1] += Math.max(0, bad - this.bad);
-        this.ended = ended;
-        this.bad = bad;
-        if (now - since >= length) {
-            before[0] = span[0];
-            before[1] = span[1];
-            span[0] = 0;
-            span[1] = 0;
-            since = now;
+    void report(long endedQueries, long badQueries, boolean onProbation, long now, long windowDuration) {
+        long[] counts = onProbation ? sinceChange : currentWindow;
+        counts[0] += Math.max(0, endedQueries - this.endedQueries);
+        counts[1] += Math.max(0, badQueries - this.badQueries);
+        this.endedQueries = endedQueries;
+        this.badQueries = badQueries;
+        if (now - windowStartedAt >= windowDuration) {
+            previousWindow[0] = currentWindow[0];
+            previousWindow[1] = currentWindow[1];
+            currentWindow[0] = 0;
+            currentWindow[1] = 0;
+            windowStartedAt = now;
         }
     }
 
     /**
      * A revision is in force; if it is another than before, the share of bad queries up to now becomes its baseline.
      */
-    void under(RevisionId revision) {
-        if (isUnder(revision)) {
+    void onRevisionInForce(RevisionId revision) {
+        if (isInForce(revision)) {
             return;
         }
         inForce = revision;
-        long of = span[0] + before[0];
-        usual = of == 0 ? -1 : (span[1] + before[1]) / (double) of;
-        after[0] = 0;
-        after[1] = 0;
+        long total = currentWindow[0] + previousWindow[0];
+        baselineBadShare = total == 0 ? -1 : (currentWindow[1] + previousWindow[1]) / (double) total;
+        sinceChange[0] = 0;
+        sinceChange[1] = 0;
     }
 
     /** Whether this is the latest revision passed to {@link #under}. */
-    boolean isUnder(RevisionId revision) {
+    boolean isInForce(RevisionId revision) {
         return inForce.equals(revision);
     }
 
     /** Whether enough queries have ended since the change for a comparison. */
-    boolean tells(int least) {
-        return usual >= 0 && after[0] >= least;
+    boolean isConclusive(int minQueries) {
+        return baselineBadShare >= 0 && sinceChange[0] >= minQueries;
     }
 
     /**
      * Whether the number of bad queries exceeds that expected from the baseline by more than chance explains: by more than three
      * times the square root of the expected number.
      *
-     * @param ratio multiple of the baseline that is still allowed
+     * @param maxRatio multiple of the baseline that is still allowed
      * @param least share of bad queries that is allowed in any case
      */
-    boolean worse(double ratio, double least) {
-        double most = after[0] * Math.max(least, ratio * usual);
-        return after[1] > most + 3 * Math.sqrt(most);
+    boolean isWorse(double maxRatio, double minBadShare) {
+        double expectedBad = sinceChange[0] * Math.max(minBadShare, maxRatio * baselineBadShare);
+        return sinceChange[1] > expectedBad + 3 * Math.sqrt(expectedBad);
     }
 
     SnapshotPart.Counts save() {
         return new SnapshotPart.Counts(
-                ended, bad, since, span[0], span[1], before[0], before[1], after[0], after[1], usual, inForce);
+                endedQueries, badQueries, windowStartedAt, currentWindow[0], currentWindow[1], previousWindow[0], previousWindow[1], sinceChange[0], sinceChange[1], baselineBadShare, inForce);
     }
 
     void load(SnapshotPart.Counts saved) {
-        ended = saved.ended();
-        bad = saved.bad();
-        since = saved.since();
-        span[0] = saved.spanEnded();
-        span[1] = saved.spanBad();
-        before[0] = saved.beforeEnded();
-        before[1] = saved.beforeBad();
-        after[0] = saved.afterEnded();
-        after[1] = saved.afterBad();
-        usual = saved.usual();
+        endedQueries = saved.ended();
+        badQueries = saved.bad();
+        windowStartedAt = saved.windowStartedAt();
+        currentWindow[0] = saved.windowEnded();
+        currentWindow[1] = saved.windowBad();
+        previousWindow[0] = saved.beforeEnded();
+        previousWindow[1] = saved.beforeBad();
+        sinceChange[0] = saved.afterEnded();
+        sinceChange[1] = saved.afterBad();
+        baselineBadShare = saved.baselineBadShare();
         inForce = saved.inForce();
     }
 }
--- a/fleet/src/main/java/tallyweir/fleet/LeaseSpans.java
+++ b/fleet/src/main/java/tallyweir/fleet/LeaseSpans.java
@@ -9,12 +9,12 @@
     private LeaseSpans() {}
 
     /** How long, by its own clock, the holder may rely on a lease that lasts {@code duration} by the fleet's clock. */
-    public static long relied(long span, double drift) {
-        return (long) Math.floor(span * (1 - drift) / (1 + drift));
+    public static long forHolder(long duration, double drift) {
+        return (long) Math.floor(duration * (1 - drift) / (1 + drift));
     }
 
     /** How long the fleet must wait, by its own clock, until {@code duration} has certainly passed by a server's clock. */
-    public static long waited(long span, double drift) {
-        return (long) Math.ceil(span * (1 + drift) / (1 - drift));
+    public static long forGrantor(long duration, double drift) {
+        return (long) Math.ceil(duration * (1 + drift) / (1 - drift));
     }
 }
--- a/fleet/src/main/java/tallyweir/fleet/Lending.java
+++ b/fleet/src/main/java/tallyweir/fleet/Lending.java
@@ -27,20 +27,20 @@
 final class Lending {
     static final int UNCAPPED = Caps.UNCAPPED;
 
-    private static final Need NOTHING = new Need(0, 0);
+    private static final Need NO_NEED = new Need(0, 0);
     private static final Comparator<TenantId> BY_NAME = Comparator.comparing(TenantId::value);
 
     private final boolean floorsLent; // floors are lent too: only where a check has switched the guard off
     private final Caps caps; // of the revision in force
     private final Map<TenantId, CapPool> pools = new HashMap<>();
-    private final Map<Integer, Map<TenantId, CapPool>> poolsOfPlace = new HashMap<>(); // pools with a share of the slot
-    private final PlacesByRevision places = new PlacesByRevision();
-    private final TreeMap<Long, List<TenantId>> loweredAt =
+    private final Map<Integer, Map<TenantId, CapPool>> poolsBySlot = new HashMap<>(); // pools with a share of the slot
+    private final PlacesByRevision slots = new PlacesByRevision();
+    private final TreeMap<Long, List<TenantId>> loweredTenantsByRevision =
             new TreeMap<>(); // keyed by the revision that lowered the tenants' floors
     private final Set<TenantId> overcommitted = new LinkedHashSet<>(); // may hold some that fit by now
-    private int placesMost;
+    private int maxSlots;
     private double floorShare;
-    private long levelEvery;
+    private long levelInterval;
     private long revision;
     private boolean floorsFree; // under the caps in force; once true, stays true until the next revision
     private long poolsVisited;
@@ -58,27 +58,27 @@
      * Sets the parameters. The number of slots and the floor share can be set only before any pool exists.
      *
      * @param floorShare the fraction of each cap that is spread over all slots as floors
-     * @param levelEvery minimum interval between computations of the max-min level while demand exceeds the cap
+     * @param levelInterval minimum interval between computations of the max-min level while demand exceeds the cap
      */
-    void settings(int places, double floorShare, long levelEvery) {
-        boolean floorsDiffer = places != placesMost || floorShare != this.floorShare;
+    void settings(int slotCount, double floorShare, long levelInterval) {
+        boolean floorsDiffer = slotCount != maxSlots || floorShare != this.floorShare;
         if (floorsDiffer && !pools.isEmpty()) {
             throw new IllegalStateException("the slot count and the floor share cannot change while pools are in use");
         }
-        placesMost = places;
+        maxSlots = slotCount;
         this.floorShare = floorShare;
-        this.levelEvery = levelEvery;
+        this.levelInterval = levelInterval;
     }
 
     /** The floor of each slot under a cap. */
     int floor(int cap) {
-        return cap == UNCAPPED ? 0 : Gate.floor(cap, floorShare, placesMost);
+        return cap == UNCAPPED ? 0 : Gate.floor(cap, floorShare, maxSlots);
     }
 
     // ---- revisions
 
     /** Applies the changed caps of a new revision in force. Grants beyond a lowered cap are returned as servers report. */
-    void caps(long newRevision, List<CapChange> changes) {
+    void applyCaps(long newRevision, List<CapChange> changes) {
         revision = newRevision;
         floorsFree = false;
         changes.forEach(this::change);
@@ -94,10 +94,10 @@
             pool = pool(change.tenant(), change.before());
         }
         poolsVisited++;
-        pool.change(change.after(), newFloor, revision);
-        pool.forgetFloorsBefore(places.oldest());
+        pool.changeCap(change.after(), newFloor, revision);
+        pool.forgetFloorsBefore(slots.oldestRevision());
         if (pool.hasEarlierFloors()) {
-            loweredAt.computeIfAbsent(revision, r -> new ArrayList<>()).add(pool.tenant());
+            loweredTenantsByRevision.computeIfAbsent(revision, r -> new ArrayList<>()).add(pool.tenant());
         }
         if (!fits(pool)) {
             overcommitted.add(pool.tenant());
@@ -120,20 +120,20 @@
      * that floors are free, which happens only for the revision in force; so a slot that is new here has no floor from any
      * earlier revision.
      */
-    void acting(int slot, long newRevision) {
-        if (!places.contains(slot)) {
-            places.put(slot, revision);
-        } else if (newRevision > places.revision(slot)) {
-            places.put(slot, Math.min(newRevision, revision));
+    void slotApplied(int slot, long newRevision) {
+        if (!slots.contains(slot)) {
+            slots.put(slot, revision);
+        } else if (newRevision > slots.revision(slot)) {
+            slots.put(slot, Math.min(newRevision, revision));
             forgetEarlierFloors();
         }
     }
 
     /** Drops the floors of revisions that no slot applies any more. */
     private void forgetEarlierFloors() {
-        long oldest = places.oldest();
-        while (!loweredAt.isEmpty() && loweredAt.firstKey() <= oldest) {
-            for (TenantId tenant : loweredAt.pollFirstEntry().getValue()) {
+        long oldest = slots.oldestRevision();
+        while (!loweredTenantsByRevision.isEmpty() && loweredTenantsByRevision.firstKey() <= oldest) {
+            for (TenantId tenant : loweredTenantsByRevision.pollFirstEntry().getValue()) {
                 CapPool pool = pools.get(tenant);
                 if (pool != null) {
                     poolsVisited++;
@@ -166,7 +166,7 @@
     }
 
     private boolean fits(CapPool pool) {
-        return pool.cap() == UNCAPPED || spoken(pool) <= pool.cap();
+        return pool.cap() == UNCAPPED || committed(pool) <= pool.cap();
     }
 
     // ---- slots
@@ -178,12 +178,12 @@
      * @return what the slot is lent now, by tenant in the order of their names
      */
     Map<TenantId, Grant> report(int slot, Map<TenantId, Need> needs, long now) {
-        if (!places.contains(slot)) {
-            places.put(slot, revision); // from now on it may be told that floors are free
+        if (!slots.contains(slot)) {
+            slots.put(slot, revision); // from now on it may be told that floors are free
         }
-        for (CapPool pool : List.copyOf(poolsOf(slot))) {
+        for (CapPool pool : List.copyOf(poolsOfSlot(slot))) {
             if (!needs.containsKey(pool.tenant())) {
-                report(pool, slot, NOTHING, now);
+                report(pool, slot, NO_NEED, now);
             }
         }
         needs.forEach((tenant, need) -> {
@@ -195,9 +195,9 @@
 
     private void report(CapPool pool, int slot, Need need, long now) {
         poolsVisited++;
-        pool.report(slot, need, lendable(pool), now, levelEvery);
-        if (pool.concerns(slot)) {
-            poolsOfPlace.computeIfAbsent(slot, p -> new HashMap<>()).put(pool.tenant(), pool);
+        pool.updateNeed(slot, need, lendable(pool), now, levelInterval);
+        if (pool.holdsOrWants(slot)) {
+            poolsBySlot.computeIfAbsent(slot, p -> new HashMap<>()).put(pool.tenant(), pool);
         } else {
             removeShare(pool, slot);
         }
@@ -205,9 +205,9 @@
 
     private void removeShare(CapPool pool, int slot) {
         pool.remove(slot);
-        Map<TenantId, CapPool> ofSlot = poolsOfPlace.get(slot);
+        Map<TenantId, CapPool> ofSlot = poolsBySlot.get(slot);
         if (ofSlot != null && ofSlot.remove(pool.tenant()) != null && ofSlot.isEmpty()) {
-            poolsOfPlace.remove(slot);
+            poolsBySlot.remove(slot);
         }
         dropIfIdle(pool);
     }
@@ -219,48 +219,48 @@
 
     /** The floors of all slots, plus the excess of floors that slots may still use from earlier revisions. */
     private long floors(CapPool pool) {
-        return (long) pool.floor() * placesMost + pool.floorsOver(places);
+        return (long) pool.floor() * maxSlots + pool.excessOfEarlierFloors(slots);
     }
 
-    private Collection<CapPool> poolsOf(int slot) {
-        return poolsOfPlace.getOrDefault(slot, Map.of()).values();
+    private Collection<CapPool> poolsOfSlot(int slot) {
+        return poolsBySlot.getOrDefault(slot, Map.of()).values();
     }
 
     /** What a slot is lent, without changing anything; for the answer to a repeated report. */
     Map<TenantId, Grant> lent(int slot) {
         Map<TenantId, Grant> grants = new TreeMap<>(BY_NAME);
-        for (CapPool pool : poolsOf(slot)) {
+        for (CapPool pool : poolsOfSlot(slot)) {
             poolsVisited++;
-            if (pool.concerns(slot)) {
-                grants.put(pool.tenant(), pool.lent(slot));
+            if (pool.holdsOrWants(slot)) {
+                grants.put(pool.tenant(), pool.grantOf(slot));
             }
         }
         return grants;
     }
 
     /** Takes back everything that a slot was lent: none of it can be in use there any more. */
-    void back(int slot) {
-        for (CapPool pool : poolsOf(slot)) {
+    void reclaim(int slot) {
+        for (CapPool pool : poolsOfSlot(slot)) {
             poolsVisited++;
-            pool.back(slot);
+            pool.reclaim(slot);
         }
     }
 
     /** Frees a slot: no server relies on its floors or grants any more. */
-    void free(int slot) {
-        for (CapPool pool : List.copyOf(poolsOf(slot))) {
+    void releaseSlot(int slot) {
+        for (CapPool pool : List.copyOf(poolsOfSlot(slot))) {
             poolsVisited++;
             removeShare(pool, slot);
         }
-        places.remove(slot);
+        slots.remove(slot);
         forgetEarlierFloors();
     }
 
     /** Whether a slot was lent anything that it has not returned. */
-    boolean holds(int slot) {
-        for (CapPool pool : poolsOf(slot)) {
+    boolean hasGrants(int slot) {
+        for (CapPool pool : poolsOfSlot(slot)) {
             poolsVisited++;
-            if (pool.lent(slot).granted() > 0) {
+            if (pool.grantOf(slot).granted() > 0) {
                 return true;
             }
         }
@@ -270,12 +270,12 @@
     // ---- queries
 
     /** How much of a tenant's cap may be relied on: the floors of all slots plus what is lent. */
-    long spoken(TenantId tenant) {
+    long committed(TenantId tenant) {
         CapPool pool = pools.get(tenant);
-        return pool == null ? (long) floor(caps.of(tenant)) * placesMost : spoken(pool);
+        return pool == null ? (long) floor(caps.of(tenant)) * maxSlots : committed(pool);
     }
 
-    private long spoken(CapPool pool) {
+    private long committed(CapPool pool) {
         return floors(pool) + pool.granted();
     }
 
@@ -286,13 +286,13 @@
     }
 
     /** By how much the floors that slots may use from earlier revisions exceed those of the revision in force, in total. */
-    long floorsOver(TenantId tenant) {
+    long excessFloors(TenantId tenant) {
         CapPool pool = pools.get(tenant);
-        return pool == null ? 0 : pool.floorsOver(places);
+        return pool == null ? 0 : pool.excessOfEarlierFloors(slots);
     }
 
     /** The number of pools. */
-    int pools() {
+    int poolCount() {
         return pools.size();
     }
 
@@ -306,7 +306,7 @@
     /** Writes all state that cannot be derived from the caps, in parts, always in the same order. */
     void save(Consumer<LendingPart> to) {
         to.accept(new LendingPart.RevisionState(revision));
-        places.forEach((slot, applied) -> to.accept(new LendingPart.PlaceState(slot, applied)));
+        slots.forEach((slot, applied) -> to.accept(new LendingPart.PlaceState(slot, applied)));
         pools.values().stream()
                 .sorted(Comparator.comparing(CapPool::tenant, BY_NAME))
                 .forEach(pool -> to.accept(pool.save()));
@@ -317,7 +317,7 @@
         if (part instanceof LendingPart.RevisionState state) {
             revision = state.revision();
         } else if (part instanceof LendingPart.PlaceState state) {
-            places.put(state.place(), state.revision());
+            slots.put(state.slot(), state.revision());
         } else if (part instanceof LendingPart.PoolState state) {
             load(state);
         }
@@ -328,10 +328,10 @@
         pool.load(state);
         overcommitted.add(pool.tenant()); // floorsFree() removes it if it fits
         for (LendingPart.EarlierFloor earlier : state.earlierFloors()) {
-            loweredAt.computeIfAbsent(earlier.until(), r -> new ArrayList<>()).add(pool.tenant());
+            loweredTenantsByRevision.computeIfAbsent(earlier.untilRevision(), r -> new ArrayList<>()).add(pool.tenant());
         }
         for (LendingPart.ShareState share : state.shares()) {
-            poolsOfPlace.computeIfAbsent(share.place(), p -> new HashMap<>()).put(pool.tenant(), pool);
+            poolsBySlot.computeIfAbsent(share.slot(), p -> new HashMap<>()).put(pool.tenant(), pool);
         }
     }
 }
--- a/fleet/src/main/java/tallyweir/fleet/LendingPart.java
+++ b/fleet/src/main/java/tallyweir/fleet/LendingPart.java
@@ -9,13 +9,13 @@
     record RevisionState(long revision) implements LendingPart {}
 
     /** The revision that a slot applies, as far as its floors are concerned. */
-    record PlaceState(int place, long revision) implements LendingPart {}
+    record PlaceState(int slot, long revision) implements LendingPart {}
 
     /**
      * What is lent of one tenant's cap.
      *
      * @param level max-min level: the share up to which the demand of every slot is met, as last computed
-     * @param levelAt when the level was computed, Long.MIN_VALUE if it is to be computed anew
+     * @param levelComputedAt when the level was computed, Long.MIN_VALUE if it is to be computed anew
      * @param turn index, among the slots with demand, of the one that is next to get a unit that does not divide evenly
      * @param earlierFloors oldest first
      */
@@ -23,8 +23,8 @@
             TenantId tenant,
             int cap,
             int level,
-            long levelAt,
-            int turn,
+            long levelComputedAt,
+            int extraTurn,
             List<EarlierFloor> earlierFloors,
             List<ShareState> shares)
             implements LendingPart {}
@@ -34,12 +34,12 @@
      *
      * @param until the first revision in which the floor was lower
      */
-    record EarlierFloor(long until, int floor) {}
+    record EarlierFloor(long untilRevision, int floor) {}
 
     /**
      * What one slot holds of one tenant's cap beyond its floor.
      *
-     * @param extra whether it gets one more than the level
+     * @param hasExtra whether it gets one more than the level
      */
-    record ShareState(int place, int granted, int want, boolean extra) {}
+    record ShareState(int slot, int granted, int wanted, boolean hasExtra) {}
 }
--- a/fleet/src/main/java/tallyweir/fleet/Member.java
+++ b/fleet/src/main/java/tallyweir/fleet/Member.java
@@ -12,39 +12,39 @@
  * <p>Times are tenths of a millisecond. Not thread-safe.
  */
 public final class Member {
-    private static final int AGAIN_MOST = 16; // bounds the delay, so that the fleet is retried regularly
+    private static final int MAX_BACKOFF_FACTOR = 16; // bounds the delay, so that the fleet is retried regularly
 
-    private final MemberActions out;
+    private final MemberActions actions;
     private final Gate gate;
-    private final Set<Guard> without;
+    private final Set<Guard> disabledGuards;
     private final ServerId server;
     private final String listen;
-    private final boolean backWhole;
-    private final long again;
-    private final SplittableRandom chance;
+    private final boolean withdrawWithoutLease;
+    private final long minRetryDelay;
+    private final SplittableRandom random;
     private final Rules rules = new Rules();
     private long now;
-    private Incarnation as;
-    private boolean inHand; // a join or report was sent and is unanswered
-    private long dueAt; // when the next report or join is due
-    private long number; // of the last report
-    private long sentAt; // when the last report was first sent
-    private boolean answered = true; // the last report
-    private long leaseUntil = Long.MIN_VALUE;
+    private Incarnation incarnation;
+    private boolean awaitingAnswer; // a join or report was sent and is unanswered
+    private long nextRequestAt; // when the next report or join is due
+    private long reportNumber; // of the last report
+    private long reportSentAt; // when the last report was first sent
+    private boolean reportAnswered = true; // the last report
+    private long leaseDeadline = Long.MIN_VALUE;
     private boolean member;
     private int failures;
-    private RevisionId acting = RevisionId.NONE;
-    private Digest inForce = Digest.NONE;
-    private long outdated;
-    private RevisionRoot wanted = RevisionRoot.NONE;
-    private RevisionId moving = RevisionId.NONE;
-    private RevisionId failed = RevisionId.NONE;
+    private RevisionId appliedRevision = RevisionId.NONE;
+    private Digest appliedRoot = Digest.NONE;
+    private long outdatedQueries;
+    private RevisionRoot wantedRevision = RevisionRoot.NONE;
+    private RevisionId applyingRevision = RevisionId.NONE;
+    private RevisionId failedRevision = RevisionId.NONE;
     private long failedAt;
-    private RevisionRoot toCheck = RevisionRoot.NONE;
-    private RevisionId checking = RevisionId.NONE;
-    private RevisionId checked = RevisionId.NONE;
-    private String cannot = "";
-    private boolean back;
+    private RevisionRoot revisionToCheck = RevisionRoot.NONE;
+    private RevisionId checkingRevision = RevisionId.NONE;
+    private RevisionId checkedRevision = RevisionId.NONE;
+    private String checkFailure = "";
+    private boolean withdrawn;
 
     /**
      * @param gate the counts of tenants' connections; this class sets how many the server may accept
@@ -54,51 +54,51 @@
      * @param without guards that are switched off, for checks only
      */
     public Member(
-            MemberActions out,
+            MemberActions actions,
             Gate gate,
             ServerId server,
             String listen,
-            long again,
-            boolean backWhole,
+            long minRetryDelay,
+            boolean withdrawWithoutLease,
             long seed,
             long now,
-            Set<Guard> without) {
-        this.out = out;
+            Set<Guard> disabledGuards) {
+        this.actions = actions;
         this.gate = gate;
         this.server = server;
         this.listen = listen;
-        this.again = again;
-        this.backWhole = backWhole;
-        this.without = without;
+        this.minRetryDelay = minRetryDelay;
+        this.withdrawWithoutLease = withdrawWithoutLease;
+        this.disabledGuards = disabledGuards;
         this.now = now;
-        chance = new SplittableRandom(seed);
-        dueAt = now;
+        random = new SplittableRandom(seed);
+        nextRequestAt = now;
         // Order: expiries first, then checking and applying revisions, then requests to the fleet.
-        rules.add(() -> member && now() >= leaseUntil && !without.contains(Guard.LEASE), this::leaseOver);
-        rules.add(() -> shouldStandBack() != back, this::tellStandBack);
-        rules.add(() -> checked.before(toCheck.id()) && !checking.equals(toCheck.id()), this::check);
+        rules.add(() -> member && now() >= leaseDeadline && !disabledGuards.contains(Guard.LEASE), this::onLeaseExpired);
+        rules.add(() -> shouldWithdraw() != withdrawn, this::notifyWithdrawal);
+        rules.add(() -> checkedRevision.isBefore(revisionToCheck.id()) && !checkingRevision.equals(revisionToCheck.id()), this::check);
         rules.add(
-                () -> acting.before(wanted.id())
-                        && moving.value() == 0
-                        && !(failed.equals(wanted.id()) && now() < failedAt + this.again),
-                this::act);
-        rules.add(() -> !inHand && as == null && now() >= dueAt, this::join);
-        rules.add(() -> !inHand && as != null && now() >= dueAt, this::report);
+                () -> appliedRevision.isBefore(wantedRevision.id())
+                        && applyingRevision.value() == 0
+                        && !(failedRevision.equals(wantedRevision.id()) && now() < failedAt + this.minRetryDelay),
+                this::applyWanted);
+        rules.add(() -> !awaitingAnswer && incarnation == null && now() >= nextRequestAt, this::join);
+        rules.add(() -> !awaitingAnswer && incarnation != null && now() >= nextRequestAt, this::report);
     }
 
-    private void tellStandBack() {
-        back = shouldStandBack();
-        out.standBack(back);
+    private void notifyWithdrawal() {
+        withdrawn = shouldWithdraw();
+        actions.setWithdrawn(withdrawn);
     }
 
     private void check() {
-        checking = toCheck.id();
-        out.check(toCheck);
+        checkingRevision = revisionToCheck.id();
+        actions.check(revisionToCheck);
     }
 
-    private void act() {
-        moving = wanted.id();
-        out.act(wanted);
+    private void applyWanted() {
+        applyingRevision = wantedRevision.id();
+        actions.apply(wantedRevision);
     }
 
     private long now() {
@@ -106,48 +106,48 @@
     }
 
     private void settle() {
-        rules.settle();
+        rules.runUntilStable();
     }
 
-    private boolean shouldStandBack() {
-        return backWhole && !member;
+    private boolean shouldWithdraw() {
+        return withdrawWithoutLease && !member;
     }
 
-    private void leaseOver() {
+    private void onLeaseExpired() {
         member = false;
     }
 
     private void join() {
-        inHand = true;
-        out.join(server, listen);
+        awaitingAnswer = true;
+        actions.join(server, listen);
     }
 
     private void report() {
-        inHand = true;
-        if (answered) {
-            number++;
-            sentAt = now;
-            answered = false;
+        awaitingAnswer = true;
+        if (reportAnswered) {
+            reportNumber++;
+            reportSentAt = now;
+            reportAnswered = false;
         }
-        MemberActions.Ended queries = out.ended();
-        out.report(new Command.Report(
+        MemberActions.QueryCounts queries = actions.endedQueries();
+        actions.report(new Command.Report(
                 server,
-                as,
-                number,
-                acting,
-                inForce,
-                outdated,
-                checked,
-                cannot,
+                incarnation,
+                reportNumber,
+                appliedRevision,
+                appliedRoot,
+                outdatedQueries,
+                checkedRevision,
+                checkFailure,
                 queries.ended(),
                 queries.bad(),
                 gate.needs()));
     }
 
     /** The delay until the next attempt: exponential in the number of failures, with random jitter. */
-    private long backOff(long least) {
-        long most = least << Math.min(4, failures);
-        return least / 2 + chance.nextLong(Math.max(1, Math.min(most, least * AGAIN_MOST)));
+    private long backOff(long base) {
+        long range = base << Math.min(4, failures);
+        return base / 2 + random.nextLong(Math.max(1, Math.min(range, base * MAX_BACKOFF_FACTOR)));
     }
 
     // ---- inputs
@@ -155,89 +155,89 @@
     /** Advances the clock and does what is due by now. */
     public void clock(long now) {
         this.now = Math.max(this.now, now);
-        gate.clock(this.now);
+        gate.advanceClock(this.now);
         settle();
     }
 
     /** When {@link #clock} next has something to do, Long.MAX_VALUE for never. */
-    public long next() {
-        long at = inHand ? Long.MAX_VALUE : dueAt;
-        return member ? Math.min(at, leaseUntil) : at;
+    public long nextDeadline() {
+        long deadline = awaitingAnswer ? Long.MAX_VALUE : nextRequestAt;
+        return member ? Math.min(deadline, leaseDeadline) : deadline;
     }
 
     /** The fleet answered the last request. */
-    public void hear(Answer answer) {
+    public void onAnswer(Answer answer) {
         if (answer instanceof Answer.Joined joined) {
-            joined(joined);
-        } else if (answer instanceof Answer.Told told) {
-            told(told);
+            onJoined(joined);
+        } else if (answer instanceof Answer.ReportAccepted told) {
+            onReportAnswer(told);
         } else if (answer instanceof Answer.Refused refused) {
-            refused(refused.why());
+            onRefused(refused.fault());
         } else {
             throw new IllegalArgumentException("no server asks for what this answers: " + answer);
         }
     }
 
-    private void joined(Answer.Joined joined) {
-        gate.floors(joined.places(), joined.floorShare());
-        as = joined.as();
-        inHand = false;
+    private void onJoined(Answer.Joined joined) {
+        gate.configureFloors(joined.slots(), joined.floorShare());
+        incarnation = joined.incarnation();
+        awaitingAnswer = false;
         failures = 0;
-        number = 0;
-        answered = true;
-        dueAt = now;
+        reportNumber = 0;
+        reportAnswered = true;
+        nextRequestAt = now;
         settle();
     }
 
     /** Ignores answers to any report but the last. */
-    private void told(Answer.Told told) {
-        if (as == null || told.number() != number || answered) {
+    private void onReportAnswer(Answer.ReportAccepted told) {
+        if (incarnation == null || told.reportNumber() != reportNumber || reportAnswered) {
             return;
         }
-        inHand = false;
-        answered = true;
+        awaitingAnswer = false;
+        reportAnswered = true;
         failures = 0;
-        dueAt = now + told.next();
-        member = told.lease() > 0 && now < sentAt + told.lease();
-        leaseUntil = sentAt + told.lease();
-        if (told.lease() > 0) {
-            gate.lent(
-                    told.shares(),
-                    without.contains(Guard.LEASE) ? Long.MAX_VALUE : leaseUntil,
-                    without.contains(Guard.LEASE) ? Long.MAX_VALUE : sentAt + told.floorLease(),
-                    told.floorsFree() && told.inForce().id().equals(acting));
+        nextRequestAt = now + told.maxReportDelay();
+        member = told.leaseDuration() > 0 && now < reportSentAt + told.leaseDuration();
+        leaseDeadline = reportSentAt + told.leaseDuration();
+        if (told.leaseDuration() > 0) {
+            gate.updateGrants(
+                    told.grants(),
+                    disabledGuards.contains(Guard.LEASE) ? Long.MAX_VALUE : leaseDeadline,
+                    disabledGuards.contains(Guard.LEASE) ? Long.MAX_VALUE : reportSentAt + told.floorLeaseDuration(),
+                    told.floorsFree() && told.inForce().id().equals(appliedRevision));
         }
-        if (told.inForce().id().value() == 0 && acting.value() == 0) {
+        if (told.inForce().id().value() == 0 && appliedRevision.value() == 0) {
             gate.caps(Caps.NONE); // no revision is in force yet
         }
-        wanted = told.inForce();
-        toCheck = told.toCheck();
+        wantedRevision = told.inForce();
+        revisionToCheck = told.proposed();
         settle();
     }
 
     /** The fleet refused the last request. */
-    private void refused(Fault why) {
-        inHand = false;
-        long wait = again;
-        if (why instanceof Fault.ShutOut shut) {
-            as = null;
+    private void onRefused(Fault fault) {
+        awaitingAnswer = false;
+        long delay = minRetryDelay;
+        if (fault instanceof Fault.ShutOut shut) {
+            incarnation = null;
             member = false;
             gate.shutOut();
-            wait = Math.max(again, shut.backAfter());
-        } else if (why instanceof Fault.NotYet notYet) {
-            wait = Math.max(again, notYet.backAfter());
+            delay = Math.max(minRetryDelay, shut.returnDelayTenthsMs());
+        } else if (fault instanceof Fault.NotYet notYet) {
+            delay = Math.max(minRetryDelay, notYet.returnDelayTenthsMs());
         }
         failures++;
-        dueAt = now + wait + chance.nextLong(Math.max(1, again));
+        nextRequestAt = now + delay + random.nextLong(Math.max(1, minRetryDelay));
         settle();
     }
 
     /** No answer came to the last request; the fleet may have received it or not. */
-    public void failed() {
-        if (inHand) {
-            inHand = false;
+    public void requestFailed() {
+        if (awaitingAnswer) {
+            awaitingAnswer = false;
             failures++;
-            dueAt = now + backOff(again);
+            nextRequestAt = now + backOff(minRetryDelay);
             settle();
         }
     }
@@ -246,21 +246,21 @@
      * This server has applied a revision.
      *
      * @param inForce the root of the table that is really in use here
-     * @param outdated queries that began under an earlier revision after this one came into force
+     * @param outdatedQueries queries that began under an earlier revision after this one came into force
      */
-    public void acting(RevisionId revision, Digest inForce, long outdated) {
-        acting = revision;
-        this.inForce = inForce;
-        this.outdated = outdated;
-        moving = RevisionId.NONE;
-        dueAt = Math.min(dueAt, now); // the fleet waits for this report
+    public void applied(RevisionId revision, Digest appliedRoot, long outdatedQueries) {
+        appliedRevision = revision;
+        this.appliedRoot = appliedRoot;
+        this.outdatedQueries = outdatedQueries;
+        applyingRevision = RevisionId.NONE;
+        nextRequestAt = Math.min(nextRequestAt, now); // the fleet waits for this report
         settle();
     }
 
     /** A revision could not be applied here; it is tried again after the retry delay. */
-    public void cannotAct(RevisionId revision) {
-        moving = RevisionId.NONE;
-        failed = revision;
+    public void applyFailed(RevisionId revision) {
+        applyingRevision = RevisionId.NONE;
+        failedRevision = revision;
         failedAt = now;
         settle();
     }
@@ -270,44 +270,44 @@
      *
      * @param why the reason why it could not, empty if it could
      */
-    public void checked(RevisionId revision, String why) {
-        checked = revision;
-        checking = RevisionId.NONE;
-        cannot = why;
-        dueAt = Math.min(dueAt, now);
+    public void checked(RevisionId revision, String failure) {
+        checkedRevision = revision;
+        checkingRevision = RevisionId.NONE;
+        checkFailure = failure;
+        nextRequestAt = Math.min(nextRequestAt, now);
         settle();
     }
 
     /** Asks for a report within a delay: a tenant came near its limit here, or the fleet has something new to tell. */
-    public void stir(long within) {
-        dueAt = Math.min(dueAt, now + within);
+    public void requestReportWithin(long within) {
+        nextRequestAt = Math.min(nextRequestAt, now + within);
         settle();
     }
 
     // ---- queries
 
     /** Whether the server holds a lease, by its own clock as of the last call of {@link #clock}. */
-    public boolean member() {
+    public boolean isMember() {
         return member;
     }
 
     /** The revision that this server has applied. */
-    public RevisionId acting() {
-        return acting;
+    public RevisionId applied() {
+        return appliedRevision;
     }
 
     /** The incarnation that the fleet gave this server, null while it has none. */
-    public Incarnation as() {
-        return as;
+    public Incarnation incarnation() {
+        return incarnation;
     }
 
     /** All state that determines later behaviour as text, with times relative to {@code from}; for checks. */
     String describe(long from) {
-        return (as == null ? "-" : as.value()) + "," + inHand + "," + (dueAt - from) + "," + answered
-                + "," + (answered ? 0 : sentAt - from) + "," + (member ? leaseUntil - from : "-") + "," + failures + ","
-                + acting.value()
-                + wanted.id().value() + moving.value() + failed.value()
-                + toCheck.id().value() + checking.value()
-                + checked.value() + back;
+        return (incarnation == null ? "-" : incarnation.value()) + "," + awaitingAnswer + "," + (nextRequestAt - from) + "," + reportAnswered
+                + "," + (reportAnswered ? 0 : reportSentAt - from) + "," + (member ? leaseDeadline - from : "-") + "," + failures + ","
+                + appliedRevision.value()
+                + wantedRevision.id().value() + applyingRevision.value() + failedRevision.value()
+                + revisionToCheck.id().value() + checkingRevision.value()
+                + checkedRevision.value() + withdrawn;
     }
 }
--- a/fleet/src/main/java/tallyweir/fleet/MemberActions.java
+++ b/fleet/src/main/java/tallyweir/fleet/MemberActions.java
@@ -7,10 +7,10 @@
      *
      * @param bad how many of them were late or errored
      */
-    record Ended(long ended, long bad) {}
+    record QueryCounts(long ended, long bad) {}
 
     /** Counts of the queries that have ended here so far. */
-    Ended ended();
+    QueryCounts endedQueries();
 
     /** Asks the fleet for a slot; followed by {@link Member#hear} or {@link Member#failed}. */
     void join(ServerId server, String listen);
@@ -22,8 +22,8 @@
     void check(RevisionRoot revision);
 
     /** Applies a revision here; followed by {@link Member#acting(RevisionId, Digest, long)} or {@link Member#cannotAct}. */
-    void act(RevisionRoot revision);
+    void apply(RevisionRoot revision);
 
     /** Sets whether this server turns new queries away and is taken off the announce service's list. */
-    void standBack(boolean back);
+    void setWithdrawn(boolean withdrawn);
 }
--- a/fleet/src/main/java/tallyweir/fleet/Need.java
+++ b/fleet/src/main/java/tallyweir/fleet/Need.java
@@ -6,4 +6,4 @@
  * @param keep how many of its granted connections it continues to rely on; it has returned the rest
  * @param want how many it would use
  */
-public record Need(int keep, int want) {}
+public record Need(int kept, int wanted) {}
--- a/fleet/src/main/java/tallyweir/fleet/Probation.java
+++ b/fleet/src/main/java/tallyweir/fleet/Probation.java
@@ -10,13 +10,13 @@
     /** The author of rollbacks that probation itself makes. */
     static final String AUTHOR = "probation";
 
-    private static final int JUDGED_IN_LEASE = 40;
-    private static final int ENDED_LEAST = 20; // a server's share of bad queries is not judged on fewer
-    private static final double WORSE_LEAST = 0.05; // a lower share of bad queries never counts as worse
+    private static final int JUDGEMENTS_PER_LEASE = 40;
+    private static final int MIN_ENDED_QUERIES = 20; // a server's share of bad queries is not judged on fewer
+    private static final double MIN_WORSE_SHARE = 0.05; // a lower share of bad queries never counts as worse
 
     private final FleetContext context;
     private final RevisionHistory history;
-    private final BitSet worse = new BitSet(); // slots of live servers that have more bad queries than before
+    private final BitSet worseSlots = new BitSet(); // slots of live servers that have more bad queries than before
     private long judgedAt;
 
     Probation(FleetContext context, RevisionHistory history) {
@@ -28,14 +28,14 @@
     boolean isActive() {
         Revision revision = history.inForce();
         return revision != null
-                && context.now() < revision.since + context.settings().probation()
+                && context.now() < revision.inForceAt + context.settings().probationDuration()
                 && history.previous() != null
-                && !revision.by().equals(AUTHOR);
+                && !revision.author().equals(AUTHOR);
     }
 
     /** Starts over for another revision in force. */
     void begin() {
-        worse.clear();
+        worseSlots.clear();
     }
 
     /**
@@ -45,35 +45,35 @@
      * @param bad how many of them were late or errored
      */
     void report(ServerRecord server, long ended, long bad) {
-        server.health.under(history.inForceId());
-        boolean counts = isActive() && server.acting.equals(history.inForceId());
+        server.health.onRevisionInForce(history.inForceId());
+        boolean counts = isActive() && server.appliedRevision.equals(history.inForceId());
         server.health.report(
                 ended,
                 bad,
                 counts,
                 context.now(),
-                Math.max(1, context.settings().probation()));
-        note(server);
+                Math.max(1, context.settings().probationDuration()));
+        update(server);
     }
 
     /** Updates from a server's last report whether it fares worse. */
-    void note(ServerRecord server) {
-        worse.set(
-                server.place,
+    void update(ServerRecord server) {
+        worseSlots.set(
+                server.slot,
                 server.status == ServerRecord.Status.LIVE
-                        && server.acting.equals(history.inForceId())
-                        && server.health.isUnder(history.inForceId())
-                        && server.health.tells(ENDED_LEAST)
-                        && server.health.worse(context.settings().worseRatio(), WORSE_LEAST));
+                        && server.appliedRevision.equals(history.inForceId())
+                        && server.health.isInForce(history.inForceId())
+                        && server.health.isConclusive(MIN_ENDED_QUERIES)
+                        && server.health.isWorse(context.settings().maxBadShareRatio(), MIN_WORSE_SHARE));
     }
 
     void remove(int slot) {
-        worse.clear(slot);
+        worseSlots.clear(slot);
     }
 
     boolean isDue() {
-        long every = Math.max(1, context.settings().lease() / JUDGED_IN_LEASE);
-        return isActive() && context.now() >= judgedAt + every;
+        long interval = Math.max(1, context.settings().leaseDuration() / JUDGEMENTS_PER_LEASE);
+        return isActive() && context.now() >= judgedAt + interval;
     }
 
     /**
@@ -83,8 +83,8 @@
      */
     boolean judge(int live) {
         judgedAt = context.now();
-        int count = worse.cardinality();
-        return count > 0 && count >= context.settings().sickShare() * live;
+        int count = worseSlots.cardinality();
+        return count > 0 && count >= context.settings().minWorseServersShare() * live;
     }
 
     long judgedAt() {
--- a/fleet/src/main/java/tallyweir/fleet/Proposal.java
+++ b/fleet/src/main/java/tallyweir/fleet/Proposal.java
@@ -7,10 +7,10 @@
 
 /** The proposed revision, if any, and the answers of live servers whether they can apply it. */
 final class Proposal {
-    private static final int REASONS_MOST = 8;
+    private static final int MAX_REASONS = 8;
 
     private Revision revision;
-    private long until; // by the fleet's clock
+    private long checkDeadline; // by the fleet's clock
     private BitSet pending = new BitSet(); // slots of live servers that have not answered
     private final TreeMap<ServerId, String> rejections = new TreeMap<>();
     private int accepted; // servers that can apply it
@@ -21,10 +21,10 @@
      * @param until when servers that have not answered count as unable
      * @param ask slots of the servers that are to answer
      */
-    void open(Revision proposed, long until, BitSet ask) {
+    void open(Revision proposed, long checkDeadline, BitSet slotsToAsk) {
         revision = proposed;
-        this.until = until;
-        pending = (BitSet) ask.clone();
+        this.checkDeadline = checkDeadline;
+        pending = (BitSet) slotsToAsk.clone();
         rejections.clear();
         accepted = 0;
     }
@@ -48,13 +48,13 @@
         return isOpen() ? revision.id : RevisionId.NONE;
     }
 
-    RevisionRoot named() {
-        return isOpen() ? revision.named() : RevisionRoot.NONE;
+    RevisionRoot revisionRoot() {
+        return isOpen() ? revision.revisionRoot() : RevisionRoot.NONE;
     }
 
     /** When servers that have not answered count as unable, Long.MAX_VALUE if no proposal is open. */
-    long due() {
-        return isOpen() ? until : Long.MAX_VALUE;
+    long deadline() {
+        return isOpen() ? checkDeadline : Long.MAX_VALUE;
     }
 
     /**
@@ -62,15 +62,15 @@
      *
      * @param why the reason why it cannot apply it, empty if it can
      */
-    void checked(int slot, ServerId server, RevisionId which, String why) {
-        if (!which.equals(id()) || !pending.get(slot)) {
+    void recordCheck(int slot, ServerId server, RevisionId checkedId, String reason) {
+        if (!checkedId.equals(id()) || !pending.get(slot)) {
             return;
         }
         pending.clear(slot);
-        if (why.isEmpty()) {
+        if (reason.isEmpty()) {
             accepted++;
         } else {
-            rejections.put(server, why);
+            rejections.put(server, reason);
         }
     }
 
@@ -91,14 +91,14 @@
 
     /** Of the servers that have answered, the fraction that cannot apply it. */
     double rejectedShare() {
-        int said = accepted + rejections.size();
-        return said == 0 ? 0 : rejections.size() / (double) said;
+        int answered = accepted + rejections.size();
+        return answered == 0 ? 0 : rejections.size() / (double) answered;
     }
 
-    /** How many servers cannot apply it, and the reasons of the first of them, at most {@link #REASONS_MOST}. */
-    String reasons() {
+    /** How many servers cannot apply it, and the reasons of the first of them, at most {@link #MAX_REASONS}. */
+    String rejectionSummary() {
         List<String> first = rejections.entrySet().stream()
-                .limit(REASONS_MOST)
+                .limit(MAX_REASONS)
                 .map(each -> each.getKey().value() + ": " + each.getValue())
                 .toList();
         return rejections.size() + " of " + (accepted + rejections.size()) + " cannot take it: "
@@ -107,13 +107,13 @@
 
     SnapshotPart.Proposed save() {
         return new SnapshotPart.Proposed(
-                id(), until, pending.stream().boxed().toList(), new TreeMap<>(rejections), accepted);
+                id(), checkDeadline, pending.stream().boxed().toList(), new TreeMap<>(rejections), accepted);
     }
 
     void load(SnapshotPart.Proposed saved, Revision proposed) {
         revision = proposed;
-        until = saved.until();
-        saved.pending().forEach(pending::set);
+        checkDeadline = saved.checkDeadline();
+        saved.pendingSlots().forEach(pending::set);
         rejections.putAll(saved.rejections());
         accepted = saved.accepted();
     }
--- a/fleet/src/main/java/tallyweir/fleet/Revision.java
+++ b/fleet/src/main/java/tallyweir/fleet/Revision.java
@@ -21,78 +21,78 @@
 
     final RevisionId id;
     final RevisionId base; // the revision whose table it changes
-    final RevisionId of; // the revision whose table it restores, NONE if it has one of its own
+    final RevisionId restoredFrom; // the revision whose table it restores, NONE if it has one of its own
     final Digest root;
     final boolean forced;
-    final long proposedWall;
+    final long proposedAtMs;
     private final List<ChangeRecord> records;
     private final Table baseTable;
     private Table table; // null once turned down: nobody can roll back to it
-    private final int size;
-    private final int changed;
+    private final int entryCount;
+    private final int changedEntryCount;
     boolean firstOfRoot; // no earlier revision has the same table
     Fate fate = Fate.PROPOSED;
-    long since; // when it came into force, by the fleet's clock
-    long sinceWall; // the same by the leader's wall clock
+    long inForceAt; // when it came into force, by the fleet's clock
+    long inForceAtMs; // the same by the leader's wall clock
     long supersededAt = Long.MAX_VALUE; // by the fleet's clock
-    String reasons = ""; // why it was turned down
+    String rejectionReasons = ""; // why it was turned down
 
     Revision(
             RevisionId id,
             RevisionId base,
-            RevisionId of,
+            RevisionId restoredFrom,
             Digest root,
             Table baseTable,
             Table table,
             List<ChangeRecord> records,
             boolean forced,
-            long proposedWall) {
+            long proposedAtMs) {
         this.id = id;
         this.base = base;
-        this.of = of;
+        this.restoredFrom = restoredFrom;
         this.root = root;
         this.baseTable = baseTable;
         this.table = table;
-        this.size = table.size();
-        this.changed = baseTable.differenceTo(table).size();
+        this.entryCount = table.size();
+        this.changedEntryCount = baseTable.differenceTo(table).size();
         this.records = List.copyOf(records);
         this.forced = forced;
-        this.proposedWall = proposedWall;
+        this.proposedAtMs = proposedAtMs;
     }
 
     /** Restores a saved revision; {@code table} is null if it was turned down. */
     Revision(SnapshotPart.RevisionHeader saved, Table baseTable, Table table, List<ChangeRecord> records) {
         id = saved.id();
         base = saved.base();
-        of = saved.of();
+        restoredFrom = saved.restoredFrom();
         root = saved.root();
         this.baseTable = baseTable;
         this.table = table;
-        size = saved.size();
-        changed = saved.changed();
+        entryCount = saved.entryCount();
+        changedEntryCount = saved.changedEntryCount();
         this.records = List.copyOf(records);
         forced = saved.forced();
-        proposedWall = saved.proposedWall();
+        proposedAtMs = saved.proposedAtMs();
         fate = saved.fate();
-        since = saved.since();
-        sinceWall = saved.sinceWall();
-        reasons = saved.reasons();
+        inForceAt = saved.inForceAt();
+        inForceAtMs = saved.inForceAtMs();
+        rejectionReasons = saved.rejectionReasons();
     }
 
     SnapshotPart.RevisionHeader save() {
         return new SnapshotPart.RevisionHeader(
                 id,
                 base,
-                of,
+                restoredFrom,
                 root,
-                size,
-                changed,
+                entryCount,
+                changedEntryCount,
                 forced,
-                proposedWall,
+                proposedAtMs,
                 fate,
-                since,
-                sinceWall,
-                reasons,
+                inForceAt,
+                inForceAtMs,
+                rejectionReasons,
                 records.size());
     }
 
@@ -106,8 +106,8 @@
     }
 
     /** The revision whose table it restores, NONE if it has a table of its own. */
-    public RevisionId of() {
-        return of;
+    public RevisionId restoredFrom() {
+        return restoredFrom;
     }
 
     /** The digest of its table. */
@@ -116,18 +116,18 @@
     }
 
     /** Its id together with the digest of its table. */
-    public RevisionRoot named() {
+    public RevisionRoot revisionRoot() {
         return new RevisionRoot(id, root);
     }
 
     /** The number of entries in its table. */
-    public int size() {
-        return size;
+    public int entryCount() {
+        return entryCount;
     }
 
     /** The number of entries that differ from the table of its base. */
-    public int changed() {
-        return changed;
+    public int changedEntryCount() {
+        return changedEntryCount;
     }
 
     /** The operators' commands that it consists of, in the order of their arrival. */
@@ -141,9 +141,9 @@
     }
 
     /** Marks it as turned down and drops its table: nobody can roll back to it. */
-    void turnedDown(String reasons) {
+    void turnDown(String reasons) {
         fate = Fate.TURNED_DOWN;
-        this.reasons = reasons;
+        this.rejectionReasons = reasons;
         table = null;
     }
 
@@ -164,23 +164,23 @@
     }
 
     /** Whether a command in it names the entry of a key, even if it does not alter it, or the entry differs. */
-    boolean touches(Key key) {
-        return records.stream().anyMatch(record -> record.names(key)) || changes(key);
+    boolean mentions(Key key) {
+        return records.stream().anyMatch(record -> record.changesKey(key)) || changes(key);
     }
 
     /** The record of the command that changed the entry of a key; the first record if none names it. */
     ChangeRecord recordOf(Key key) {
-        return records.stream().filter(record -> record.names(key)).findFirst().orElse(records.get(0));
+        return records.stream().filter(record -> record.changesKey(key)).findFirst().orElse(records.get(0));
     }
 
     /** The author; of several commands that of the first, and how many more there are. */
-    public String by() {
-        return andMore(records.get(0).by());
+    public String author() {
+        return andMore(records.get(0).author());
     }
 
     /** The reason given; of several commands that of the first, and how many more there are. */
-    public String why() {
-        return andMore(records.get(0).why());
+    public String reason() {
+        return andMore(records.get(0).reason());
     }
 
     private String andMore(String first) {
@@ -192,17 +192,17 @@
     }
 
     /** When it was proposed, ms since 1970 by the leader's wall clock. */
-    public long proposedWall() {
-        return proposedWall;
+    public long proposedAtMs() {
+        return proposedAtMs;
     }
 
     /** When it came into force, ms since 1970 by the leader's wall clock, 0 if it has not. */
-    public long sinceWall() {
-        return sinceWall;
+    public long inForceAtMs() {
+        return inForceAtMs;
     }
 
     /** Why it was turned down, empty if it was not. */
-    public String reasons() {
-        return reasons;
+    public String rejectionReasons() {
+        return rejectionReasons;
     }
 }
--- a/fleet/src/main/java/tallyweir/fleet/RevisionControl.java
+++ b/fleet/src/main/java/tallyweir/fleet/RevisionControl.java
@@ -20,12 +20,12 @@
  * into force, is turned down or is rolled back.
  */
 final class RevisionControl {
-    private static final int SAYING_LEASES =
+    private static final int CHECK_TIMEOUT_LEASES =
             2; // within which live servers must answer whether they can apply a revision
-    private static final int REFUSED_MOST = 1_000; // refused changes that are remembered
-    private static final int TENTHS_IN_MS = 10;
-    private static final String NOBODY = "nobody";
-    private static final String UNKNOWN = "unknown";
+    private static final int MAX_REFUSED = 1_000; // refused changes that are remembered
+    private static final int TENTHS_PER_MS = 10;
+    private static final String NO_AUTHOR = "nobody";
+    private static final String UNKNOWN_AUTHOR = "unknown";
 
     private final FleetContext context;
     private final RevisionHistory history;
@@ -52,17 +52,17 @@
         this.lending = lending;
         // Order: decide the open proposal, then judge the revision in force, then propose what waits.
         rules.add(
-                () -> proposal.isOpen() && !proposal.isComplete() && context.now() >= proposal.due(),
+                () -> proposal.isOpen() && !proposal.isComplete() && context.now() >= proposal.deadline(),
                 () -> proposal.expire(servers::serverAt));
-        rules.add(() -> proposal.isOpen() && (proposal.revision().forced || enoughCan()), this::bringIntoForce);
+        rules.add(() -> proposal.isOpen() && (proposal.revision().forced || isAccepted()), this::bringIntoForce);
         rules.add(() -> proposal.isOpen() && proposal.isComplete(), this::reject);
-        rules.add(probation::isDue, this::judge);
+        rules.add(probation::isDue, this::judgeProbation);
         rules.add(() -> !proposal.isOpen() && !queue.isEmpty(), this::proposeWaiting);
     }
 
     /** Applies all rules that are due by now. */
     void settle() {
-        rules.settle();
+        rules.runUntilStable();
     }
 
     ChangeQueue queue() {
@@ -76,17 +76,17 @@
 
     // ---- the proposal and the revision in force
 
-    private boolean enoughCan() {
+    private boolean isAccepted() {
         return proposal.isComplete()
-                && proposal.rejectedShare() <= context.settings().mostCannot();
+                && proposal.rejectedShare() <= context.settings().maxRejectingShare();
     }
 
     private void bringIntoForce() {
         Revision revision = proposal.revision();
         proposal.close();
         List<Change> changes = history.inForceTable().differenceTo(revision.table());
-        history.bringIntoForce(revision, context.now(), context.wall());
-        lending.caps(revision.id.value(), capChanges(changes));
+        history.bringIntoForce(revision, context.now(), context.wallMs());
+        lending.applyCaps(revision.id.value(), capChanges(changes));
         probation.begin();
     }
 
@@ -109,9 +109,9 @@
      */
     private void reject() {
         List<ChangeRecord> batch = proposal.revision().records();
-        turnDown(proposal.reasons());
+        turnDown(proposal.rejectionSummary());
         if (batch.size() > 1) {
-            queue.split(batch);
+            queue.requeueInHalves(batch);
         }
     }
 
@@ -120,7 +120,7 @@
         proposal.close();
     }
 
-    private void judge() {
+    private void judgeProbation() {
         if (probation.judge(servers.live())) {
             rollBack();
         }
@@ -128,20 +128,20 @@
 
     /** Rolls back, once, to the previous revision: an automatic command at this point of the log, on every voter. */
     private void rollBack() {
-        Revision worse = history.inForce();
+        Revision rejected = history.inForce();
         if (proposal.isOpen()) {
-            turnDown("revision " + worse.id.value() + ", which it follows, was taken back");
+            turnDown("revision " + rejected.id.value() + ", which it follows, was taken back");
         }
         ChangeRecord record = new ChangeRecord(
-                new OperatorCommand(Probation.AUTHOR + " " + worse.id.value()),
+                new OperatorCommand(Probation.AUTHOR + " " + rejected.id.value()),
                 ChangeRecord.Kind.ROLLBACK,
                 List.of(),
                 Probation.AUTHOR,
-                "under revision " + worse.id.value() + " more queries were late or errored than before",
+                "under revision " + rejected.id.value() + " more queries were late or errored than before",
                 true,
-                context.wall());
-        Revision back = history.previous();
-        propose(worse, back.id, back.table(), List.of(record));
+                context.wallMs());
+        Revision target = history.previous();
+        propose(rejected, target.id, target.table(), List.of(record));
     }
 
     /** Proposes the next batch of waiting changes as one revision, except those whose precondition no longer holds. */
@@ -164,19 +164,19 @@
     }
 
     private void refuse(ChangeRecord record, Fault.KeyConflict conflict) {
-        record.refused(conflict);
+        record.markRefused(conflict);
         refused.add(record);
-        if (refused.size() > REFUSED_MOST) {
+        if (refused.size() > MAX_REFUSED) {
             history.forget(refused.poll());
         }
     }
 
     private Revision propose(Revision base, RevisionId of, Table table, List<ChangeRecord> records) {
         boolean forced = records.get(0).forced();
-        Revision revision = history.add(base, of, table, records, forced, context.wall());
-        BitSet ask = forced ? new BitSet() : servers.heard();
+        Revision revision = history.add(base, of, table, records, forced, context.wallMs());
+        BitSet slotsToAsk = forced ? new BitSet() : servers.heardSlots();
         proposal.open(
-                revision, context.now() + SAYING_LEASES * context.settings().lease(), ask);
+                revision, context.now() + CHECK_TIMEOUT_LEASES * context.settings().leaseDuration(), slotsToAsk);
         return revision;
     }
 
@@ -196,14 +196,14 @@
             return new Answer.Refused(
                     new Fault.UnknownRoot("of revision " + publish.expected().value()));
         }
-        Optional<Fault> fault = firstFault(publish.changes()).or(() -> conflictWith(base, publish.changes()));
+        Optional<Fault> fault = duplicateEntry(publish.changes()).or(() -> conflictWith(base, publish.changes()));
         if (fault.isPresent()) {
             return new Answer.Refused(fault.get());
         }
         ChangeRecord record = record(
-                publish.command(), ChangeRecord.Kind.PUBLISH, List.of(), publish.by(), publish.why(), publish.force());
-        Revision on = history.get(publish.expected());
-        return done(propose(on, RevisionId.NONE, base.apply(publish.changes()), List.of(record)));
+                publish.command(), ChangeRecord.Kind.PUBLISH, List.of(), publish.author(), publish.reason(), publish.force());
+        Revision baseRevision = history.get(publish.expected());
+        return proposed(propose(baseRevision, RevisionId.NONE, base.apply(publish.changes()), List.of(record)));
     }
 
     Answer rollback(Command.Rollback rollback) {
@@ -211,10 +211,10 @@
         if (known.isPresent()) {
             return known.get();
         }
-        Revision back = history.get(rollback.to());
-        if (back == null || !history.wasInForce(rollback.to())) {
+        Revision target = history.get(rollback.target());
+        if (target == null || !history.wasInForce(rollback.target())) {
             return new Answer.Refused(new Fault.NoSuchRevision(
-                    rollback.to().value(), history.inForceId().value()));
+                    rollback.target().value(), history.inForceId().value()));
         }
         Optional<Answer> lost = lostRace(rollback.expected());
         if (lost.isPresent()) {
@@ -224,10 +224,10 @@
                 rollback.command(),
                 ChangeRecord.Kind.ROLLBACK,
                 List.of(),
-                rollback.by(),
-                rollback.why(),
+                rollback.author(),
+                rollback.reason(),
                 rollback.force());
-        return done(propose(history.inForce(), back.id, back.table(), List.of(record)));
+        return proposed(propose(history.inForce(), target.id, target.table(), List.of(record)));
     }
 
     Answer change(Command.ChangeEntries change) {
@@ -238,7 +238,7 @@
         if (change.changes().isEmpty()) {
             return new Answer.Refused(new Fault.EntryFaulty("", "the change names no entry"));
         }
-        Optional<Fault> fault = firstFault(change.changes()).or(() -> conflict(change.changes()));
+        Optional<Fault> fault = duplicateEntry(change.changes()).or(() -> conflict(change.changes()));
         if (fault.isPresent()) {
             return new Answer.Refused(fault.get());
         }
@@ -246,16 +246,16 @@
                 change.command(),
                 ChangeRecord.Kind.ENTRIES,
                 change.changes(),
-                change.by(),
-                change.why(),
+                change.author(),
+                change.reason(),
                 change.force());
         if (!proposal.isOpen()) {
             Table table = history.inForceTable().apply(change.changes());
-            return done(propose(history.inForce(), RevisionId.NONE, table, List.of(record)));
+            return proposed(propose(history.inForce(), RevisionId.NONE, table, List.of(record)));
         }
         if (queue.isFull()) {
-            long again = Math.max(0, proposal.due() - context.now()) / TENTHS_IN_MS;
-            return new Answer.Refused(new Fault.QueueFull(queue.size(), again));
+            long retryAfterMs = Math.max(0, proposal.deadline() - context.now()) / TENTHS_PER_MS;
+            return new Answer.Refused(new Fault.QueueFull(queue.size(), retryAfterMs));
         }
         int ahead = queue.size();
         queue.add(record);
@@ -267,13 +267,13 @@
             OperatorCommand command,
             ChangeRecord.Kind kind,
             List<Change> changes,
-            String by,
-            String why,
+            String author,
+            String reason,
             boolean forced) {
-        return new ChangeRecord(command, kind, changes, by, why, forced, context.wall());
+        return new ChangeRecord(command, kind, changes, author, reason, forced, context.wallMs());
     }
 
-    private Answer done(Revision revision) {
+    private Answer proposed(Revision revision) {
         settle();
         return new Answer.Done(revision.id);
     }
@@ -295,36 +295,36 @@
 
     private static Answer outcome(Revision revision) {
         return revision.fate == Revision.Fate.TURNED_DOWN
-                ? new Answer.Refused(new Fault.CannotTake(revision.id.value(), revision.reasons))
+                ? new Answer.Refused(new Fault.CannotTake(revision.id.value(), revision.rejectionReasons))
                 : new Answer.Done(revision.id);
     }
 
     /** The precondition of a publication or rollback: nothing came after the revision that its author saw. */
     private Optional<Answer> lostRace(RevisionId expected) {
-        if (!context.has(Guard.EXPECTED)) {
+        if (!context.isEnabled(Guard.EXPECTED)) {
             return Optional.empty();
         }
         Revision last = proposal.isOpen() ? proposal.revision() : history.inForce();
-        RevisionId found = last == null ? RevisionId.NONE : last.id;
+        RevisionId latest = last == null ? RevisionId.NONE : last.id;
         if (!queue.isEmpty()) {
             ChangeRecord first = queue.all().get(0);
-            return Optional.of(lostRace(expected, found, first.by(), first.wall()));
+            return Optional.of(lostRace(expected, latest, first.author(), first.requestedAtMs()));
         }
-        if (found.equals(expected) && !proposal.isOpen()) {
+        if (latest.equals(expected) && !proposal.isOpen()) {
             return Optional.empty();
         }
         return Optional.of(
                 last == null
-                        ? lostRace(expected, found, NOBODY, 0)
-                        : lostRace(expected, found, last.by(), last.proposedWall));
+                        ? lostRace(expected, latest, NO_AUTHOR, 0)
+                        : lostRace(expected, latest, last.author(), last.proposedAtMs));
     }
 
-    private static Answer lostRace(RevisionId expected, RevisionId found, String by, long wall) {
-        return new Answer.Refused(new Fault.LostRace(expected.value(), found.value(), by, wall));
+    private static Answer lostRace(RevisionId expected, RevisionId latest, String author, long wallMs) {
+        return new Answer.Refused(new Fault.LostRace(expected.value(), latest.value(), author, wallMs));
     }
 
     /** The fault of a command that names an entry twice, if any. */
-    private static Optional<Fault> firstFault(List<Change> changes) {
+    private static Optional<Fault> duplicateEntry(List<Change> changes) {
         Set<Key> named = new HashSet<>();
         for (Change change : changes) {
             if (!named.add(change.key())) {
@@ -336,11 +336,11 @@
 
     /** The precondition of a change of entries: nobody has changed them since their author read them, or is about to. */
     private Optional<Fault> conflict(List<Change> changes) {
-        if (!context.has(Guard.EXPECTED)) {
+        if (!context.isEnabled(Guard.EXPECTED)) {
             return Optional.empty();
         }
         for (Change change : changes) {
-            Optional<ChangeRecord> first = pending(change.key());
+            Optional<ChangeRecord> first = pendingChange(change.key());
             if (first.isPresent()) {
                 return first.map(record -> conflict(change.key(), record));
             }
@@ -349,11 +349,11 @@
     }
 
     /** The record of a proposed or waiting change of an entry, if any. */
-    private Optional<ChangeRecord> pending(Key key) {
-        if (proposal.isOpen() && proposal.revision().touches(key)) {
+    private Optional<ChangeRecord> pendingChange(Key key) {
+        if (proposal.isOpen() && proposal.revision().mentions(key)) {
             return Optional.of(proposal.revision().recordOf(key));
         }
-        return queue.touching(key);
+        return queue.findByKey(key);
     }
 
     private Optional<Fault> conflictWith(Table table, List<Change> changes) {
@@ -362,7 +362,7 @@
 
     /** The conflict of the first entry whose value is not the one that a change expects. */
     private Optional<Fault.KeyConflict> firstConflict(Table table, List<Change> changes) {
-        if (!context.has(Guard.EXPECTED)) {
+        if (!context.isEnabled(Guard.EXPECTED)) {
             return Optional.empty();
         }
         return changes.stream()
@@ -370,11 +370,11 @@
                 .findFirst()
                 .map(change -> history.lastChange(change.key())
                         .map(record -> conflict(change.key(), record))
-                        .orElse(new Fault.KeyConflict(text(change.key()), UNKNOWN, 0)));
+                        .orElse(new Fault.KeyConflict(text(change.key()), UNKNOWN_AUTHOR, 0)));
     }
 
     private static Fault.KeyConflict conflict(Key key, ChangeRecord first) {
-        return new Fault.KeyConflict(text(key), first.by(), first.wall());
+        return new Fault.KeyConflict(text(key), first.author(), first.requestedAtMs());
     }
 
     private static String text(Key key) {
--- a/fleet/src/main/java/tallyweir/fleet/RevisionHistory.java
+++ b/fleet/src/main/java/tallyweir/fleet/RevisionHistory.java
@@ -12,7 +12,7 @@
 /** All revisions there have been, and which of them is in force. Times are tenths of a millisecond by the fleet's clock. */
 final class RevisionHistory {
     /** How many revisions are searched for the last change of an entry. */
-    static final int BLAME_MOST = 500;
+    static final int MAX_BLAME_DEPTH = 500;
 
     private static final Digest EMPTY_ROOT = Table.EMPTY.root();
 
@@ -21,7 +21,7 @@
     private final Map<OperatorCommand, ChangeRecord> commands = new HashMap<>();
     private Revision inForce;
     private Revision previous; // was in force before that
-    private long firstSince = Long.MAX_VALUE; // when the first revision came into force
+    private long firstInForceAt = Long.MAX_VALUE; // when the first revision came into force
 
     RevisionHistory() {
         tables.put(EMPTY_ROOT, Table.EMPTY);
@@ -52,8 +52,8 @@
         return inForce == null ? RevisionId.NONE : inForce.id;
     }
 
-    RevisionRoot inForceNamed() {
-        return inForce == null ? RevisionRoot.NONE : inForce.named();
+    RevisionRoot inForceRoot() {
+        return inForce == null ? RevisionRoot.NONE : inForce.revisionRoot();
     }
 
     Table inForceTable() {
@@ -61,8 +61,8 @@
     }
 
     /** When the revision in force came into force, Long.MIN_VALUE if there is none. */
-    long inForceSince() {
-        return inForce == null ? Long.MIN_VALUE : inForce.since;
+    long inForceAt() {
+        return inForce == null ? Long.MIN_VALUE : inForce.inForceAt;
     }
 
     /** The table of a revision: the empty table for NONE, null if it never existed or was turned down. */
@@ -90,7 +90,7 @@
     /** When a revision was superseded by another, Long.MAX_VALUE if it was not, or never was in force. */
     long supersededAt(RevisionId id) {
         if (id.equals(RevisionId.NONE)) {
-            return firstSince;
+            return firstInForceAt;
         }
         Revision revision = all.get(id);
         return revision == null ? Long.MAX_VALUE : revision.supersededAt;
@@ -101,10 +101,10 @@
         return Optional.ofNullable(commands.get(command));
     }
 
-    /** The last change of the entry of a key, if it is among the last {@link #BLAME_MOST} revisions. */
+    /** The last change of the entry of a key, if it is among the last {@link #MAX_BLAME_DEPTH} revisions. */
     Optional<ChangeRecord> lastChange(Key key) {
         Revision revision = inForce;
-        for (int looked = 0; revision != null && looked < BLAME_MOST; looked++) {
+        for (int depth = 0; revision != null && depth < MAX_BLAME_DEPTH; depth++) {
             if (revision.changes(key)) {
                 return Optional.of(revision.recordOf(key));
             }
@@ -116,7 +116,7 @@
     // ---- changes
 
     /** Adds a proposed revision with the next number. */
-    Revision add(Revision base, RevisionId of, Table table, List<ChangeRecord> records, boolean forced, long wall) {
+    Revision add(Revision base, RevisionId of, Table table, List<ChangeRecord> records, boolean forced, long wallMs) {
         RevisionId id = new RevisionId(all.isEmpty() ? 1 : all.lastKey().value() + 1);
         Revision revision = new Revision(
                 id,
@@ -127,8 +127,8 @@
                 table,
                 records,
                 forced,
-                wall);
-        records.forEach(record -> record.taken(id));
+                wallMs);
+        records.forEach(record -> record.markTaken(id));
         put(revision);
         return revision;
     }
@@ -154,27 +154,27 @@
     }
 
     /** Brings a revision into force; it supersedes the one that was. */
-    void bringIntoForce(Revision revision, long now, long wall) {
+    void bringIntoForce(Revision revision, long now, long wallMs) {
         revision.fate = Revision.Fate.IN_FORCE;
-        revision.since = now;
-        revision.sinceWall = wall;
+        revision.inForceAt = now;
+        revision.inForceAtMs = wallMs;
         supersede(revision);
     }
 
-    private void supersede(Revision by) {
+    private void supersede(Revision successor) {
         if (inForce == null) {
-            firstSince = by.since;
+            firstInForceAt = successor.inForceAt;
         } else {
             inForce.fate = Revision.Fate.PAST;
-            inForce.supersededAt = by.since;
+            inForce.supersededAt = successor.inForceAt;
         }
         previous = inForce;
-        inForce = by;
+        inForce = successor;
     }
 
     /** Turns down a proposed revision: nobody can roll back to it. */
     void turnDown(Revision revision, String reasons) {
-        revision.turnedDown(reasons);
+        revision.turnDown(reasons);
         if (revision.firstOfRoot) {
             tables.remove(revision.root);
         }
--- a/fleet/src/main/java/tallyweir/fleet/RevisionId.java
+++ b/fleet/src/main/java/tallyweir/fleet/RevisionId.java
@@ -10,7 +10,7 @@
         return Long.compare(value, o.value);
     }
 
-    public boolean before(RevisionId o) {
+    public boolean isBefore(RevisionId o) {
         return value < o.value;
     }
 }
--- a/fleet/src/main/java/tallyweir/fleet/ServerRecord.java
+++ b/fleet/src/main/java/tallyweir/fleet/ServerRecord.java
@@ -17,53 +17,53 @@
         LEFT
     }
 
-    static final int TRANSITIONS_MOST = 32;
+    static final int MAX_TRANSITIONS = 32;
 
-    final int place;
+    final int slot;
     final ServerId server;
     final String listen;
-    Incarnation as;
-    long life; // generation of its process; higher for each later process at the address
+    Incarnation incarnation;
+    long processGeneration; // generation of its process; higher for each later process at the address
     Status status = Status.ENTERING;
-    long number; // of its last report
-    long leaseUntil;
-    long floorUntil;
+    long reportNumber; // of its last report
+    long leaseDeadline;
+    long floorDeadline;
     boolean silent; // its lease has expired without a report
     boolean marked; // should be shut out, but too many servers are out already
     String cause = ""; // why it is out, silent or marked
-    RevisionId acting = RevisionId.NONE;
-    Digest inForce = Digest.NONE;
-    boolean odd; // the reported digest is not that of the reported revision
+    RevisionId appliedRevision = RevisionId.NONE;
+    Digest appliedRoot = Digest.NONE;
+    boolean digestMismatch; // the reported digest is not that of the reported revision
     long enteredAt; // when this incarnation joined
-    long wrongSince = Long.MAX_VALUE; // since when the digest mismatches or the revision never was in force
-    int flaps; // consecutive shut-outs without a long live period in between
-    long steadySince; // when it last became live
-    long mayReturn; // after it was shut out
-    long heardWall;
-    long outWall;
+    long deviatingSince = Long.MAX_VALUE; // since when the digest mismatches or the revision never was in force
+    int flapCount; // consecutive shut-outs without a long live period in between
+    long liveSince; // when it last became live
+    long mayReturnAt; // after it was shut out
+    long heardAtMs;
+    long outAtMs;
     final Health health = new Health();
-    int folded; // number of older transitions that were dropped
-    long foldedOutdated; // outdated queries of the dropped transitions
+    int foldedTransitions; // number of older transitions that were dropped
+    long foldedOutdatedQueries; // outdated queries of the dropped transitions
     final ArrayDeque<RevisionTransition> transitions = new ArrayDeque<>();
 
-    ServerRecord(int place, ServerId server, String listen) {
-        this.place = place;
+    ServerRecord(int slot, ServerId server, String listen) {
+        this.slot = slot;
         this.server = server;
         this.listen = listen;
     }
 
-    /** Adds a transition; only the last {@link #TRANSITIONS_MOST} are kept, of older ones just their totals. */
+    /** Adds a transition; only the last {@link #MAX_TRANSITIONS} are kept, of older ones just their totals. */
     void add(RevisionTransition transition) {
         transitions.add(transition);
-        if (transitions.size() > TRANSITIONS_MOST) {
-            foldedOutdated += transitions.poll().outdated();
-            folded++;
+        if (transitions.size() > MAX_TRANSITIONS) {
+            foldedOutdatedQueries += transitions.poll().outdatedQueries();
+            foldedTransitions++;
         }
     }
 
     /** The number of its slot, from 0. */
-    public int place() {
-        return place;
+    public int slot() {
+        return slot;
     }
 
     public ServerId server() {
@@ -76,8 +76,8 @@
     }
 
     /** Its current incarnation; a new one with each join. */
-    public Incarnation as() {
-        return as;
+    public Incarnation incarnation() {
+        return incarnation;
     }
 
     /** Whether it is live and not silent. */
@@ -100,8 +100,8 @@
     }
 
     /** Whether the digest that it reported is not that of the revision that it reported. */
-    public boolean odd() {
-        return odd;
+    public boolean digestMismatch() {
+        return digestMismatch;
     }
 
     /** Why it is out, silent or marked; empty if it is none of these. */
@@ -110,28 +110,28 @@
     }
 
     /** The revision that it reported as applied. */
-    public RevisionId acting() {
-        return acting;
+    public RevisionId appliedRevision() {
+        return appliedRevision;
     }
 
     /** The root digest of the table that it reported as in use. */
-    public Digest inForce() {
-        return inForce;
+    public Digest appliedRoot() {
+        return appliedRoot;
     }
 
     /** When it last joined or reported, ms since 1970 by the leader's wall clock. */
-    public long heardWall() {
-        return heardWall;
+    public long heardAtMs() {
+        return heardAtMs;
     }
 
     /** When it was last shut out or left, ms since 1970 by the leader's wall clock. */
-    public long outWall() {
-        return outWall;
+    public long outAtMs() {
+        return outAtMs;
     }
 
     /** How many older transitions are no longer kept one by one. */
-    public int folded() {
-        return folded;
+    public int foldedTransitions() {
+        return foldedTransitions;
     }
 
     /** Its latest transitions, oldest first. */
@@ -140,65 +140,65 @@
     }
 
     /** Queries that it began under an outdated revision, over all transitions. */
-    public long outdated() {
-        return foldedOutdated
-                + transitions.stream().mapToLong(RevisionTransition::outdated).sum();
+    public long outdatedQueries() {
+        return foldedOutdatedQueries
+                + transitions.stream().mapToLong(RevisionTransition::outdatedQueries).sum();
     }
 
     SnapshotPart.Server save(boolean isGone) {
         return new SnapshotPart.Server(
-                place,
+                slot,
                 server,
                 listen,
-                as,
-                life,
+                incarnation,
+                processGeneration,
                 status,
-                number,
-                leaseUntil,
-                floorUntil,
+                reportNumber,
+                leaseDeadline,
+                floorDeadline,
                 silent,
                 marked,
                 cause,
-                acting,
-                inForce,
-                odd,
+                appliedRevision,
+                appliedRoot,
+                digestMismatch,
                 enteredAt,
-                wrongSince,
-                flaps,
-                steadySince,
-                mayReturn,
-                heardWall,
-                outWall,
-                folded,
-                foldedOutdated,
+                deviatingSince,
+                flapCount,
+                liveSince,
+                mayReturnAt,
+                heardAtMs,
+                outAtMs,
+                foldedTransitions,
+                foldedOutdatedQueries,
                 List.copyOf(transitions),
                 health.save(),
                 isGone);
     }
 
     static ServerRecord load(SnapshotPart.Server saved) {
-        ServerRecord record = new ServerRecord(saved.place(), saved.server(), saved.listen());
-        record.as = saved.as();
-        record.life = saved.life();
+        ServerRecord record = new ServerRecord(saved.slot(), saved.server(), saved.listen());
+        record.incarnation = saved.incarnation();
+        record.processGeneration = saved.processGeneration();
         record.status = saved.status();
-        record.number = saved.number();
-        record.leaseUntil = saved.leaseUntil();
-        record.floorUntil = saved.floorUntil();
+        record.reportNumber = saved.reportNumber();
+        record.leaseDeadline = saved.leaseDeadline();
+        record.floorDeadline = saved.floorDeadline();
         record.silent = saved.silent();
         record.marked = saved.marked();
         record.cause = saved.cause();
-        record.acting = saved.acting();
-        record.inForce = saved.inForce();
-        record.odd = saved.odd();
+        record.appliedRevision = saved.appliedRevision();
+        record.appliedRoot = saved.appliedRoot();
+        record.digestMismatch = saved.digestMismatch();
         record.enteredAt = saved.enteredAt();
-        record.wrongSince = saved.wrongSince();
-        record.flaps = saved.flaps();
-        record.steadySince = saved.steadySince();
-        record.mayReturn = saved.mayReturn();
-        record.heardWall = saved.heardWall();
-        record.outWall = saved.outWall();
-        record.folded = saved.folded();
-        record.foldedOutdated = saved.foldedOutdated();
+        record.deviatingSince = saved.deviatingSince();
+        record.flapCount = saved.flapCount();
+        record.liveSince = saved.liveSince();
+        record.mayReturnAt = saved.mayReturnAt();
+        record.heardAtMs = saved.heardAtMs();
+        record.outAtMs = saved.outAtMs();
+        record.foldedTransitions = saved.foldedTransitions();
+        record.foldedOutdatedQueries = saved.foldedOutdatedQueries();
         record.transitions.addAll(saved.transitions());
         record.health.load(saved.counts());
         return record;
@@ -206,10 +206,10 @@
 
     /** All state that determines later behaviour as text, with times relative to {@code from}; for checks. */
     String describe(long from) {
-        return server.value() + as.value() + status + (leaseUntil - from) + "," + (floorUntil - from) + silent
+        return server.value() + incarnation.value() + status + (leaseDeadline - from) + "," + (floorDeadline - from) + silent
                 + marked
-                + acting.value() + inForce.value() + odd + (wrongSince == Long.MAX_VALUE ? "-" : wrongSince - from)
-                + flaps + ","
-                + (mayReturn - from);
+                + appliedRevision.value() + appliedRoot.value() + digestMismatch + (deviatingSince == Long.MAX_VALUE ? "-" : deviatingSince - from)
+                + flapCount + ","
+                + (mayReturnAt - from);
     }
 }
--- a/fleet/src/main/java/tallyweir/fleet/ServerRegistry.java
+++ b/fleet/src/main/java/tallyweir/fleet/ServerRegistry.java
@@ -15,15 +15,15 @@
  * Times are tenths of a millisecond by the fleet's clock.
  */
 final class ServerRegistry {
-    private static final int FLAPS_MOST = 7; // bounds the doublings of the wait before a return
+    private static final int MAX_FLAP_DOUBLINGS = 7; // bounds the doublings of the wait before a return
     private static final int STEADY_LEASES = 20; // after so many leases as live, earlier shut-outs are forgotten
-    private static final int WAITS_IN_LEASE = 10;
-    private static final int GONE_MOST = 1_000;
+    private static final int MIN_WAITS_PER_LEASE = 10;
+    private static final int MAX_GONE = 1_000;
 
-    private record Due(long at, int place) implements Comparable<Due> {
+    private record Deadline(long at, int slot) implements Comparable<Deadline> {
         @Override
-        public int compareTo(Due other) {
-            return at != other.at ? Long.compare(at, other.at) : Integer.compare(place, other.place);
+        public int compareTo(Deadline other) {
+            return at != other.at ? Long.compare(at, other.at) : Integer.compare(slot, other.slot);
         }
     }
 
@@ -35,14 +35,14 @@
     private final Stragglers stragglers;
     private final Rules rules = new Rules();
     private final TreeMap<ServerId, ServerRecord> byName = new TreeMap<>();
-    private final Map<Integer, ServerRecord> byPlace = new HashMap<>();
-    private final TreeSet<Integer> free = new TreeSet<>();
+    private final Map<Integer, ServerRecord> bySlot = new HashMap<>();
+    private final TreeSet<Integer> freeSlots = new TreeSet<>();
     private final TreeSet<ServerId> marked = new TreeSet<>();
-    private final BitSet heard = new BitSet(); // slots of servers that are live and not silent
-    private final TreeSet<Due> dues = new TreeSet<>();
-    private final Map<Integer, Long> dueAt = new HashMap<>();
+    private final BitSet heardSlots = new BitSet(); // slots of servers that are live and not silent
+    private final TreeSet<Deadline> deadlines = new TreeSet<>();
+    private final Map<Integer, Long> deadlineBySlot = new HashMap<>();
     private final ArrayDeque<ServerRecord> gone = new ArrayDeque<>();
-    private long incarnations;
+    private long lastIncarnation;
     private int live;
     private int out;
     private ServerRecord current; // the server that the rules apply to
@@ -56,13 +56,13 @@
         this.lending = lending;
         stragglers = new Stragglers(history);
         // Order: expiry of the lease, then whether the server is shut out, then reclaiming what it held.
-        rules.add(this::didNotComeIn, () -> out("did not come in"));
-        rules.add(() -> current.isHeard() && now() >= current.leaseUntil, this::silent);
-        rules.add(() -> stays() && current.marked, this::unmark);
-        rules.add(() -> mustGo() && hasRoom(), () -> out(whyGo()));
-        rules.add(() -> mustGo() && !current.marked, this::mark);
-        rules.add(() -> nothingIsOpen() && lending.holds(current.place), () -> lending.back(current.place));
-        rules.add(this::nobodyIsThere, this::release);
+        rules.add(this::entryTimedOut, () -> out("did not come in"));
+        rules.add(() -> current.isHeard() && now() >= current.leaseDeadline, this::setSilent);
+        rules.add(() -> shouldStay() && current.marked, this::unmark);
+        rules.add(() -> shouldShutOut() && mayShutOutAnother(), () -> out(shutOutCause()));
+        rules.add(() -> shouldShutOut() && !current.marked, this::mark);
+        rules.add(() -> isTailOver() && lending.hasGrants(current.slot), () -> lending.reclaim(current.slot));
+        rules.add(this::isSlotUnused, this::releaseSlot);
     }
 
     private long now() {
@@ -90,16 +90,16 @@
     }
 
     ServerId serverAt(int slot) {
-        return byPlace.get(slot).server;
+        return bySlot.get(slot).server;
     }
 
-    boolean hasPlace() {
-        return !free.isEmpty();
+    boolean hasFreeSlot() {
+        return !freeSlots.isEmpty();
     }
 
     /** Slots of the servers that are live and not silent. */
-    BitSet heard() {
-        return heard;
+    BitSet heardSlots() {
+        return heardSlots;
     }
 
     /** The number of live servers, silent ones included. */
@@ -112,78 +112,78 @@
         return out;
     }
 
-    long incarnations() {
-        return incarnations;
+    long lastIncarnation() {
+        return lastIncarnation;
     }
 
     /** Since when a server has not applied the revision in force, Long.MAX_VALUE if it has. */
     long behindSince(ServerRecord server) {
         if (server.status == ServerRecord.Status.ENTERING) {
-            return Math.max(server.enteredAt, history.inForceSince());
+            return Math.max(server.enteredAt, history.inForceAt());
         }
-        return Math.min(server.wrongSince, history.supersededAt(server.acting));
+        return Math.min(server.deviatingSince, history.supersededAt(server.appliedRevision));
     }
 
     // ---- the rules of a server
 
-    private boolean didNotComeIn() {
+    private boolean entryTimedOut() {
         return current.status == ServerRecord.Status.ENTERING && behindTooLong();
     }
 
     private boolean behindTooLong() {
         long since = behindSince(current);
-        return since != Long.MAX_VALUE && now() >= since + settings().behindMost();
+        return since != Long.MAX_VALUE && now() >= since + settings().maxBehindDuration();
     }
 
-    private boolean mustGo() {
+    private boolean shouldShutOut() {
         return current.status == ServerRecord.Status.LIVE && (current.silent || behindTooLong());
     }
 
-    private boolean stays() {
+    private boolean shouldStay() {
         return current.isHeard() && !behindTooLong();
     }
 
     /** Whether no connection that it accepted on its grants can be open any more. */
-    private boolean nothingIsOpen() {
-        return now() >= current.leaseUntil + context.tail();
+    private boolean isTailOver() {
+        return now() >= current.leaseDeadline + context.maxOpenDuration();
     }
 
-    private boolean nobodyIsThere() {
-        return byPlace.get(current.place) == current
+    private boolean isSlotUnused() {
+        return bySlot.get(current.slot) == current
                 && (current.status == ServerRecord.Status.OUT || current.silent)
-                && now() >= forgetAt(current);
+                && now() >= releaseAt(current);
     }
 
-    private long forgetAt(ServerRecord server) {
-        return Math.max(server.floorUntil + context.tail(), server.mayReturn);
+    private long releaseAt(ServerRecord server) {
+        return Math.max(server.floorDeadline + context.maxOpenDuration(), server.mayReturnAt);
     }
 
-    private void silent() {
+    private void setSilent() {
         current.silent = true;
         current.cause = "silent";
     }
 
-    private String whyGo() {
+    private String shutOutCause() {
         if (current.silent) {
             return "silent";
         }
-        return current.odd
-                ? "what is in force there is not what revision " + current.acting.value() + " says"
-                : "behind: acts on revision " + current.acting.value() + " and not "
+        return current.digestMismatch
+                ? "what is in force there is not what revision " + current.appliedRevision.value() + " says"
+                : "behind: acts on revision " + current.appliedRevision.value() + " and not "
                         + history.inForceId().value();
     }
 
-    private int outMost() {
-        return context.has(Guard.MOST_OUT) ? (int) Math.floor(settings().mostOut() * (live + out)) : Integer.MAX_VALUE;
+    private int maxOut() {
+        return context.isEnabled(Guard.MOST_OUT) ? (int) Math.floor(settings().maxShutOutShare() * (live + out)) : Integer.MAX_VALUE;
     }
 
-    private boolean hasRoom() {
-        return out + 1 <= outMost();
+    private boolean mayShutOutAnother() {
+        return out + 1 <= maxOut();
     }
 
     private void mark() {
         current.marked = true;
-        current.cause = whyGo() + "; too many are out to shut it out";
+        current.cause = shutOutCause() + "; too many are out to shut it out";
         marked.add(current.server);
     }
 
@@ -193,48 +193,48 @@
         marked.remove(current.server);
     }
 
-    private void out(String why) {
-        count(current, -1);
+    private void out(String cause) {
+        adjustCounts(current, -1);
         current.status = ServerRecord.Status.OUT;
-        count(current, 1);
+        adjustCounts(current, 1);
         current.marked = false;
         marked.remove(current.server);
-        current.cause = why;
-        current.outWall = context.wall();
+        current.cause = cause;
+        current.outAtMs = context.wallMs();
         boolean wasSteady =
-                now() - current.steadySince > STEADY_LEASES * settings().lease();
-        current.flaps = wasSteady ? 0 : Math.min(FLAPS_MOST, current.flaps + 1);
-        long waitLeast = Math.max(1, settings().lease() / WAITS_IN_LEASE);
-        current.mayReturn = now() + (waitLeast << current.flaps);
-        removeFromVotes(current);
+                now() - current.liveSince > STEADY_LEASES * settings().leaseDuration();
+        current.flapCount = wasSteady ? 0 : Math.min(MAX_FLAP_DOUBLINGS, current.flapCount + 1);
+        long minWait = Math.max(1, settings().leaseDuration() / MIN_WAITS_PER_LEASE);
+        current.mayReturnAt = now() + (minWait << current.flapCount);
+        removeFromJudgement(current);
     }
 
     /** Frees the slot of the current server: by any clock nobody uses it any more. */
-    private void release() {
-        count(current, -1);
-        removeFromVotes(current);
-        heard.clear(current.place);
-        stragglers.untrack(current.place);
-        lending.free(current.place);
-        byPlace.remove(current.place);
+    private void releaseSlot() {
+        adjustCounts(current, -1);
+        removeFromJudgement(current);
+        heardSlots.clear(current.slot);
+        stragglers.untrack(current.slot);
+        lending.releaseSlot(current.slot);
+        bySlot.remove(current.slot);
         byName.remove(current.server);
         marked.remove(current.server);
-        free.add(current.place);
-        due(current.place, Long.MAX_VALUE);
+        freeSlots.add(current.slot);
+        setDeadline(current.slot, Long.MAX_VALUE);
         gone.add(current);
-        if (gone.size() > GONE_MOST) {
+        if (gone.size() > MAX_GONE) {
             gone.poll();
         }
     }
 
-    private void count(ServerRecord server, int by) {
-        live += server.status == ServerRecord.Status.LIVE ? by : 0;
-        out += server.status == ServerRecord.Status.OUT ? by : 0;
+    private void adjustCounts(ServerRecord server, int delta) {
+        live += server.status == ServerRecord.Status.LIVE ? delta : 0;
+        out += server.status == ServerRecord.Status.OUT ? delta : 0;
     }
 
-    private void removeFromVotes(ServerRecord server) {
-        proposal.remove(server.place);
-        probation.remove(server.place);
+    private void removeFromJudgement(ServerRecord server) {
+        proposal.remove(server.slot);
+        probation.remove(server.slot);
     }
 
     // ---- changes of one server
@@ -245,9 +245,9 @@
      * @param before the earlier number of slots
      * @param most the number of slots from now on
      */
-    void places(int before, int most) {
-        for (int slot = before; slot < most; slot++) {
-            free.add(slot);
+    void addSlots(int before, int after) {
+        for (int slot = before; slot < after; slot++) {
+            freeSlots.add(slot);
         }
     }
 
@@ -257,27 +257,27 @@
      * @param life generation of the process, higher than that of any earlier one at this address. A join whose generation
      *     is no higher releases nothing, so that a delayed message takes nothing from a process that has joined since.
      */
-    ServerRecord join(ServerId name, String listen, long life) {
-        ServerRecord server = byName.computeIfAbsent(name, id -> new ServerRecord(free.pollFirst(), id, listen));
-        byPlace.put(server.place, server);
-        if (life > server.life) {
-            server.life = life;
-            lending.free(server.place);
-            server.health.begin();
-            server.acting = RevisionId.NONE;
+    ServerRecord join(ServerId name, String listen, long processGeneration) {
+        ServerRecord server = byName.computeIfAbsent(name, id -> new ServerRecord(freeSlots.pollFirst(), id, listen));
+        bySlot.put(server.slot, server);
+        if (processGeneration > server.processGeneration) {
+            server.processGeneration = processGeneration;
+            lending.releaseSlot(server.slot);
+            server.health.onProcessStart();
+            server.appliedRevision = RevisionId.NONE;
         }
-        count(server, -1);
-        server.as = new Incarnation(++incarnations);
+        adjustCounts(server, -1);
+        server.incarnation = new Incarnation(++lastIncarnation);
         server.status = ServerRecord.Status.ENTERING;
-        server.number = 0;
+        server.reportNumber = 0;
         server.silent = false;
         server.marked = false;
         marked.remove(name);
         server.cause = "";
         server.enteredAt = now();
-        server.wrongSince = Long.MAX_VALUE;
-        server.heardWall = context.wall();
-        removeFromVotes(server);
+        server.deviatingSince = Long.MAX_VALUE;
+        server.heardAtMs = context.wallMs();
+        removeFromJudgement(server);
         settle(server);
         return server;
     }
@@ -286,16 +286,16 @@
     void admit(ServerRecord server) {
         if (server.status == ServerRecord.Status.ENTERING) {
             server.status = ServerRecord.Status.LIVE;
-            server.steadySince = now();
-            count(server, 1);
+            server.liveSince = now();
+            adjustCounts(server, 1);
         }
     }
 
     /** Renews the leases of a live server from now on. */
     void renewLease(ServerRecord server) {
         if (server.status == ServerRecord.Status.LIVE) {
-            server.leaseUntil = now() + settings().lease();
-            server.floorUntil = now() + settings().floorLease();
+            server.leaseDeadline = now() + settings().leaseDuration();
+            server.floorDeadline = now() + settings().floorLeaseDuration();
             server.silent = false;
         }
     }
@@ -303,34 +303,34 @@
     /** A server leaves in an orderly way; its slot is free at once. */
     void leave(ServerRecord server) {
         current = server;
-        release();
+        releaseSlot();
         server.status = ServerRecord.Status.LEFT;
-        server.outWall = context.wall();
+        server.outAtMs = context.wallMs();
     }
 
     // ---- deadlines
 
     /** When the passage of time alone next changes something, Long.MAX_VALUE for never. */
-    long nextDue() {
-        long first = dues.isEmpty() ? Long.MAX_VALUE : dues.first().at;
-        return Math.min(first, stragglers.due(settings().behindMost()));
+    long nextDeadline() {
+        long first = deadlines.isEmpty() ? Long.MAX_VALUE : deadlines.first().at;
+        return Math.min(first, stragglers.nextDeadline(settings().maxBehindDuration()));
     }
 
     /** Examines all servers whose deadline has passed. */
     void settleDue() {
-        while (!dues.isEmpty() && dues.first().at <= now()) {
-            int slot = dues.first().place;
-            due(slot, Long.MAX_VALUE);
-            settle(byPlace.get(slot));
+        while (!deadlines.isEmpty() && deadlines.first().at <= now()) {
+            int slot = deadlines.first().slot;
+            setDeadline(slot, Long.MAX_VALUE);
+            settle(bySlot.get(slot));
         }
-        while (stragglers.due(settings().behindMost()) <= now()) {
-            stragglers.takeDue().stream().forEach(slot -> settle(byPlace.get(slot)));
+        while (stragglers.nextDeadline(settings().maxBehindDuration()) <= now()) {
+            stragglers.takeNext().stream().forEach(slot -> settle(bySlot.get(slot)));
         }
     }
 
     /** Shuts out marked servers, as far as the limit on servers that are out now allows. */
     void shutOutMarked() {
-        while (!marked.isEmpty() && hasRoom()) {
+        while (!marked.isEmpty() && mayShutOutAnother()) {
             ServerRecord first = byName.get(marked.first());
             int before = out;
             settle(first);
@@ -347,61 +347,61 @@
 
     /** Applies the rules to a server, and notes when it is next to be examined. */
     void settle(ServerRecord server) {
-        if (byPlace.get(server.place) != server) {
+        if (bySlot.get(server.slot) != server) {
             return;
         }
         current = server;
-        rules.settle();
-        if (byPlace.get(server.place) == server) {
+        rules.runUntilStable();
+        if (bySlot.get(server.slot) == server) {
             reschedule(server);
         }
     }
 
     /** Notes when a server is next to be examined, and whether it counts as heard and as a straggler. */
     void reschedule(ServerRecord server) {
-        heard.set(server.place, server.isHeard());
-        if (server.status == ServerRecord.Status.LIVE && history.wasInForce(server.acting)) {
-            stragglers.track(server.place, server.acting);
+        heardSlots.set(server.slot, server.isHeard());
+        if (server.status == ServerRecord.Status.LIVE && history.wasInForce(server.appliedRevision)) {
+            stragglers.track(server.slot, server.appliedRevision);
         } else {
-            stragglers.untrack(server.place);
+            stragglers.untrack(server.slot);
         }
-        due(server.place, dueOf(server));
+        setDeadline(server.slot, deadlineOf(server));
     }
 
-    private long dueOf(ServerRecord server) {
-        long at = server.isHeard() ? server.leaseUntil : Long.MAX_VALUE;
+    private long deadlineOf(ServerRecord server) {
+        long at = server.isHeard() ? server.leaseDeadline : Long.MAX_VALUE;
         if (server.status == ServerRecord.Status.ENTERING) {
-            at = Math.min(at, behindSince(server) + settings().behindMost());
+            at = Math.min(at, behindSince(server) + settings().maxBehindDuration());
         }
-        if (server.status == ServerRecord.Status.LIVE && !server.marked && server.wrongSince != Long.MAX_VALUE) {
-            at = Math.min(at, server.wrongSince + settings().behindMost());
+        if (server.status == ServerRecord.Status.LIVE && !server.marked && server.deviatingSince != Long.MAX_VALUE) {
+            at = Math.min(at, server.deviatingSince + settings().maxBehindDuration());
         }
-        if (lending.holds(server.place)) {
-            at = Math.min(at, server.leaseUntil + context.tail());
+        if (lending.hasGrants(server.slot)) {
+            at = Math.min(at, server.leaseDeadline + context.maxOpenDuration());
         }
         if (server.status == ServerRecord.Status.OUT || server.silent) {
-            at = Math.min(at, forgetAt(server));
+            at = Math.min(at, releaseAt(server));
         }
         return at;
     }
 
-    private void due(int slot, long at) {
-        Long before = at == Long.MAX_VALUE ? dueAt.remove(slot) : dueAt.put(slot, at);
+    private void setDeadline(int slot, long at) {
+        Long before = at == Long.MAX_VALUE ? deadlineBySlot.remove(slot) : deadlineBySlot.put(slot, at);
         if (before != null && before == at) {
             return;
         }
         if (before != null) {
-            dues.remove(new Due(before, slot));
+            deadlines.remove(new Deadline(before, slot));
         }
         if (at != Long.MAX_VALUE) {
-            dues.add(new Due(at, slot));
+            deadlines.add(new Deadline(at, slot));
         }
     }
 
     // ---- for snapshots
 
-    void restore(long incarnations) {
-        this.incarnations = incarnations;
+    void restore(long lastIncarnation) {
+        this.lastIncarnation = lastIncarnation;
     }
 
     /** Restores a saved server; revisions and lending must have been restored before. */
@@ -412,13 +412,13 @@
             return;
         }
         byName.put(server.server, server);
-        byPlace.put(server.place, server);
-        free.remove(server.place);
-        count(server, 1);
+        bySlot.put(server.slot, server);
+        freeSlots.remove(server.slot);
+        adjustCounts(server, 1);
         if (server.marked) {
             marked.add(server.server);
         }
-        probation.note(server);
+        probation.update(server);
         reschedule(server);
     }
 }
--- a/fleet/src/main/java/tallyweir/fleet/SnapshotPart.java
+++ b/fleet/src/main/java/tallyweir/fleet/SnapshotPart.java
@@ -13,33 +13,33 @@
  */
 public sealed interface SnapshotPart {
     /** Maximum number of changed entries in one part. */
-    int CHANGES_MOST = 1_000;
+    int MAX_CHANGES = 1_000;
 
     /** The fleet's settings and clock. */
-    record Fleet(String fleet, FleetSettings settings, long now, long wall, long incarnations, long judgedAt)
+    record Fleet(String fleet, FleetSettings settings, long now, long wallMs, long lastIncarnation, long judgedAt)
             implements SnapshotPart {}
 
     /**
      * A revision.
      *
      * @param size number of entries in its table
-     * @param changed number of entries that differ from the table of its base
-     * @param records how many {@link Record}s follow
+     * @param changedEntryCount number of entries that differ from the table of its base
+     * @param recordCount how many {@link Record}s follow
      */
     record RevisionHeader(
             RevisionId id,
             RevisionId base,
-            RevisionId of,
+            RevisionId restoredFrom,
             Digest root,
-            int size,
-            int changed,
+            int entryCount,
+            int changedEntryCount,
             boolean forced,
-            long proposedWall,
+            long proposedAtMs,
             Revision.Fate fate,
-            long since,
-            long sinceWall,
-            String reasons,
-            int records)
+            long inForceAt,
+            long inForceAtMs,
+            String rejectionReasons,
+            int recordCount)
             implements SnapshotPart {}
 
     /** Why records are kept that belong to no revision. The names are the stored format. */
@@ -55,9 +55,9 @@
     /**
      * A group of operators' commands that belong to no revision.
      *
-     * @param records how many {@link Record}s follow
+     * @param recordCount how many {@link Record}s follow
      */
-    record RecordGroup(Group group, int records) implements SnapshotPart {}
+    record RecordGroup(Group group, int recordCount) implements SnapshotPart {}
 
     /**
      * An operator's command, part of the preceding revision or group.
@@ -67,14 +67,14 @@
     record Record(
             OperatorCommand command,
             ChangeRecord.Kind kind,
-            String by,
-            String why,
+            String author,
+            String reason,
             boolean forced,
-            long wall,
+            long recordedAtMs,
             ChangeRecord.Outcome outcome,
             RevisionId revision,
             Optional<Fault.KeyConflict> fault,
-            int more)
+            int changesParts)
             implements SnapshotPart {}
 
     /** Some of the entries that the preceding record changes. */
@@ -88,7 +88,7 @@
      * @param accepted how many servers can apply it
      */
     record Proposed(
-            RevisionId revision, long until, List<Integer> pending, Map<ServerId, String> rejections, int accepted)
+            RevisionId revision, long checkDeadline, List<Integer> pendingSlots, Map<ServerId, String> rejections, int accepted)
             implements SnapshotPart {}
 
     /** A part of the state of {@link Lending}. */
@@ -100,30 +100,30 @@
      * @param gone whether it has left its slot
      */
     record Server(
-            int place,
+            int slot,
             ServerId server,
             String listen,
-            Incarnation as,
-            long life,
+            Incarnation incarnation,
+            long processGeneration,
             ServerRecord.Status status,
-            long number,
-            long leaseUntil,
-            long floorUntil,
+            long reportNumber,
+            long leaseDeadline,
+            long floorDeadline,
             boolean silent,
             boolean marked,
             String cause,
-            RevisionId acting,
-            Digest inForce,
-            boolean odd,
+            RevisionId appliedRevision,
+            Digest appliedRoot,
+            boolean digestMismatch,
             long enteredAt,
-            long wrongSince,
-            int flaps,
-            long steadySince,
-            long mayReturn,
-            long heardWall,
-            long outWall,
-            int folded,
-            long foldedOutdated,
+            long deviatingSince,
+            int flapCount,
+            long liveSince,
+            long mayReturnAt,
+            long heardAtMs,
+            long outAtMs,
+            int foldedTransitions,
+            long foldedOutdatedQueries,
             List<RevisionTransition> transitions,
             Counts counts,
             boolean gone)
@@ -133,13 +133,13 @@
     record Counts(
             long ended,
             long bad,
-            long since,
-            long spanEnded,
-            long spanBad,
+            long windowStartedAt,
+            long windowEnded,
+            long windowBad,
             long beforeEnded,
             long beforeBad,
             long afterEnded,
             long afterBad,
-            double usual,
+            double baselineBadShare,
             RevisionId inForce) {}
 }
--- a/fleet/src/main/java/tallyweir/fleet/SnapshotReader.java
+++ b/fleet/src/main/java/tallyweir/fleet/SnapshotReader.java
@@ -8,11 +8,11 @@
 
 /** Restores operators' commands and revisions. Tables share their equal parts, as they did before. */
 final class SnapshotReader {
-    private final Iterator<SnapshotPart> from;
+    private final Iterator<SnapshotPart> parts;
     private final RevisionHistory history;
 
-    SnapshotReader(Iterator<SnapshotPart> from, RevisionHistory history) {
-        this.from = from;
+    SnapshotReader(Iterator<SnapshotPart> parts, RevisionHistory history) {
+        this.parts = parts;
         this.history = history;
     }
 
@@ -24,7 +24,7 @@
     Revision read(SnapshotPart.RevisionHeader header) {
         List<ChangeRecord> records = new ArrayList<>();
         List<Change> changes = new ArrayList<>();
-        for (int more = header.records(); more > 0; more--) {
+        for (int remaining = header.recordCount(); remaining > 0; remaining--) {
             records.add(readRecord(changes));
         }
         Table base = history.table(header.base());
@@ -40,26 +40,26 @@
         if (header.fate() == Revision.Fate.TURNED_DOWN) {
             return null;
         }
-        return header.of().equals(RevisionId.NONE) ? base.apply(changes) : history.table(header.of());
+        return header.restoredFrom().equals(RevisionId.NONE) ? base.apply(changes) : history.table(header.restoredFrom());
     }
 
     /** Reads the records of a group from the parts that follow. */
     List<ChangeRecord> read(SnapshotPart.RecordGroup group) {
         List<ChangeRecord> records = new ArrayList<>();
-        for (int more = group.records(); more > 0; more--) {
+        for (int remaining = group.recordCount(); remaining > 0; remaining--) {
             records.add(readRecord(new ArrayList<>()));
         }
         return records;
     }
 
     /** Reads a record. One that is part of several revisions, all but the last turned down, is the same object in each. */
-    private ChangeRecord readRecord(List<Change> all) {
-        SnapshotPart.Record saved = (SnapshotPart.Record) from.next();
+    private ChangeRecord readRecord(List<Change> allChanges) {
+        SnapshotPart.Record saved = (SnapshotPart.Record) parts.next();
         List<Change> changes = new ArrayList<>();
-        for (int more = saved.more(); more > 0; more--) {
-            changes.addAll(((SnapshotPart.Changes) from.next()).changes());
+        for (int remaining = saved.changesParts(); remaining > 0; remaining--) {
+            changes.addAll(((SnapshotPart.Changes) parts.next()).changes());
         }
-        all.addAll(changes);
+        allChanges.addAll(changes);
         return history.record(saved.command()).orElseGet(() -> new ChangeRecord(saved, changes));
     }
 }
--- a/fleet/src/main/java/tallyweir/fleet/State.java
+++ b/fleet/src/main/java/tallyweir/fleet/State.java
@@ -26,12 +26,12 @@
  */
 public final class State {
     /** How often the max-min level of a scarce cap is computed anew, per lease. */
-    private static final int LEVELS_IN_LEASE = 40;
+    private static final int LEVELS_PER_LEASE = 40;
 
-    private static final int REPORTS_IN_LEASE = 40; // twice as many while something is pending
-    private static final int REPORTS_LEAST = 4; // a server reports at least this often per lease
-    private static final int REPORTS_PER_SECOND = 2_000; // of all servers together
-    private static final long SECOND = 10_000;
+    private static final int REPORTS_PER_LEASE = 40; // twice as many while something is pending
+    private static final int MIN_REPORTS_PER_LEASE = 4; // a server reports at least this often per lease
+    private static final int MAX_REPORTS_PER_SECOND = 2_000; // of all servers together
+    private static final long SECOND_TENTHS_MS = 10_000;
 
     private final FleetContext context;
     private final RevisionHistory history = new RevisionHistory();
@@ -46,9 +46,9 @@
     }
 
     /** @param without guards that are switched off, for checks only */
-    public State(Set<Guard> without) {
-        context = new FleetContext(without);
-        lending = new Lending(!context.has(Guard.FLOOR), this::cap);
+    public State(Set<Guard> disabledGuards) {
+        context = new FleetContext(disabledGuards);
+        lending = new Lending(!context.isEnabled(Guard.FLOOR), this::cap);
         probation = new Probation(context, history);
         servers = new ServerRegistry(context, history, proposal, probation, lending);
         control = new RevisionControl(context, history, proposal, probation, servers, lending);
@@ -67,14 +67,14 @@
      * @param at the fleet's clock, tenths of a millisecond
      * @param wall the leader's wall clock, ms since 1970
      */
-    public void clock(long at, long wall) {
-        context.clock(at, wall);
+    public void clock(long now, long wallMs) {
+        context.advanceClock(now, wallMs);
     }
 
     /** Applies a command and returns its answer; {@link #clock} must have been called with its timestamp before. */
     public Answer apply(Command command) {
-        if (command instanceof Command.Found found) {
-            return found(found);
+        if (command instanceof Command.CreateFleet found) {
+            return foundFleet(found);
         }
         if (command instanceof Command.Join join && !join.fleet().equals(context.fleet())) {
             return new Answer.Refused(
@@ -112,24 +112,24 @@
         servers.shutOutMarked();
     }
 
-    private Answer found(Command.Found found) {
+    private Answer foundFleet(Command.CreateFleet found) {
         if (!context.fleet().isEmpty() && !context.fleet().equals(found.fleet())) {
             return new Answer.Refused(new Fault.Stranger(found.fleet(), context.fleet()));
         }
-        if (found.settings().version() > version()) {
-            settings(
+        if (found.settings().version() > settingsVersion()) {
+            applySettings(
                     found.fleet(),
-                    version() == 0 ? found.settings() : found.settings().after(context.settings()));
+                    settingsVersion() == 0 ? found.settings() : found.settings().withFixedPartsOf(context.settings()));
             servers.settleAll();
         }
         settle();
         return new Answer.Done(history.inForceId());
     }
 
-    private void settings(String fleet, FleetSettings settings) {
-        servers.places(context.settings().serversMost(), settings.serversMost());
+    private void applySettings(String fleet, FleetSettings settings) {
+        servers.addSlots(context.settings().maxServers(), settings.maxServers());
         context.settings(fleet, settings);
-        lending.settings(settings.serversMost(), settings.floorShare(), settings.lease() / LEVELS_IN_LEASE);
+        lending.settings(settings.maxServers(), settings.floorShare(), settings.leaseDuration() / LEVELS_PER_LEASE);
     }
 
     /**
@@ -138,119 +138,119 @@
      */
     private Answer join(Command.Join join) {
         ServerRecord server = servers.get(join.server());
-        if (server != null && !server.listen.equals(join.listen())) {
+        if (server != null && !server.listen.equals(join.listenAddress())) {
             return new Answer.Refused(new Fault.NameTaken(join.server().value(), server.listen));
         }
-        if (server == null && !servers.hasPlace()) {
-            return new Answer.Refused(new Fault.NoPlace(context.settings().serversMost()));
+        if (server == null && !servers.hasFreeSlot()) {
+            return new Answer.Refused(new Fault.NoPlace(context.settings().maxServers()));
         }
-        if (server != null && server.status == ServerRecord.Status.OUT && context.now() < server.mayReturn) {
-            return new Answer.Refused(new Fault.NotYet(join.server().value(), server.mayReturn - context.now()));
+        if (server != null && server.status == ServerRecord.Status.OUT && context.now() < server.mayReturnAt) {
+            return new Answer.Refused(new Fault.NotYet(join.server().value(), server.mayReturnAt - context.now()));
         }
-        ServerRecord entered = servers.join(join.server(), join.listen(), join.life());
+        ServerRecord entered = servers.join(join.server(), join.listenAddress(), join.processNumber());
         return new Answer.Joined(
-                entered.as, context.settings().serversMost(), context.settings().floorShare(), next(entered));
+                entered.incarnation, context.settings().maxServers(), context.settings().floorShare(), nextReportDelay(entered));
     }
 
     /** A server's report. It counts only if it names the server's current incarnation. */
     private Answer report(Command.Report report) {
         ServerRecord server = servers.get(report.server());
-        Optional<Fault> why = shutOut(server, report);
-        if (why.isPresent()) {
-            return new Answer.Refused(why.get());
+        Optional<Fault> fault = shutOut(server, report);
+        if (fault.isPresent()) {
+            return new Answer.Refused(fault.get());
         }
-        boolean fresh = report.number() > server.number || !server.as.equals(report.as());
-        if (fresh) {
-            take(server, report);
+        boolean isNew = report.reportNumber() > server.reportNumber || !server.incarnation.equals(report.incarnation());
+        if (isNew) {
+            applyReport(server, report);
         }
         if (server.status == ServerRecord.Status.OUT) {
             return new Answer.Refused(shutOut(server));
         }
         Map<TenantId, Grant> shares = Map.of();
         if (server.status == ServerRecord.Status.LIVE) {
-            shares = fresh ? lending.report(server.place, report.needs(), context.now()) : lending.lent(server.place);
+            shares = isNew ? lending.report(server.slot, report.needs(), context.now()) : lending.lent(server.slot);
         }
         servers.reschedule(server);
-        return told(server, report.number(), shares);
+        return reportAnswer(server, report.reportNumber(), shares);
     }
 
     private Optional<Fault> shutOut(ServerRecord server, Command.Report report) {
         if (server == null) {
             return Optional.of(new Fault.ShutOut(report.server().value(), "it has no place here", 0));
         }
-        if (!server.as.equals(report.as()) && context.has(Guard.INCARNATION)) {
+        if (!server.incarnation.equals(report.incarnation()) && context.isEnabled(Guard.INCARNATION)) {
             return Optional.of(new Fault.ShutOut(report.server().value(), "another incarnation of it has come", 0));
         }
         return server.status == ServerRecord.Status.OUT ? Optional.of(shutOut(server)) : Optional.empty();
     }
 
     private Fault shutOut(ServerRecord server) {
-        return new Fault.ShutOut(server.server.value(), server.cause, Math.max(0, server.mayReturn - context.now()));
+        return new Fault.ShutOut(server.server.value(), server.cause, Math.max(0, server.mayReturnAt - context.now()));
     }
 
-    private void take(ServerRecord server, Command.Report report) {
-        server.number = report.number();
-        server.heardWall = context.wall();
-        acts(server, report);
-        probation.report(server, report.ended(), report.bad());
-        proposal.checked(server.place, server.server, report.checked(), report.cannot());
+    private void applyReport(ServerRecord server, Command.Report report) {
+        server.reportNumber = report.reportNumber();
+        server.heardAtMs = context.wallMs();
+        updateApplied(server, report);
+        probation.report(server, report.endedQueries(), report.badQueries());
+        proposal.recordCheck(server.slot, server.server, report.checkedRevision(), report.rejectReason());
         servers.renewLease(server);
         servers.settle(server);
         settle(); // so that the answer to the last acceptance already names the revision as in force
     }
 
-    private void acts(ServerRecord server, Command.Report report) {
-        RevisionId acting = report.acting();
+    private void updateApplied(ServerRecord server, Command.Report report) {
+        RevisionId acting = report.actingRevision();
         Revision revision = history.get(acting);
-        if (!acting.equals(server.acting)) {
-            long behind = revision == null ? 0 : Math.max(0, context.now() - revision.since);
+        if (!acting.equals(server.appliedRevision)) {
+            long behind = revision == null ? 0 : Math.max(0, context.now() - revision.inForceAt);
             server.add(new RevisionTransition(
-                    report.as(), server.acting, acting, behind, report.outdated(), context.wall()));
-            server.acting = acting;
-            lending.acting(server.place, acting.value());
+                    report.incarnation(), server.appliedRevision, acting, behind, report.outdatedQueries(), context.wallMs()));
+            server.appliedRevision = acting;
+            lending.slotApplied(server.slot, acting.value());
         }
-        server.inForce = report.inForce();
-        server.odd = revision != null
+        server.appliedRoot = report.tableDigest();
+        server.digestMismatch = revision != null
                 && revision.table() != null
-                && context.has(Guard.DIGEST)
-                && !revision.root.equals(report.inForce());
-        if (!server.odd && history.wasInForce(acting)) {
-            server.wrongSince = Long.MAX_VALUE;
+                && context.isEnabled(Guard.DIGEST)
+                && !revision.root.equals(report.tableDigest());
+        if (!server.digestMismatch && history.wasInForce(acting)) {
+            server.deviatingSince = Long.MAX_VALUE;
         } else {
-            server.wrongSince = Math.min(server.wrongSince, context.now());
+            server.deviatingSince = Math.min(server.deviatingSince, context.now());
         }
-        if (!server.odd && acting.equals(history.inForceId())) {
+        if (!server.digestMismatch && acting.equals(history.inForceId())) {
             servers.admit(server);
         }
     }
 
-    private Answer told(ServerRecord server, long number, Map<TenantId, Grant> shares) {
+    private Answer reportAnswer(ServerRecord server, long number, Map<TenantId, Grant> shares) {
         boolean isMember = server.status == ServerRecord.Status.LIVE;
         FleetSettings settings = context.settings();
-        return new Answer.Told(
+        return new Answer.ReportAccepted(
                 number,
-                isMember ? LeaseSpans.relied(settings.lease(), settings.drift()) : 0,
-                isMember ? LeaseSpans.relied(settings.floorLease(), settings.drift()) : 0,
+                isMember ? LeaseSpans.forHolder(settings.leaseDuration(), settings.maxClockDrift()) : 0,
+                isMember ? LeaseSpans.forHolder(settings.floorLeaseDuration(), settings.maxClockDrift()) : 0,
                 lending.floorsFree(),
-                history.inForceNamed(),
-                history.inForce() == null ? 0 : context.now() - history.inForceSince(),
-                proposal.named(),
+                history.inForceRoot(),
+                history.inForce() == null ? 0 : context.now() - history.inForceAt(),
+                proposal.revisionRoot(),
                 shares,
-                next(server));
+                nextReportDelay(server));
     }
 
     /** The delay until a server should report again; it grows with the number of servers. */
-    private long next(ServerRecord server) {
-        long lease = context.settings().lease();
-        long all = (long) (servers.live() + servers.out()) * SECOND / REPORTS_PER_SECOND;
-        long pace = Math.max(lease / REPORTS_IN_LEASE, all);
+    private long nextReportDelay(ServerRecord server) {
+        long lease = context.settings().leaseDuration();
+        long fleetPace = (long) (servers.live() + servers.out()) * SECOND_TENTHS_MS / MAX_REPORTS_PER_SECOND;
+        long pace = Math.max(lease / REPORTS_PER_LEASE, fleetPace);
         boolean isSoon = servers.behindSince(server) != Long.MAX_VALUE || proposal.isOpen();
-        return Math.min(lease / REPORTS_LEAST, isSoon ? pace / 2 : pace);
+        return Math.min(lease / MIN_REPORTS_PER_LEASE, isSoon ? pace / 2 : pace);
     }
 
     private Answer leave(Command.Leave leave) {
         ServerRecord server = servers.get(leave.server());
-        if (server != null && server.as.equals(leave.as())) {
+        if (server != null && server.incarnation.equals(leave.incarnation())) {
             servers.leave(server);
         }
         settle();
@@ -260,8 +260,8 @@
     // ---- queries
 
     /** When the passage of time alone next changes something, Long.MAX_VALUE for never. */
-    public long nextDue() {
-        return Math.min(servers.nextDue(), proposal.due());
+    public long nextDeadline() {
+        return Math.min(servers.nextDeadline(), proposal.deadline());
     }
 
     public long now() {
@@ -273,7 +273,7 @@
     }
 
     /** The version of the settings in use, 0 before the fleet is founded. */
-    public long version() {
+    public long settingsVersion() {
         return context.settings().version();
     }
 
@@ -323,9 +323,9 @@
      * @param from the root of the table
      * @param most maximum number of changes; the result is empty if there are more, or if either table is unknown
      */
-    public Optional<List<Change>> difference(Digest from, RevisionId to, int most) {
+    public Optional<List<Change>> difference(Digest from, RevisionId to, int maxChanges) {
         Table want = history.table(to);
-        return want == null ? Optional.empty() : history.table(from).flatMap(have -> have.differenceTo(want, most));
+        return want == null ? Optional.empty() : history.table(from).flatMap(have -> have.differenceTo(want, maxChanges));
     }
 
     /** All servers that have a slot, by name. */
@@ -354,8 +354,8 @@
     }
 
     /** How much of a tenant's cap may be relied on: the floors of all slots plus what is lent. */
-    public long spoken(TenantId tenant) {
-        return lending.spoken(tenant);
+    public long committed(TenantId tenant) {
+        return lending.committed(tenant);
     }
 
     /** How much of a tenant's cap is lent to servers beyond their floors. */
@@ -387,8 +387,8 @@
                 context.fleet(),
                 context.settings(),
                 context.now(),
-                context.wall(),
-                servers.incarnations(),
+                context.wallMs(),
+                servers.lastIncarnation(),
                 probation.judgedAt()));
         SnapshotWriter writer = new SnapshotWriter(to);
         history.all().forEach(writer::write);
@@ -411,9 +411,9 @@
 
     private void load(SnapshotPart part, SnapshotReader reader) {
         if (part instanceof SnapshotPart.Fleet saved) {
-            settings(saved.fleet(), saved.settings());
-            context.clock(saved.now(), saved.wall());
-            servers.restore(saved.incarnations());
+            applySettings(saved.fleet(), saved.settings());
+            context.advanceClock(saved.now(), saved.wallMs());
+            servers.restore(saved.lastIncarnation());
             probation.restore(saved.judgedAt());
         } else if (part instanceof SnapshotPart.RevisionHeader header) {
             history.restore(reader.read(header));
--- a/fleet/src/main/java/tallyweir/fleet/Stragglers.java
+++ b/fleet/src/main/java/tallyweir/fleet/Stragglers.java
@@ -11,8 +11,8 @@
  */
 final class Stragglers {
     private final RevisionHistory history;
-    private final TreeMap<RevisionId, BitSet> places = new TreeMap<>(); // without slots that were taken as due already
-    private final Map<Integer, RevisionId> actsOn = new HashMap<>();
+    private final TreeMap<RevisionId, BitSet> slotsByRevision = new TreeMap<>(); // without slots that were taken as due already
+    private final Map<Integer, RevisionId> revisionBySlot = new HashMap<>();
 
     Stragglers(RevisionHistory history) {
         this.history = history;
@@ -20,37 +20,37 @@
 
     /** The server of a slot applies a revision that is or was in force. */
     void track(int slot, RevisionId acting) {
-        RevisionId earlier = actsOn.put(slot, acting);
+        RevisionId earlier = revisionBySlot.put(slot, acting);
         if (acting.equals(earlier)) {
             return;
         }
         remove(slot, earlier);
-        places.computeIfAbsent(acting, id -> new BitSet()).set(slot);
+        slotsByRevision.computeIfAbsent(acting, id -> new BitSet()).set(slot);
     }
 
     /** The server of a slot is not live, or applies no such revision. */
     void untrack(int slot) {
-        remove(slot, actsOn.remove(slot));
+        remove(slot, revisionBySlot.remove(slot));
     }
 
     private void remove(int slot, RevisionId acting) {
-        BitSet together = acting == null ? null : places.get(acting);
+        BitSet together = acting == null ? null : slotsByRevision.get(acting);
         if (together != null) {
             together.clear(slot);
             if (together.isEmpty()) {
-                places.remove(acting);
+                slotsByRevision.remove(acting);
             }
         }
     }
 
     /** When the first of them will have been behind for {@code maxLag}, Long.MAX_VALUE for never. */
-    long due(long behindMost) {
-        long since = places.isEmpty() ? Long.MAX_VALUE : history.supersededAt(places.firstKey());
-        return since == Long.MAX_VALUE ? Long.MAX_VALUE : since + behindMost;
+    long nextDeadline(long maxLag) {
+        long since = slotsByRevision.isEmpty() ? Long.MAX_VALUE : history.supersededAt(slotsByRevision.firstKey());
+        return since == Long.MAX_VALUE ? Long.MAX_VALUE : since + maxLag;
     }
 
     /** Removes and returns the slots that are due first. */
-    BitSet takeDue() {
-        return places.pollFirstEntry().getValue();
+    BitSet takeNext() {
+        return slotsByRevision.pollFirstEntry().getValue();
     }
 }
--- a/fleet/src/main/java/tallyweir/fleet/table/Branch.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/Branch.java
@@ -47,7 +47,7 @@
     }
 
     /** A new array of all 16 children, indexed by digit. */
-    Node[] byDigit() {
+    Node[] childrenByDigit() {
         Node[] all = new Node[FAN_OUT];
         for (int digit = 0; digit < FAN_OUT; digit++) {
             all[digit] = child(digit);
--- a/fleet/src/main/java/tallyweir/fleet/table/Change.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/Change.java
@@ -12,10 +12,10 @@
     /** Throws {@link tallyweir.fleet.Fault.EntryFaulty} if the type of a value does not match the kind of the key. */
     public Change {
         if (before.isPresent()) {
-            Limits.valueFits(key, before.get());
+            Limits.checkValueType(key, before.get());
         }
         if (after.isPresent()) {
-            Limits.valueFits(key, after.get());
+            Limits.checkValueType(key, after.get());
         }
     }
 
--- a/fleet/src/main/java/tallyweir/fleet/table/Entry.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/Entry.java
@@ -4,6 +4,6 @@
 public record Entry(Key key, Value value) {
     /** Throws {@link tallyweir.fleet.Fault.EntryFaulty} if the value's type does not match the kind of the key. */
     public Entry {
-        Limits.valueFits(key, value);
+        Limits.checkValueType(key, value);
     }
 }
--- a/fleet/src/main/java/tallyweir/fleet/table/EntryCodec.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/EntryCodec.java
@@ -43,7 +43,7 @@
         for (int i = 0; i < count; i++) {
             items.add(item.get());
         }
-        reader.end();
+        reader.requireEnd();
         return items;
     }
 }
--- a/fleet/src/main/java/tallyweir/fleet/table/EntryReader.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/EntryReader.java
@@ -11,9 +11,9 @@
  */
 final class EntryReader {
     private static final int VARINT_BITS = 7;
-    private static final int VARINT_MORE = 1 << VARINT_BITS;
-    private static final int VARINT_SHIFT_MOST = 28;
-    private static final int VARINT_LAST_BYTE_MOST = 7;
+    private static final int VARINT_CONTINUATION = 1 << VARINT_BITS;
+    private static final int MAX_VARINT_SHIFT = 28;
+    private static final int MAX_LAST_VARINT_BYTE = 7;
 
     private final byte[] bytes;
     private int position;
@@ -36,14 +36,14 @@
 
     Key key() {
         Kind kind = kind();
-        return new Key(kind, text(Key.NAME_BYTES_MOST));
+        return new Key(kind, text(Key.MAX_NAME_BYTES));
     }
 
     Value value(Kind kind) {
         return switch (kind) {
             case STORE -> new Value.Weight(varint());
             case CAP -> new Value.Cap(varint());
-            case ANNOUNCE, KERNEL -> new Value.Address(text(Limits.HOST_BYTES_MOST), varint());
+            case ANNOUNCE, KERNEL -> new Value.Address(text(Limits.MAX_HOST_BYTES), varint());
             case STAND_BACK -> new Value.Present();
         };
     }
@@ -55,9 +55,9 @@
 
     Change change() {
         Key key = key();
-        int presence = next();
+        int presence = readByte();
         if (presence > (EntryWriter.HAS_BEFORE | EntryWriter.HAS_AFTER)) {
-            throw faulty("its change has unknown presence flags");
+            throw entryFault("its change has unknown presence flags");
         }
         Optional<Value> before = value(key, (presence & EntryWriter.HAS_BEFORE) != 0);
         Optional<Value> after = value(key, (presence & EntryWriter.HAS_AFTER) != 0);
@@ -68,14 +68,14 @@
     int count() {
         int count = varint();
         if (count > remaining()) {
-            throw faulty("its item count exceeds the remaining bytes");
+            throw entryFault("its item count exceeds the remaining bytes");
         }
         return count;
     }
 
     /** Skips bytes. */
     void skip(int length) {
-        need(length);
+        requireRemaining(length);
         position += length;
     }
 
@@ -101,9 +101,9 @@
     }
 
     /** Checks that all bytes have been read. */
-    void end() {
+    void requireEnd() {
         if (!atEnd()) {
-            throw faulty(remaining() + " bytes follow its end");
+            throw entryFault(remaining() + " bytes follow its end");
         }
     }
 
@@ -112,21 +112,21 @@
     }
 
     private Kind kind() {
-        int code = next();
-        return Kind.of(code).orElseThrow(() -> faulty("its kind " + code + " is unknown"));
+        int code = readByte();
+        return Kind.of(code).orElseThrow(() -> entryFault("its kind " + code + " is unknown"));
     }
 
     private int varint() {
         int number = 0;
         int shift = 0;
-        int read = next();
-        while (read >= VARINT_MORE) {
-            number |= (read - VARINT_MORE) << shift;
+        int read = readByte();
+        while (read >= VARINT_CONTINUATION) {
+            number |= (read - VARINT_CONTINUATION) << shift;
             shift += VARINT_BITS;
-            read = next();
-            boolean tooLarge = shift == VARINT_SHIFT_MOST && read > VARINT_LAST_BYTE_MOST;
+            read = readByte();
+            boolean tooLarge = shift == MAX_VARINT_SHIFT && read > MAX_LAST_VARINT_BYTE;
             if (read == 0 || tooLarge) {
-                throw faulty("a number in it has an invalid varint encoding");
+                throw entryFault("a number in it has an invalid varint encoding");
             }
         }
         return number | read << shift;
@@ -139,13 +139,13 @@
     private String text(int maxBytes) {
         int length = varint();
         if (length > maxBytes) {
-            throw faulty("a text in it has " + length + " bytes, at most " + maxBytes + " are allowed");
+            throw entryFault("a text in it has " + length + " bytes, at most " + maxBytes + " are allowed");
         }
         int from = position;
         skip(length);
         return isAscii(from, length)
                 ? new String(bytes, from, length, StandardCharsets.US_ASCII)
-                : decoded(from, length);
+                : decodeUtf8(from, length);
     }
 
     private boolean isAscii(int from, int length) {
@@ -157,31 +157,31 @@
         return true;
     }
 
-    private String decoded(int from, int length) {
+    private String decodeUtf8(int from, int length) {
         try {
             return StandardCharsets.UTF_8
                     .newDecoder()
                     .decode(ByteBuffer.wrap(bytes, from, length))
                     .toString();
         } catch (CharacterCodingException e) {
-            throw faulty("a text in it is not valid UTF-8");
+            throw entryFault("a text in it is not valid UTF-8");
         }
     }
 
-    private int next() {
-        need(1);
+    private int readByte() {
+        requireRemaining(1);
         int read = Byte.toUnsignedInt(bytes[position]);
         position++;
         return read;
     }
 
-    private void need(int length) {
+    private void requireRemaining(int length) {
         if (length > remaining()) {
-            throw faulty("it is truncated");
+            throw entryFault("it is truncated");
         }
     }
 
-    private RuntimeException faulty(String reason) {
-        return Limits.faulty("before byte " + position, reason);
+    private RuntimeException entryFault(String reason) {
+        return Limits.entryFault("before byte " + position, reason);
     }
 }
--- a/fleet/src/main/java/tallyweir/fleet/table/EntryWriter.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/EntryWriter.java
@@ -13,11 +13,11 @@
     static final int HAS_AFTER = 2;
 
     private static final int VARINT_BITS = 7;
-    private static final int VARINT_MORE = 1 << VARINT_BITS;
+    private static final int VARINT_CONTINUATION = 1 << VARINT_BITS;
 
-    private static final int CAPACITY_AT_FIRST = 32;
+    private static final int INITIAL_CAPACITY = 32;
 
-    private byte[] bytes = new byte[CAPACITY_AT_FIRST];
+    private byte[] bytes = new byte[INITIAL_CAPACITY];
     private int length;
 
     byte[] toByteArray() {
@@ -29,7 +29,7 @@
     }
 
     EntryWriter key(Key key) {
-        put(key.kind().code());
+        putByte(key.kind().code());
         return text(key.name());
     }
 
@@ -52,7 +52,7 @@
 
     EntryWriter change(Change change) {
         key(change.key());
-        put(presence(change));
+        putByte(presenceFlags(change));
         change.before().ifPresent(this::value);
         change.after().ifPresent(this::value);
         return this;
@@ -61,40 +61,40 @@
     /** Writes a non-negative number, seven bits per byte, the lowest bits first; the eighth bit is set if more bytes follow. */
     EntryWriter varint(int number) {
         int remaining = number;
-        while (remaining >= VARINT_MORE) {
-            put(remaining | VARINT_MORE);
+        while (remaining >= VARINT_CONTINUATION) {
+            putByte(remaining | VARINT_CONTINUATION);
             remaining >>>= VARINT_BITS;
         }
-        put(remaining);
+        putByte(remaining);
         return this;
     }
 
     private EntryWriter text(String text) {
         byte[] encoded = text.getBytes(StandardCharsets.UTF_8);
         varint(encoded.length);
-        reserve(encoded.length);
+        ensureCapacity(encoded.length);
         System.arraycopy(encoded, 0, bytes, length, encoded.length);
         length += encoded.length;
         return this;
     }
 
-    private void put(int value) {
-        reserve(1);
+    private void putByte(int value) {
+        ensureCapacity(1);
         bytes[length] = (byte) value;
         length++;
     }
 
-    private void reserve(int additional) {
+    private void ensureCapacity(int additional) {
         if (length + additional > bytes.length) {
             bytes = Arrays.copyOf(bytes, Math.max(2 * bytes.length, length + additional));
         }
     }
 
-    private static int presence(Change change) {
-        return bit(change.before(), HAS_BEFORE) | bit(change.after(), HAS_AFTER);
+    private static int presenceFlags(Change change) {
+        return flagIfPresent(change.before(), HAS_BEFORE) | flagIfPresent(change.after(), HAS_AFTER);
     }
 
-    private static int bit(Optional<Value> value, int bit) {
+    private static int flagIfPresent(Optional<Value> value, int bit) {
         return value.isPresent() ? bit : 0;
     }
 }
--- a/fleet/src/main/java/tallyweir/fleet/table/Hash256.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/Hash256.java
@@ -6,7 +6,7 @@
 import tallyweir.fleet.Digest;
 
 /** A SHA-256 value as four 64-bit words, the most significant first. */
-record Hash256(long first, long second, long third, long fourth) implements Comparable<Hash256> {
+record Hash256(long word0, long word1, long word2, long word3) implements Comparable<Hash256> {
     static final int BYTES = 32;
     static final int DIGITS = 2 * BYTES;
 
@@ -21,11 +21,11 @@
 
     /** Writes 32 bytes at the buffer's position. */
     void write(ByteBuffer to) {
-        to.putLong(first).putLong(second).putLong(third).putLong(fourth);
+        to.putLong(word0).putLong(word1).putLong(word2).putLong(word3);
     }
 
     /** Parses a digest of 64 hexadecimal digits; empty if it is not one. */
-    static Optional<Hash256> of(Digest digest) {
+    static Optional<Hash256> parse(Digest digest) {
         if (digest.value().length() != DIGITS) {
             return Optional.empty();
         }
@@ -40,7 +40,7 @@
     Digest toDigest() {
         HexFormat hex = HexFormat.of();
         return new Digest(
-                hex.toHexDigits(first) + hex.toHexDigits(second) + hex.toHexDigits(third) + hex.toHexDigits(fourth));
+                hex.toHexDigits(word0) + hex.toHexDigits(word1) + hex.toHexDigits(word2) + hex.toHexDigits(word3));
     }
 
     /** Returns the hexadecimal digit at an index from 0, the most significant, to 63. */
@@ -51,24 +51,24 @@
 
     @Override
     public int compareTo(Hash256 other) {
-        if (first != other.first) {
-            return Long.compareUnsigned(first, other.first);
+        if (word0 != other.word0) {
+            return Long.compareUnsigned(word0, other.word0);
         }
-        if (second != other.second) {
-            return Long.compareUnsigned(second, other.second);
+        if (word1 != other.word1) {
+            return Long.compareUnsigned(word1, other.word1);
         }
-        if (third != other.third) {
-            return Long.compareUnsigned(third, other.third);
+        if (word2 != other.word2) {
+            return Long.compareUnsigned(word2, other.word2);
         }
-        return Long.compareUnsigned(fourth, other.fourth);
+        return Long.compareUnsigned(word3, other.word3);
     }
 
     private long word(int index) {
         return switch (index) {
-            case 0 -> first;
-            case 1 -> second;
-            case 2 -> third;
-            default -> fourth;
+            case 0 -> word0;
+            case 1 -> word1;
+            case 2 -> word2;
+            default -> word3;
         };
     }
 }
--- a/fleet/src/main/java/tallyweir/fleet/table/HashedChange.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/HashedChange.java
@@ -6,7 +6,7 @@
  * @param entry the new entry, or only its key for a removal
  * @param puts whether the entry is added or replaced, not removed
  */
-record HashedChange(HashedEntry entry, boolean puts) implements Comparable<HashedChange> {
+record HashedChange(HashedEntry entry, boolean isPut) implements Comparable<HashedChange> {
     static HashedChange of(Change change, KeyHashing hashing) {
         return change.after()
                 .map(value -> new HashedChange(HashedEntry.of(change.key(), value, hashing), true))
--- a/fleet/src/main/java/tallyweir/fleet/table/HashedEntry.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/HashedEntry.java
@@ -26,7 +26,7 @@
         return to - from;
     }
 
-    boolean hasKeyOf(HashedEntry other) {
+    boolean hasSameKeyAs(HashedEntry other) {
         return Arrays.equals(bytes, from, keyEnd, other.bytes, other.from, other.keyEnd);
     }
 
--- a/fleet/src/main/java/tallyweir/fleet/table/Key.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/Key.java
@@ -5,13 +5,13 @@
 /** The key of an entry: its kind and a name that is unique within the kind. */
 public record Key(Kind kind, String name) implements Comparable<Key> {
     /** The maximum length of a name in bytes of UTF-8. */
-    public static final int NAME_BYTES_MOST = 255;
+    public static final int MAX_NAME_BYTES = 255;
 
     private static final Comparator<Key> ORDER = Comparator.comparing(Key::kind).thenComparing(Key::name);
 
     /** Throws {@link tallyweir.fleet.Fault.EntryFaulty} if the name is too long or cannot be encoded in UTF-8. */
     public Key {
-        Limits.text("name", name, NAME_BYTES_MOST);
+        Limits.checkText("name", name, MAX_NAME_BYTES);
     }
 
     @Override
--- a/fleet/src/main/java/tallyweir/fleet/table/Leaf.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/Leaf.java
@@ -9,7 +9,7 @@
 /** A subtree of few entries, stored as their concatenated encodings in the order of {@link HashedEntry}. */
 final class Leaf extends Node {
     /** The maximum number of entries, except for keys with equal hashes: those share a leaf at the greatest depth. */
-    static final int ENTRIES_MOST = 32;
+    static final int MAX_ENTRIES = 32;
 
     /** The domain separation byte of a leaf's digest: the first byte that is hashed. */
     static final byte DOMAIN = 0;
@@ -42,7 +42,7 @@
     }
 
     /** Concatenates leaves that are adjacent and in order. */
-    static Leaf joined(List<Leaf> leaves) {
+    static Leaf concatenate(List<Leaf> leaves) {
         int length = 0;
         int count = 0;
         for (Leaf leaf : leaves) {
@@ -92,7 +92,7 @@
     }
 
     /** Decodes every entry, in order. */
-    void decode(Consumer<Entry> consumer) {
+    void forEachEntry(Consumer<Entry> consumer) {
         EntryReader reader = new EntryReader(bytes);
         while (!reader.atEnd()) {
             consumer.accept(reader.entry());
--- a/fleet/src/main/java/tallyweir/fleet/table/Node.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/Node.java
@@ -11,17 +11,17 @@
     private final int count;
 
     // Four fields instead of a Hash256 save one object per node; a table has many nodes.
-    private final long digestFirst;
-    private final long digestSecond;
-    private final long digestThird;
-    private final long digestFourth;
+    private final long digestWord0;
+    private final long digestWord1;
+    private final long digestWord2;
+    private final long digestWord3;
 
     Node(int count, Hash256 digest) {
         this.count = count;
-        this.digestFirst = digest.first();
-        this.digestSecond = digest.second();
-        this.digestThird = digest.third();
-        this.digestFourth = digest.fourth();
+        this.digestWord0 = digest.word0();
+        this.digestWord1 = digest.word1();
+        this.digestWord2 = digest.word2();
+        this.digestWord3 = digest.word3();
     }
 
     /** The number of entries in this subtree. */
@@ -31,23 +31,23 @@
 
     /** The digest of all entries in this subtree. */
     final Hash256 digest() {
-        return new Hash256(digestFirst, digestSecond, digestThird, digestFourth);
+        return new Hash256(digestWord0, digestWord1, digestWord2, digestWord3);
     }
 
     final boolean hasDigest(Hash256 digest) {
-        return digestFirst == digest.first()
-                && digestSecond == digest.second()
-                && digestThird == digest.third()
-                && digestFourth == digest.fourth();
+        return digestWord0 == digest.word0()
+                && digestWord1 == digest.word1()
+                && digestWord2 == digest.word2()
+                && digestWord3 == digest.word3();
     }
 
     /** Whether both subtrees have the same entries. */
-    final boolean sameAs(Node other) {
+    final boolean hasSameEntriesAs(Node other) {
         return this == other
-                || (digestFirst == other.digestFirst
-                        && digestSecond == other.digestSecond
-                        && digestThird == other.digestThird
-                        && digestFourth == other.digestFourth);
+                || (digestWord0 == other.digestWord0
+                        && digestWord1 == other.digestWord1
+                        && digestWord2 == other.digestWord2
+                        && digestWord3 == other.digestWord3);
     }
 
     /** The subtree of the entries whose key hash has the given digit at the depth of this node. */
@@ -58,6 +58,6 @@
 
     /** Passes on every entry of this subtree, in the order of key hashes. */
     final void forEach(Consumer<Entry> consumer) {
-        forEachLeaf(leaf -> leaf.decode(consumer));
+        forEachLeaf(leaf -> leaf.forEachEntry(consumer));
     }
 }
--- a/fleet/src/main/java/tallyweir/fleet/table/NodeBuilder.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/NodeBuilder.java
@@ -9,7 +9,7 @@
 
     /** Builds the subtree of sorted entries whose key hashes are equal in the first {@code depth} digits. */
     static Node build(List<HashedEntry> sorted, int depth) {
-        if (sorted.size() <= Leaf.ENTRIES_MOST || depth == Hash256.DIGITS) {
+        if (sorted.size() <= Leaf.MAX_ENTRIES || depth == Hash256.DIGITS) {
             return Leaf.of(sorted);
         }
         Node[] byDigit = new Node[Branch.FAN_OUT];
@@ -31,7 +31,7 @@
         for (Node child : byDigit) {
             count += child.count();
         }
-        return count > Leaf.ENTRIES_MOST ? Branch.of(byDigit) : Leaf.joined(leaves(byDigit));
+        return count > Leaf.MAX_ENTRIES ? Branch.of(byDigit) : Leaf.concatenate(leaves(byDigit));
     }
 
     private static List<Leaf> leaves(Node[] byDigit) {
--- a/fleet/src/main/java/tallyweir/fleet/table/NodeUpdate.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/NodeUpdate.java
@@ -21,11 +21,11 @@
         }
         Leaf leaf = (Leaf) node;
         Node changed = NodeBuilder.build(merge(leaf.entries(hashing), sorted), depth);
-        return changed.sameAs(leaf) ? leaf : changed;
+        return changed.hasSameEntriesAs(leaf) ? leaf : changed;
     }
 
     private Node applyToBranch(Branch branch, int depth, List<HashedChange> sorted) {
-        Node[] byDigit = branch.byDigit();
+        Node[] byDigit = branch.childrenByDigit();
         boolean changed = false;
         int from = 0;
         while (from < sorted.size()) {
@@ -54,10 +54,10 @@
                 merged.add(entries.get(next));
                 next++;
             }
-            if (next < entries.size() && entries.get(next).hasKeyOf(change.entry())) {
+            if (next < entries.size() && entries.get(next).hasSameKeyAs(change.entry())) {
                 next++;
             }
-            if (change.puts()) {
+            if (change.isPut()) {
                 merged.add(change.entry());
             }
         }
--- a/fleet/src/main/java/tallyweir/fleet/table/Path.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/Path.java
@@ -13,11 +13,11 @@
     /** Throws {@link tallyweir.fleet.Fault.EntryFaulty} unless it consists of at most 64 digits, 0 to 9 and a to f. */
     public Path {
         if (digits.length() > Hash256.DIGITS) {
-            throw Limits.faulty("of path " + digits, "a path must have at most " + Hash256.DIGITS + " digits");
+            throw Limits.entryFault("of path " + digits, "a path must have at most " + Hash256.DIGITS + " digits");
         }
         for (int i = 0; i < digits.length(); i++) {
             if (!isDigit(digits.charAt(i))) {
-                throw Limits.faulty("of path " + digits, "a path must consist of the digits 0 to 9 and a to f");
+                throw Limits.entryFault("of path " + digits, "a path must consist of the digits 0 to 9 and a to f");
             }
         }
     }
@@ -38,7 +38,7 @@
     }
 
     /** Whether the hash begins with the digits of this path. */
-    boolean leadsTo(Hash256 hash) {
+    boolean isPrefixOf(Hash256 hash) {
         for (int i = 0; i < depth(); i++) {
             if (hash.digit(i) != digit(i)) {
                 return false;
--- a/fleet/src/main/java/tallyweir/fleet/table/Piece.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/Piece.java
@@ -10,14 +10,14 @@
  */
 final class Piece {
     /** The maximum number of entries sent in one chunk; a larger branch is sent as the digests of its children. */
-    static final int ENTRIES_MOST = 2_048;
+    static final int MAX_ENTRIES = 2_048;
 
     private Piece() {}
 
     /** Encodes a subtree. */
     static byte[] of(Node node) {
-        if (node instanceof Branch branch && branch.count() > ENTRIES_MOST) {
-            return BranchSummary.of(branch.byDigit()).encode();
+        if (node instanceof Branch branch && branch.count() > MAX_ENTRIES) {
+            return BranchSummary.of(branch.childrenByDigit()).encode();
         }
         ByteArrayOutputStream entries = new ByteArrayOutputStream();
         entries.write(Leaf.DOMAIN);
@@ -36,22 +36,22 @@
      */
     static Node subtree(Path path, byte[] chunk, KeyHashing hashing) {
         if (chunk.length == 0 || chunk[0] != Leaf.DOMAIN) {
-            throw faulty(path, "its first byte is not that of a chunk of entries");
+            throw chunkFault(path, "its first byte is not that of a chunk of entries");
         }
         List<HashedEntry> entries = new ArrayList<>();
         EntryReader reader = new EntryReader(chunk);
         reader.skip(1);
         while (!reader.atEnd()) {
-            HashedEntry entry = hashed(reader, chunk, hashing);
-            if (!isNext(path, entries, entry)) {
-                throw faulty(path, "an entry in it is out of order or not below the path");
+            HashedEntry entry = readHashed(reader, chunk, hashing);
+            if (!isInOrder(path, entries, entry)) {
+                throw chunkFault(path, "an entry in it is out of order or not below the path");
             }
             entries.add(entry);
         }
         return NodeBuilder.build(entries, path.depth());
     }
 
-    private static HashedEntry hashed(EntryReader reader, byte[] chunk, KeyHashing hashing) {
+    private static HashedEntry readHashed(EntryReader reader, byte[] chunk, KeyHashing hashing) {
         int from = reader.position();
         Key key = reader.key();
         int keyEnd = reader.position();
@@ -59,13 +59,13 @@
         return new HashedEntry(hashing.hash(chunk, from, keyEnd), chunk, from, keyEnd, reader.position());
     }
 
-    private static boolean isNext(Path path, List<HashedEntry> previous, HashedEntry entry) {
+    private static boolean isInOrder(Path path, List<HashedEntry> previous, HashedEntry entry) {
         boolean isSorted =
                 previous.isEmpty() || previous.get(previous.size() - 1).compareTo(entry) < 0;
-        return isSorted && path.leadsTo(entry.hash());
+        return isSorted && path.isPrefixOf(entry.hash());
     }
 
-    private static RuntimeException faulty(Path path, String reason) {
-        return Limits.faulty("of the chunk at " + path.digits(), reason);
+    private static RuntimeException chunkFault(Path path, String reason) {
+        return Limits.entryFault("of the chunk at " + path.digits(), reason);
     }
 }
--- a/fleet/src/main/java/tallyweir/fleet/table/Table.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/Table.java
@@ -58,7 +58,7 @@
      * Returns this table itself if nothing changes.
      */
     public Table apply(Collection<Change> changes) {
-        Node changed = new NodeUpdate(hashing).apply(rootNode, 0, inOrder(changes));
+        Node changed = new NodeUpdate(hashing).apply(rootNode, 0, sortedByKeyHash(changes));
         return changed == rootNode ? this : new Table(changed, hashing);
     }
 
@@ -79,7 +79,7 @@
      */
     public Optional<List<Change>> differenceTo(Table other, int maxChanges) {
         TableDifference difference = new TableDifference(maxChanges);
-        difference.walk(rootNode, other.rootNode);
+        difference.compare(rootNode, other.rootNode);
         return difference.changes();
     }
 
@@ -87,7 +87,7 @@
      * Returns the chunk of a path for {@link TableTransfer#take}: the encoded entries of that subtree if they are few, otherwise
      * the digests and entry counts of its children.
      */
-    public byte[] piece(Path path) {
+    public byte[] chunk(Path path) {
         Node node = rootNode;
         for (int depth = 0; depth < path.depth(); depth++) {
             node = node.child(path.digit(depth), depth, hashing);
@@ -98,7 +98,7 @@
     /** Two tables are equal if they have the same entries. */
     @Override
     public boolean equals(Object other) {
-        return other instanceof Table table && rootNode.sameAs(table.rootNode);
+        return other instanceof Table table && rootNode.hasSameEntriesAs(table.rootNode);
     }
 
     @Override
@@ -119,16 +119,16 @@
         return hashing;
     }
 
-    private List<HashedChange> inOrder(Collection<Change> changes) {
+    private List<HashedChange> sortedByKeyHash(Collection<Change> changes) {
         List<HashedChange> sorted = new ArrayList<>(changes.size());
         for (Change change : changes) {
             sorted.add(HashedChange.of(change, hashing));
         }
         Collections.sort(sorted);
-        return lastOfEachKey(sorted);
+        return lastChangePerKey(sorted);
     }
 
-    private static List<HashedChange> lastOfEachKey(List<HashedChange> sorted) {
+    private static List<HashedChange> lastChangePerKey(List<HashedChange> sorted) {
         List<HashedChange> last = new ArrayList<>(sorted.size());
         for (HashedChange change : sorted) {
             int previous = last.size() - 1;
--- a/fleet/src/main/java/tallyweir/fleet/table/TableDifference.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/TableDifference.java
@@ -8,9 +8,9 @@
 
 /** Collects the differences between two subtrees at the same path; skips all subtrees that are equal. */
 final class TableDifference {
-    private final int most;
+    private final int maxChanges;
     private final List<Change> changes = new ArrayList<>();
-    private boolean tooMany;
+    private boolean limitExceeded;
 
     /**
      * Creates an empty difference.
@@ -18,28 +18,28 @@
      * @param maxChanges the maximum number of changes; the search stops once there are more
      */
     TableDifference(int maxChanges) {
-        this.most = maxChanges;
+        this.maxChanges = maxChanges;
     }
 
     /** The changes found, in an order that depends on the two subtrees only; empty if there are more than the maximum. */
     Optional<List<Change>> changes() {
-        return tooMany ? Optional.empty() : Optional.of(changes);
+        return limitExceeded ? Optional.empty() : Optional.of(changes);
     }
 
     /** Adds the changes that lead from one subtree to another. */
-    void walk(Node before, Node after) {
-        if (tooMany || before.sameAs(after)) {
+    void compare(Node before, Node after) {
+        if (limitExceeded || before.hasSameEntriesAs(after)) {
             return;
         }
         if (before instanceof Branch beforeBranch && after instanceof Branch afterBranch) {
             for (int digit = 0; digit < Branch.FAN_OUT; digit++) {
-                walk(beforeBranch.child(digit), afterBranch.child(digit));
+                compare(beforeBranch.child(digit), afterBranch.child(digit));
             }
             return;
         }
         int minDifference = Math.abs(before.count() - after.count());
-        tooMany = minDifference > most - changes.size();
-        if (!tooMany) {
+        limitExceeded = minDifference > maxChanges - changes.size();
+        if (!limitExceeded) {
             compareEntries(before, after);
         }
     }
@@ -60,8 +60,8 @@
     }
 
     private void add(Change change) {
-        tooMany |= changes.size() == most;
-        if (!tooMany) {
+        limitExceeded |= changes.size() == maxChanges;
+        if (!limitExceeded) {
             changes.add(change);
         }
     }
--- a/fleet/src/main/java/tallyweir/fleet/table/TableTransfer.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/TableTransfer.java
@@ -14,8 +14,8 @@
  * its parent's chunk, so it may come from any source. Subtrees that the receiver already has are not requested. Not thread-safe.
  */
 public final class TableTransfer {
-    private final Table have;
-    private final Hash256 wantedRoot;
+    private final Table base;
+    private final Hash256 targetRoot;
     private final TransferPart root;
     private final Map<Path, TransferPart> pending = new LinkedHashMap<>();
 
@@ -26,18 +26,18 @@
      * @param targetRoot the root digest of the target table; {@link Fault.UnknownRoot} is thrown if it is not a valid digest
      */
     public TableTransfer(Table base, Digest targetRoot) {
-        this(base, targetRoot, TransferPart.NOTHING);
+        this(base, targetRoot, TransferPart.NONE);
     }
 
     private TableTransfer(Table base, Digest targetRoot, TransferPart previous) {
-        this.have = base;
-        this.wantedRoot = Hash256.of(targetRoot).orElseThrow(new Fault.UnknownRoot(targetRoot.value())::thrown);
-        this.root = new TransferPart(this.wantedRoot, base.rootNode(), previous);
-        resolveOrAsk(Path.ROOT, root);
+        this.base = base;
+        this.targetRoot = Hash256.parse(targetRoot).orElseThrow(new Fault.UnknownRoot(targetRoot.value())::toException);
+        this.root = new TransferPart(this.targetRoot, base.rootNode(), previous);
+        resolveOrRequest(Path.ROOT, root);
     }
 
     /** The path of the next chunk to request: the same path until its chunk is accepted, empty once the transfer is complete. */
-    public Optional<Path> next() {
+    public Optional<Path> nextPath() {
         return pending.isEmpty()
                 ? Optional.empty()
                 : Optional.of(pending.keySet().iterator().next());
@@ -48,15 +48,15 @@
      *
      * @throws FleetException {@link Fault.DigestMismatch} if the chunk does not have the expected digest; the transfer is unchanged
      */
-    public void take(Path path, byte[] chunk) {
+    public void accept(Path path, byte[] chunk) {
         TransferPart node = pending.get(path);
         if (node == null) {
             return;
         }
         if (Piece.isSummary(chunk)) {
-            takeSummary(path, node, chunk);
+            acceptSummary(path, node, chunk);
         } else {
-            takeEntries(path, node, chunk);
+            acceptEntries(path, node, chunk);
         }
     }
 
@@ -66,28 +66,28 @@
             throw new IllegalStateException(pending.size() + " chunks are missing");
         }
         Node assembled = root.assemble();
-        if (!assembled.hasDigest(wantedRoot)) {
-            throw mismatch(wantedRoot, assembled.digest().toDigest());
+        if (!assembled.hasDigest(targetRoot)) {
+            throw mismatch(targetRoot, assembled.digest().toDigest());
         }
-        return assembled == have.rootNode() ? have : new Table(assembled, have.hashing());
+        return assembled == base.rootNode() ? base : new Table(assembled, base.hashing());
     }
 
     /** Returns a transfer to another target that reuses everything received so far. This transfer must not be used afterwards. */
-    public TableTransfer towards(Digest newRoot) {
-        return new TableTransfer(have, newRoot, root);
+    public TableTransfer retarget(Digest newRoot) {
+        return new TableTransfer(base, newRoot, root);
     }
 
-    private void takeSummary(Path path, TransferPart node, byte[] chunk) {
+    private void acceptSummary(Path path, TransferPart node, byte[] chunk) {
         Hash256 found = Sha256.of(chunk, 0, chunk.length);
         if (!found.equals(node.digest()) || path.depth() == Hash256.DIGITS) {
             throw mismatch(node.digest(), found.toDigest());
         }
         pending.remove(path);
         List<ChildSummary> children = BranchSummary.decode(chunk).children();
-        promiseChildren(path, node, children.stream().map(ChildSummary::digest).toList());
+        createChildren(path, node, children.stream().map(ChildSummary::digest).toList());
     }
 
-    private void takeEntries(Path path, TransferPart node, byte[] chunk) {
+    private void acceptEntries(Path path, TransferPart node, byte[] chunk) {
         Node subtree = subtree(path, node, chunk);
         if (!subtree.hasDigest(node.digest())) {
             throw mismatch(node.digest(), subtree.digest().toDigest());
@@ -98,36 +98,36 @@
 
     private Node subtree(Path path, TransferPart node, byte[] chunk) {
         try {
-            return Piece.subtree(path, chunk, have.hashing());
+            return Piece.subtree(path, chunk, base.hashing());
         } catch (FleetException unreadable) {
             throw mismatch(node.digest(), Digest.of(chunk));
         }
     }
 
-    private void resolveOrAsk(Path path, TransferPart node) {
-        Optional<Node> subtree = node.knownWhole();
-        Optional<List<Hash256>> children = node.knownChildren();
+    private void resolveOrRequest(Path path, TransferPart node) {
+        Optional<Node> subtree = node.knownSubtree();
+        Optional<List<Hash256>> children = node.knownChildDigests();
         if (subtree.isPresent()) {
             node.resolve(subtree.get());
         } else if (children.isPresent()) {
-            promiseChildren(path, node, children.get());
+            createChildren(path, node, children.get());
         } else {
             pending.put(path, node);
         }
     }
 
-    private void promiseChildren(Path path, TransferPart node, List<Hash256> digests) {
+    private void createChildren(Path path, TransferPart node, List<Hash256> digests) {
         List<TransferPart> children = new ArrayList<>(digests.size());
         for (int digit = 0; digit < digests.size(); digit++) {
-            children.add(node.promisedChild(digests.get(digit), digit, path.depth(), have.hashing()));
+            children.add(node.newChild(digests.get(digit), digit, path.depth(), base.hashing()));
         }
         node.resolve(children);
         for (int digit = 0; digit < children.size(); digit++) {
-            resolveOrAsk(path.child(digit), children.get(digit));
+            resolveOrRequest(path.child(digit), children.get(digit));
         }
     }
 
     private static FleetException mismatch(Hash256 expected, Digest found) {
-        return new Fault.DigestMismatch(expected.toDigest().value(), found.value()).thrown();
+        return new Fault.DigestMismatch(expected.toDigest().value(), found.value()).toException();
     }
 }
--- a/fleet/src/main/java/tallyweir/fleet/table/TransferPart.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/TransferPart.java
@@ -10,18 +10,18 @@
  */
 final class TransferPart {
     /** Stands for the previous transfer where there was none. */
-    static final TransferPart NOTHING = new TransferPart(Leaf.EMPTY);
+    static final TransferPart NONE = new TransferPart(Leaf.EMPTY);
 
     private final Hash256 digest;
-    private Node have;
-    private TransferPart earlier;
-    private Node whole;
+    private Node base;
+    private TransferPart previous;
+    private Node subtree;
     private List<TransferPart> children;
 
     /** Creates a resolved node of a complete subtree. */
     private TransferPart(Node subtree) {
         this.digest = subtree.digest();
-        this.whole = subtree;
+        this.subtree = subtree;
     }
 
     /**
@@ -32,8 +32,8 @@
      */
     TransferPart(Hash256 digest, Node base, TransferPart previous) {
         this.digest = digest;
-        this.have = base;
-        this.earlier = previous.isResolved() ? previous : previous.earlier;
+        this.base = base;
+        this.previous = previous.isResolved() ? previous : previous.previous;
     }
 
     Hash256 digest() {
@@ -41,58 +41,58 @@
     }
 
     /** A complete subtree with this digest that the receiver already has, if any. */
-    Optional<Node> knownWhole() {
-        if (have.hasDigest(digest)) {
-            return Optional.of(have);
+    Optional<Node> knownSubtree() {
+        if (base.hasDigest(digest)) {
+            return Optional.of(base);
         }
-        return earlier.digest.equals(digest) ? Optional.ofNullable(earlier.whole) : Optional.empty();
+        return previous.digest.equals(digest) ? Optional.ofNullable(previous.subtree) : Optional.empty();
     }
 
     /** The digests of the children, if the previous transfer already obtained them. */
-    Optional<List<Hash256>> knownChildren() {
-        boolean known = earlier.children != null && earlier.digest.equals(digest);
+    Optional<List<Hash256>> knownChildDigests() {
+        boolean known = previous.children != null && previous.digest.equals(digest);
         return known
                 ? Optional.of(
-                        earlier.children.stream().map(TransferPart::digest).toList())
+                        previous.children.stream().map(TransferPart::digest).toList())
                 : Optional.empty();
     }
 
     /** Creates the unresolved child for a digit, with references to the known subtrees at its path. */
-    TransferPart promisedChild(Hash256 childDigest, int digit, int depth, KeyHashing hashing) {
-        return new TransferPart(childDigest, have.child(digit, depth, hashing), earlier.child(digit, depth, hashing));
+    TransferPart newChild(Hash256 childDigest, int digit, int depth, KeyHashing hashing) {
+        return new TransferPart(childDigest, base.child(digit, depth, hashing), previous.child(digit, depth, hashing));
     }
 
     /** Resolves this node with its complete subtree. */
     void resolve(Node complete) {
-        whole = complete;
-        forgetOthers();
+        subtree = complete;
+        releaseKnown();
     }
 
     /** Resolves this node with its 16 children. */
     void resolve(List<TransferPart> byDigit) {
         children = byDigit;
-        forgetOthers();
+        releaseKnown();
     }
 
     /** Returns the complete subtree, joined from the children if necessary. All descendants must be resolved. */
     Node assemble() {
-        if (whole == null) {
-            whole = NodeBuilder.join(
+        if (subtree == null) {
+            subtree = NodeBuilder.join(
                     children.stream().map(TransferPart::assemble).toArray(Node[]::new));
         }
-        return whole;
+        return subtree;
     }
 
     private boolean isResolved() {
-        return whole != null || children != null;
+        return subtree != null || children != null;
     }
 
     private TransferPart child(int digit, int depth, KeyHashing hashing) {
-        return children != null ? children.get(digit) : new TransferPart(whole.child(digit, depth, hashing));
+        return children != null ? children.get(digit) : new TransferPart(subtree.child(digit, depth, hashing));
     }
 
-    private void forgetOthers() {
-        have = null;
-        earlier = null;
+    private void releaseKnown() {
+        base = null;
+        previous = null;
     }
 }
--- a/fleet/src/main/java/tallyweir/fleet/table/Value.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/Value.java
@@ -5,22 +5,22 @@
     /** The relative weight by which calls are distributed over the stores: 1 to 1,000. */
     record Weight(int weight) implements Value {
         public Weight {
-            Limits.range("weight", weight, Limits.WEIGHT_LEAST, Limits.WEIGHT_MOST);
+            Limits.checkRange("weight", weight, Limits.MIN_WEIGHT, Limits.MAX_WEIGHT);
         }
     }
 
     /** A network address: a numeric host and a port. */
     record Address(String host, int port) implements Value {
         public Address {
-            Limits.text("host", host, Limits.HOST_BYTES_MOST);
-            Limits.range("port", port, Limits.PORT_LEAST, Limits.PORT_MOST);
+            Limits.checkText("host", host, Limits.MAX_HOST_BYTES);
+            Limits.checkRange("port", port, Limits.MIN_PORT, Limits.MAX_PORT);
         }
     }
 
     /** The maximum number of simultaneous connections: 0 to 2^24. */
     record Cap(int connections) implements Value {
         public Cap {
-            Limits.range("cap", connections, 0, Limits.CONNECTIONS_MOST);
+            Limits.checkRange("cap", connections, 0, Limits.MAX_CONNECTIONS);
         }
     }
 
