--- a/fleet/src/test/java/tallyweir/fleet/ChangeEntriesModelTest.java
+++ b/fleet/src/test/java/tallyweir/fleet/ChangeEntriesModelTest.java
@@ -16,21 +16,21 @@
 /** Compares changes, whole revisions and rollbacks of several operators in random order with a plain, slow model. */
 class ChangeEntriesModelTest {
     private static final int TENANTS = 6;
-    private static final int FAULTY = 9; // a cap that no server accepts
+    private static final int UNACCEPTABLE_CAP = 9; // a cap that no server accepts
     private static final int STEPS = 120;
 
-    private SplittableRandom chance;
+    private SplittableRandom random;
     private TestFleet fleet;
     private PlainChanges model;
-    private List<String> taken;
+    private List<String> acceptedCommands;
 
     @Property(tries = 200, seed = "11")
-    void everyCommandComesToWhatTheModelHas(@ForAll long seed) {
-        chance = new SplittableRandom(seed);
+    void everyCommandHasTheOutcomeOfTheModel(@ForAll long seed) {
+        random = new SplittableRandom(seed);
         fleet = new TestFleet(1, Set.of());
-        fleet.canTake(ChangeEntriesModelTest::canTake);
+        fleet.accepts(ChangeEntriesModelTest::canTake);
         model = new PlainChanges();
-        taken = new ArrayList<>();
+        acceptedCommands = new ArrayList<>();
         for (int step = 0; step < STEPS; step++) {
             fleet.at(step);
             step(step);
@@ -40,7 +40,7 @@
 
     private static boolean canTake(Table table) {
         return tenants().stream()
-                .noneMatch(tenant -> table.get(TestFleet.cap(tenant)).equals(TestFleet.value(FAULTY)));
+                .noneMatch(tenant -> table.get(TestFleet.cap(tenant)).equals(TestFleet.value(UNACCEPTABLE_CAP)));
     }
 
     private static List<String> tenants() {
@@ -53,16 +53,16 @@
 
     private void step(int step) {
         String command = "c" + step;
-        String by = "op" + chance.nextInt(4);
-        int kind = chance.nextInt(10);
+        String by = "op" + random.nextInt(4);
+        int kind = random.nextInt(10);
         if (kind < 6) {
             change(command, by);
         } else if (kind == 6) {
-            whole(command, by);
+            publish(command, by);
         } else if (kind == 7) {
-            int to = chance.nextInt(0, model.revisions() + 2);
+            int to = random.nextInt(0, model.revisions() + 2);
             int expected = expected();
-            same(command, model.rollback(command, by, expected, to), fleet.rollback(command, by, expected, to));
+            assertAnswer(command, model.rollback(command, by, expected, to), fleet.rollback(command, by, expected, to));
         } else if (kind == 8) {
             report();
         } else {
@@ -73,29 +73,29 @@
     private void change(String command, String by) {
         Map<String, Integer> before = new TreeMap<>();
         Map<String, Integer> after = new TreeMap<>();
-        for (int i = chance.nextInt(1, 3); i > 0; i--) {
-            String tenant = "t" + chance.nextInt(TENANTS);
+        for (int i = random.nextInt(1, 3); i > 0; i--) {
+            String tenant = "t" + random.nextInt(TENANTS);
             int seen = model.inForce().getOrDefault(tenant, -1);
-            before.put(tenant, chance.nextInt(8) == 0 ? seen + 1 : seen);
+            before.put(tenant, random.nextInt(8) == 0 ? seen + 1 : seen);
             after.put(tenant, value());
         }
         Change[] changes = before.keySet().stream()
                 .map(tenant -> TestFleet.change(tenant, before.get(tenant), after.get(tenant)))
                 .toArray(Change[]::new);
-        String expected = model.change(new PlainChanges.Asked(command, by, before, after));
-        same(command, expected, fleet.change(command, by, changes));
+        String expected = model.change(new PlainChanges.ChangeRequest(command, by, before, after));
+        assertAnswer(command, expected, fleet.change(command, by, changes));
     }
 
     private int value() {
-        int value = chance.nextInt(-1, 8);
-        return chance.nextInt(12) == 0 ? FAULTY : value;
+        int value = random.nextInt(-1, 8);
+        return random.nextInt(12) == 0 ? UNACCEPTABLE_CAP : value;
     }
 
     private int expected() {
-        return chance.nextInt(5) == 0 ? Math.max(0, model.inForceNumber() - 1) : model.inForceNumber();
+        return random.nextInt(5) == 0 ? Math.max(0, model.inForceNumber() - 1) : model.inForceNumber();
     }
 
-    private void whole(String command, String by) {
+    private void publish(String command, String by) {
         Map<String, Integer> caps = new TreeMap<>();
         for (String tenant : tenants()) {
             int value = value();
@@ -107,7 +107,7 @@
         Table base = fleet.state().table(new RevisionId(expected));
         Change[] changes =
                 base == null ? new Change[0] : base.differenceTo(table(caps)).toArray(Change[]::new);
-        same(command, model.whole(command, by, expected, caps), fleet.publish(command, by, expected, changes));
+        assertAnswer(command, model.publish(command, by, expected, caps), fleet.publish(command, by, expected, changes));
     }
 
     private static Table table(Map<String, Integer> caps) {
@@ -117,16 +117,16 @@
     }
 
     private void report() {
-        if (model.isOpen()) {
-            model.decide(canTake(table(model.opened())));
+        if (model.isProposed()) {
+            model.decide(canTake(table(model.proposedCaps())));
         }
         fleet.report(0);
     }
 
-    private void same(String command, String expected, Answer answer) {
+    private void assertAnswer(String command, String expected, Answer answer) {
         assertEquals(expected, text(answer), command);
         if (!(answer instanceof Answer.Refused)) {
-            taken.add(command);
+            acceptedCommands.add(command);
         }
     }
 
@@ -136,11 +136,11 @@
         } else if (answer instanceof Answer.Waiting waiting) {
             return "waiting " + waiting.ahead();
         }
-        Fault why = ((Answer.Refused) answer).why();
+        Fault why = ((Answer.Refused) answer).fault();
         if (why instanceof Fault.KeyConflict conflict) {
-            return "conflict " + conflict.key().replace("CAP ", "") + " " + conflict.by();
+            return "conflict " + conflict.key().replace("CAP ", "") + " " + conflict.author();
         } else if (why instanceof Fault.LostRace race) {
-            return "race " + race.by();
+            return "race " + race.author();
         } else if (why instanceof Fault.CannotTake cannot) {
             return "cannot " + cannot.revision();
         }
@@ -151,7 +151,7 @@
         Table inForce = fleet.state().table(fleet.state().inForce());
         assertEquals(table(model.inForce()).root(), inForce.root(), "after step " + step);
         assertEquals(model.revisions(), fleet.state().revisions().size(), "after step " + step);
-        for (String command : taken) {
+        for (String command : acceptedCommands) {
             // A command with a known name only returns the outcome of the first command of that name.
             assertEquals(model.outcome(command), text(fleet.change(command, "again")), command + " after step " + step);
         }
--- a/fleet/src/test/java/tallyweir/fleet/ChangeEntriesTest.java
+++ b/fleet/src/test/java/tallyweir/fleet/ChangeEntriesTest.java
@@ -24,7 +24,7 @@
 
     private static <T extends Fault> T fault(Class<T> kind, Answer answer) {
         return assertInstanceOf(
-                kind, assertInstanceOf(Answer.Refused.class, answer).why());
+                kind, assertInstanceOf(Answer.Refused.class, answer).fault());
     }
 
     private static Fault.KeyConflict conflict(String tenant, String by, long atMs) {
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void twoOperatorsOnDifferentEntriesBothHaveTheirs() {
+    void changesOfDifferentEntriesByTwoOperatorsBothTakeEffect() {
         fleet.at(10);
         assertEquals(done(1), fleet.change("c1", "ann", change("a", -1, 5)));
         assertEquals(new Answer.Waiting(0), fleet.change("c2", "bob", change("b", -1, 6)));
@@ -76,10 +76,10 @@
     }
 
     @Test
-    void whoChangedAnEntryLongAgoIsNotKnown() {
+    void authorOfAnOldChangeIsUnknown() {
         fleet.change("first", "ann", change("a", -1, 5));
         fleet.settle();
-        for (int i = 0; i <= RevisionHistory.BLAME_MOST; i++) {
+        for (int i = 0; i <= RevisionHistory.MAX_BLAME_DEPTH; i++) {
             fleet.change("c" + i, "bob", change("b", i == 0 ? -1 : i, i + 1));
             fleet.settle();
         }
@@ -89,18 +89,18 @@
         assertEquals(
                 "bob",
                 fault(Fault.KeyConflict.class, fleet.change("later", "eve", change("b", -1, 9)))
-                        .by());
+                        .author());
     }
 
     @Test
-    void aWholeRevisionThatIsOpenTouchesWhatItChanges() {
+    void aProposedRevisionConflictsOnlyOnEntriesItChanges() {
         fleet.publish("p1", "ann", 0, change("a", -1, 1), change("b", -1, 2));
         fleet.settle();
         fleet.publish("p2", "ann", 1, change("a", 1, 3));
         assertEquals(
                 "ann",
                 fault(Fault.KeyConflict.class, fleet.change("c1", "bob", change("a", 1, 4)))
-                        .by());
+                        .author());
         assertEquals(new Answer.Waiting(0), fleet.change("c2", "bob", change("b", 2, 5)));
         fleet.settle();
         assertEquals(List.of(3, 5), List.of(fleet.inForce("a"), fleet.inForce("b")));
@@ -121,17 +121,17 @@
     }
 
     @Test
-    void aWholeRevisionThatWasMadeOfAnotherTableIsTurnedDown() {
+    void aRevisionBasedOnAnotherTableIsRejected() {
         fleet.publish("p1", "ann", 0, change("a", -1, 1));
         fleet.settle();
         assertEquals(
                 "ann",
                 fault(Fault.KeyConflict.class, fleet.publish("p2", "bob", 1, change("a", 2, 3)))
-                        .by());
+                        .author());
     }
 
     @Test
-    void anEntryThatIsNamedTwiceIsTurnedDown() {
+    void aChangeThatNamesAnEntryTwiceIsRejected() {
         fault(Fault.EntryFaulty.class, fleet.change("c1", "ann", change("a", -1, 5), change("a", -1, 6)));
         fault(Fault.EntryFaulty.class, fleet.change("c2", "ann"));
         assertEquals(0, fleet.state().revisions().size());
@@ -152,9 +152,9 @@
         for (int i = 0; i < 300; i++) {
             assertEquals(i, fleet.inForce("t" + i));
             ChangeRecord record = record("c" + i);
-            assertEquals("op" + i % 7, record.by());
-            assertEquals("why c" + i, record.why());
-            assertEquals(i * 33 / 10, record.wall());
+            assertEquals("op" + i % 7, record.author());
+            assertEquals("why c" + i, record.reason());
+            assertEquals(i * 33 / 10, record.requestedAtMs());
             assertEquals(ChangeRecord.Outcome.TAKEN, record.outcome());
         }
     }
@@ -169,9 +169,9 @@
     }
 
     @Test
-    void aFullQueueTurnsDownWithATimeAndTakesTheSameCommandLater() {
+    void aFullQueueRejectsWithARetryTimeAndAcceptsTheCommandLater() {
         fleet.change("open", "ann", change("open", -1, 1));
-        for (int i = 0; i < ChangeQueue.WAITING_MOST; i++) {
+        for (int i = 0; i < ChangeQueue.MAX_WAITING; i++) {
             assertEquals(new Answer.Waiting(i), fleet.change("c" + i, "ann", change("t" + i, -1, i)));
         }
         fleet.at(500);
@@ -186,8 +186,8 @@
     }
 
     @Test
-    void theSameCommandTellsItsOutcomeAndActsOnce() {
-        fleet.canTake(table -> table.get(TestFleet.cap("bad")).isEmpty());
+    void aRepeatedCommandReturnsItsOutcomeAndActsOnce() {
+        fleet.accepts(table -> table.get(TestFleet.cap("bad")).isEmpty());
         Change bad = change("bad", -1, 1);
         assertEquals(done(1), fleet.change("c1", "ann", bad));
         assertEquals(new Answer.Waiting(0), fleet.change("c2", "bob", change("b", -1, 2)));
@@ -221,8 +221,8 @@
         fleet.settle();
         assertSame(then, fleet.state().table(fleet.state().inForce()));
         Revision back = fleet.state().revision(new RevisionId(1_002));
-        assertEquals(1_000, back.changed());
-        assertEquals(new RevisionId(1), back.of());
+        assertEquals(1_000, back.changedEntryCount());
+        assertEquals(new RevisionId(1), back.restoredFrom());
         fleet.reload(Set.of());
         assertSame(
                 fleet.state().table(new RevisionId(1)),
@@ -239,7 +239,7 @@
 
     @Test
     void oneFaultyChangeOfABatchDoesNotFailTheOthers() {
-        fleet.canTake(table -> table.get(TestFleet.cap("t5")).isEmpty());
+        fleet.accepts(table -> table.get(TestFleet.cap("t5")).isEmpty());
         fleet.change("open", "ann", change("open", -1, 1));
         for (int i = 0; i < 8; i++) {
             fleet.change("c" + i, "op" + i, change("t" + i, -1, i));
@@ -252,7 +252,7 @@
         assertEquals(
                 "op5",
                 fault(Fault.KeyConflict.class, fleet.change("other", "eve", change("t5", -1, 6)))
-                        .by(),
+                        .author(),
                 "a rejected batch still holds its entries");
         fleet.reload(Set.of());
         fleet.settle();
@@ -270,7 +270,7 @@
     }
 
     /** Lets all queries of the servers fail under a revision in force until it is rolled back. */
-    private void sicken(long revision) {
+    private void failQueriesUntilRolledBack(long revision) {
         while (fleet.state().inForce().value() == revision) {
             fleet.at(fleet.now() + 100);
             for (int i = 0; i < 3; i++) {
@@ -280,7 +280,7 @@
         }
     }
 
-    private void healthy() {
+    private void runHealthyQueries() {
         for (int t = 0; t < 40; t++) {
             fleet.at(fleet.now() + 100);
             for (int i = 0; i < 3; i++) {
@@ -291,10 +291,10 @@
     }
 
     @Test
-    void whatWaitedIsHeldAgainstWhatATakeBackLeft() {
+    void waitingChangesAreCheckedAgainstTheTableAfterARollback() {
         fleet.change("c1", "ann", change("a", -1, 1));
         fleet.settle();
-        healthy();
+        runHealthyQueries();
         fleet.change("c2", "ann", change("a", 1, 2));
         fleet.settle();
         assertEquals(done(3), fleet.change("c3", "bob", change("b", -1, 1)));
@@ -310,7 +310,7 @@
             }
         }
         assertEquals(
-                "probation", fleet.state().revision(fleet.state().inForce()).by());
+                "probation", fleet.state().revision(fleet.state().inForce()).author());
         assertTrue(fault(Fault.CannotTake.class, fleet.change("c3", "bob", change("b", -1, 1)))
                 .reasons()
                 .contains("taken back"));
@@ -325,17 +325,17 @@
     }
 
     @Test
-    void aTakeBackIsAChangeLikeAnyForWhoChangesAfterIt() {
+    void anAutomaticRollbackConflictsLikeAnyOtherChange() {
         fleet.change("c1", "ann", change("a", -1, 1));
         fleet.settle();
-        healthy();
+        runHealthyQueries();
         fleet.change("c2", "ann", change("a", 1, 2));
         fleet.settle();
-        sicken(2);
+        failQueriesUntilRolledBack(2);
         assertEquals(
                 "probation",
                 fault(Fault.KeyConflict.class, fleet.change("c3", "bob", change("a", 2, 3)))
-                        .by());
+                        .author());
         assertEquals(done(4), fleet.change("c4", "bob", change("a", 1, 3)));
     }
 
@@ -356,7 +356,7 @@
 
     @Test
     void aRootThatNoRevisionHasIsUnknown() {
-        fleet.canTake(table -> false);
+        fleet.accepts(table -> false);
         fleet.change("c1", "ann", change("a", -1, 1));
         Digest proposed = fleet.state().revision(new RevisionId(1)).root();
         assertTrue(fleet.state().table(proposed).isPresent());
@@ -373,7 +373,7 @@
         fleet.change("c0", "ann", change("a", -1, 0));
         fleet.settle();
         Answer last = null;
-        for (int i = 1; fleet.now() < 2 * TestFleet.BEHIND; i++) {
+        for (int i = 1; fleet.now() < 2 * TestFleet.MAX_LAG; i++) {
             fleet.at(fleet.now() + 100);
             fleet.change("c" + i, "ann", change("a", i - 1, i));
             fleet.report(0);
@@ -384,15 +384,15 @@
             }
         }
         assertTrue(fault(Fault.ShutOut.class, last).cause().startsWith("behind: acts on revision 1"));
-        assertTrue(fleet.now() <= TestFleet.BEHIND + 300, "at " + fleet.now());
+        assertTrue(fleet.now() <= TestFleet.MAX_LAG + 300, "at " + fleet.now());
     }
 
     @Test
-    void aSnapshotOfAQueueGoesOnLikeTheStateItWasTakenOf() {
-        fleet.canTake(table -> table.get(TestFleet.cap("t3")).isEmpty());
+    void aLoadedSnapshotOfAQueueBehavesLikeTheOriginalState() {
+        fleet.accepts(table -> table.get(TestFleet.cap("t3")).isEmpty());
         List<Answer> first = play(fleet, false);
         fleet = new TestFleet(3, Set.of());
-        fleet.canTake(table -> table.get(TestFleet.cap("t3")).isEmpty());
+        fleet.accepts(table -> table.get(TestFleet.cap("t3")).isEmpty());
         assertEquals(first, play(fleet, true));
     }
 
--- a/fleet/src/test/java/tallyweir/fleet/FaultTest.java
+++ b/fleet/src/test/java/tallyweir/fleet/FaultTest.java
@@ -14,7 +14,7 @@
 
 /** Checks that the operators' page lists exactly the kinds of fault, each with its exit code. */
 class FaultTest {
-    private static Fault one(Class<? extends Fault> kind) throws ReflectiveOperationException {
+    private static Fault sample(Class<? extends Fault> kind) throws ReflectiveOperationException {
         RecordComponent[] facts = kind.getRecordComponents();
         Class<?>[] types = new Class<?>[facts.length];
         Object[] values = new Object[facts.length];
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void thePageAndTheTypesAgree() throws Exception {
+    void operatorsPageListsAllKindsWithTheirExitCodes() throws Exception {
         List<String> onPage = new ArrayList<>();
         for (String line : Files.readAllLines(Path.of("../docs/ops/fleet.md"))) {
             if (line.matches("\\| `[A-Z][A-Za-z]+` \\| [0-9]+ \\| .+ \\|")) {
@@ -36,21 +36,21 @@
         }
         List<String> types = new ArrayList<>();
         for (Class<? extends Fault> kind : Fault.kinds()) {
-            types.add(kind.getSimpleName() + " " + one(kind).exit());
+            types.add(kind.getSimpleName() + " " + sample(kind).exitCode());
         }
         assertEquals(types, onPage);
         assertEquals(Set.of(Fault.class.getPermittedSubclasses()), Set.copyOf(Fault.kinds()));
     }
 
     @Test
-    void eachTellsItsFactsAndWhatToDo() throws Exception {
+    void eachKindShowsItsFactsAndGivesAdvice() throws Exception {
         Set<Integer> exits = new TreeSet<>();
         for (Class<? extends Fault> kind : Fault.kinds()) {
-            Fault f = one(kind);
-            exits.add(f.exit());
-            assertTrue(f.what().contains("FACT") || f.what().contains("7"), f.what());
-            assertTrue(f.advice().length() > 10, f.advice());
-            assertEquals(f, f.thrown().fault());
+            Fault fault = sample(kind);
+            exits.add(fault.exitCode());
+            assertTrue(fault.description().contains("FACT") || fault.description().contains("7"), fault.description());
+            assertTrue(fault.advice().length() > 10, fault.advice());
+            assertEquals(fault, fault.toException().fault());
         }
         assertEquals(Fault.kinds().size(), exits.size(), "each kind has its own exit code");
     }
--- a/fleet/src/test/java/tallyweir/fleet/GatePlainTest.java
+++ b/fleet/src/test/java/tallyweir/fleet/GatePlainTest.java
@@ -23,8 +23,8 @@
     private static final int TENANTS = 4;
     private static final int CONNECTIONS = 8;
     private static final int STEPS = 300;
-    private static final int CAP_MOST = 40;
-    private static final int PLACES = 4;
+    private static final int MAX_CAP = 40;
+    private static final int SLOTS = 4;
     private static final double FLOOR_SHARE = 0.5;
     private static final int REPORTS_UNTIL_IDLE = 8;
     private static final int CAPS_REMEMBERED = 32; // since the floors were last free
@@ -39,114 +39,114 @@
 
     /** The gate and the model with equal inputs. */
     private static final class Server {
-        final SplittableRandom chance;
+        final SplittableRandom random;
         final Gate gate;
-        final PlainGate plain;
-        final int[][] open = new int[TENANTS][CONNECTIONS];
+        final PlainGate model;
+        final int[][] openQueries = new int[TENANTS][CONNECTIONS];
         long now;
 
         Server(long seed, int linger) {
-            chance = new SplittableRandom(seed);
+            random = new SplittableRandom(seed);
             gate = new Gate(linger);
-            plain = new PlainGate(linger);
-            gate.floors(PLACES, FLOOR_SHARE);
-            plain.floors(PLACES, FLOOR_SHARE);
+            model = new PlainGate(linger);
+            gate.configureFloors(SLOTS, FLOOR_SHARE);
+            model.configureFloors(SLOTS, FLOOR_SHARE);
         }
 
         void caps(boolean uncapped) {
             Map<TenantId, Integer> caps = new HashMap<>();
             for (int t = 0; t < TENANTS; t++) {
-                if (!uncapped || chance.nextInt(3) > 0) {
-                    caps.put(tenant(t), chance.nextInt(CAP_MOST));
+                if (!uncapped || random.nextInt(3) > 0) {
+                    caps.put(tenant(t), random.nextInt(MAX_CAP));
                 }
             }
             gate.caps(lookup(caps));
-            plain.caps(caps);
+            model.caps(caps);
         }
 
-        void hear(boolean shares) {
+        void updateGrants(boolean shares) {
             Map<TenantId, Grant> lent = new HashMap<>();
             for (int t = 0; t < TENANTS && shares; t++) {
-                if (chance.nextBoolean()) {
-                    int granted = chance.nextInt(6);
-                    lent.put(tenant(t), new Grant(granted, chance.nextInt(6)));
+                if (random.nextBoolean()) {
+                    int granted = random.nextInt(6);
+                    lent.put(tenant(t), new Grant(granted, random.nextInt(6)));
                 }
             }
-            long leaseUntil = now + chance.nextInt(40);
-            long floorUntil = now + chance.nextInt(80);
-            boolean floorsFree = chance.nextBoolean();
-            gate.lent(lent, leaseUntil, floorUntil, floorsFree);
-            plain.lent(lent, leaseUntil, floorUntil, floorsFree);
+            long leaseUntil = now + random.nextInt(40);
+            long floorUntil = now + random.nextInt(80);
+            boolean floorsFree = random.nextBoolean();
+            gate.updateGrants(lent, leaseUntil, floorUntil, floorsFree);
+            model.updateGrants(lent, leaseUntil, floorUntil, floorsFree);
         }
 
-        void time() {
-            now += chance.nextInt(10);
-            gate.clock(now);
-            plain.clock(now);
+        void advanceClock() {
+            now += random.nextInt(10);
+            gate.advanceClock(now);
+            model.advanceClock(now);
         }
 
         void query() {
-            int t = chance.nextInt(TENANTS);
-            int c = chance.nextInt(CONNECTIONS);
-            boolean in = gate.enter(new ConnectionId(c), tenant(t));
-            assertEquals(plain.enter(new ConnectionId(c), tenant(t)), in);
-            open[t][c] += in ? 1 : 0;
+            int t = random.nextInt(TENANTS);
+            int c = random.nextInt(CONNECTIONS);
+            boolean in = gate.admit(new ConnectionId(c), tenant(t));
+            assertEquals(model.admit(new ConnectionId(c), tenant(t)), in);
+            openQueries[t][c] += in ? 1 : 0;
         }
 
         void answer() {
-            int t = chance.nextInt(TENANTS);
-            int c = chance.nextInt(CONNECTIONS);
-            if (open[t][c] > 0) {
-                open[t][c]--;
-                gate.over(new ConnectionId(c), tenant(t));
-                plain.over(new ConnectionId(c), tenant(t));
+            int t = random.nextInt(TENANTS);
+            int c = random.nextInt(CONNECTIONS);
+            if (openQueries[t][c] > 0) {
+                openQueries[t][c]--;
+                gate.onQueryEnd(new ConnectionId(c), tenant(t));
+                model.onQueryEnd(new ConnectionId(c), tenant(t));
             }
         }
 
         void close() {
-            int c = chance.nextInt(CONNECTIONS);
+            int c = random.nextInt(CONNECTIONS);
             for (int t = 0; t < TENANTS; t++) {
-                open[t][c] = 0;
+                openQueries[t][c] = 0;
             }
-            gate.closed(new ConnectionId(c));
-            plain.closed(new ConnectionId(c));
+            gate.onConnectionClosed(new ConnectionId(c));
+            model.onConnectionClosed(new ConnectionId(c));
         }
 
         void shutOut() {
             gate.shutOut();
-            plain.shutOut();
+            model.shutOut();
         }
 
         void compare() {
             for (int t = 0; t < TENANTS; t++) {
-                assertEquals(plain.used(tenant(t)), gate.used(tenant(t)), "number of connections");
-                assertEquals(plain.most(tenant(t)), gate.most(tenant(t)), "maximum number of connections");
+                assertEquals(model.usedConnections(tenant(t)), gate.usedConnections(tenant(t)), "number of connections");
+                assertEquals(model.maxConnections(tenant(t)), gate.maxConnections(tenant(t)), "maximum number of connections");
             }
-            assertEquals(plain.next(), gate.next());
+            assertEquals(model.nextReleaseAt(), gate.nextReleaseAt());
         }
     }
 
     /** With tenants that have a cap in every revision, all observable results are equal at every step. */
     @Property(tries = 500, seed = "21")
-    void doesWhatThePlainModelDoes(@ForAll long seed, @ForAll @IntRange(min = 0, max = 1) int lingers) {
+    void behavesLikeThePlainModel(@ForAll long seed, @ForAll @IntRange(min = 0, max = 1) int lingers) {
         Server server = new Server(seed, lingers * 7);
         server.query(); // before any caps are known
         server.caps(false);
         for (int step = 0; step < STEPS; step++) {
-            switch (server.chance.nextInt(20)) {
+            switch (server.random.nextInt(20)) {
                 case 0 -> server.caps(false);
-                case 1, 2 -> server.hear(true);
-                case 3, 4 -> assertEquals(server.plain.needs(), server.gate.needs());
+                case 1, 2 -> server.updateGrants(true);
+                case 3, 4 -> assertEquals(server.model.needs(), server.gate.needs());
                 case 5 -> server.close();
                 case 6 -> server.shutOut();
-                case 7, 8, 9 -> server.time();
+                case 7, 8, 9 -> server.advanceClock();
                 case 10, 11, 12, 13 -> server.answer();
                 default -> server.query();
             }
             server.compare();
-            assertEquals(server.plain.pressed(), server.gate.pressed());
+            assertEquals(server.model.hasRejected(), server.gate.hasRejected());
             for (int t = 0; t < TENANTS; t++) {
-                assertEquals(server.plain.fleetFull(tenant(t)), server.gate.fleetFull(tenant(t)));
+                assertEquals(server.model.isFleetFull(tenant(t)), server.gate.isFleetFull(tenant(t)));
             }
         }
     }
@@ -160,15 +160,15 @@
         Server server = new Server(seed, lingers * 7);
         server.caps(true);
         for (int step = 0; step < STEPS; step++) {
-            switch (server.chance.nextInt(20)) {
+            switch (server.random.nextInt(20)) {
                 case 0, 1 -> server.caps(true);
-                case 2, 3 -> server.hear(false);
+                case 2, 3 -> server.updateGrants(false);
                 case 4, 5 -> {
-                    server.plain.needs();
+                    server.model.needs();
                     server.gate.needs();
                 }
                 case 6 -> server.close();
-                case 7, 8, 9 -> server.time();
+                case 7, 8, 9 -> server.advanceClock();
                 case 10, 11, 12, 13 -> server.answer();
                 default -> server.query();
             }
@@ -178,51 +178,51 @@
 
     private static Gate withFloor(int cap) {
         Gate gate = new Gate(0);
-        gate.floors(PLACES, FLOOR_SHARE);
+        gate.configureFloors(SLOTS, FLOOR_SHARE);
         gate.caps(tenant -> cap);
-        gate.lent(Map.of(), 100, 100, true);
+        gate.updateGrants(Map.of(), 100, 100, true);
         return gate;
     }
 
     @Test
-    void whoHasNeverHeardOfCapsLetsNobodyIn() {
+    void rejectsAllQueriesWhileNoCapsAreKnown() {
         Gate gate = new Gate(0);
         assertNull(gate.caps());
-        assertFalse(gate.enter(new ConnectionId(1), tenant(1)));
+        assertFalse(gate.admit(new ConnectionId(1), tenant(1)));
         gate.caps(Caps.NONE);
-        assertTrue(gate.enter(new ConnectionId(1), tenant(1)));
+        assertTrue(gate.admit(new ConnectionId(1), tenant(1)));
     }
 
     @Test
     void aFloorThatFellAndRoseIsTheLowerOneForATenantFirstSeenLater() {
         Gate gate = withFloor(40);
-        assertEquals(5, gate.most(tenant(1)));
+        assertEquals(5, gate.maxConnections(tenant(1)));
         gate.caps(tenant -> 16);
         gate.caps(tenant -> 40);
-        assertEquals(2, gate.most(tenant(1)));
-        gate.lent(Map.of(), 100, 100, true);
-        assertEquals(5, gate.most(tenant(1)));
+        assertEquals(2, gate.maxConnections(tenant(1)));
+        gate.updateGrants(Map.of(), 100, 100, true);
+        assertEquals(5, gate.maxConnections(tenant(1)));
     }
 
     @Test
-    void beyondTheCapsThatAreRememberedThereIsNoFloorUntilFloorsAreFree() {
+    void withTooManyCapsThereIsNoFloorUntilFloorsAreFree() {
         Gate gate = withFloor(40);
-        assertTrue(gate.enter(new ConnectionId(1), tenant(1)));
+        assertTrue(gate.admit(new ConnectionId(1), tenant(1)));
         for (int i = 0; i < CAPS_REMEMBERED; i++) {
-            assertEquals(5, gate.most(tenant(2)));
+            assertEquals(5, gate.maxConnections(tenant(2)));
             gate.caps(lookup(Map.of(tenant(1), 40, tenant(2), 40)));
         }
-        assertEquals(0, gate.most(tenant(2)));
-        assertEquals(5, gate.most(tenant(1)), "a tenant in use keeps its floor");
-        gate.lent(Map.of(), 100, 100, true);
-        assertEquals(5, gate.most(tenant(2)));
+        assertEquals(0, gate.maxConnections(tenant(2)));
+        assertEquals(5, gate.maxConnections(tenant(1)), "a tenant in use keeps its floor");
+        gate.updateGrants(Map.of(), 100, 100, true);
+        assertEquals(5, gate.maxConnections(tenant(2)));
     }
 
     @Test
     void tenantsThatAreNotInUseCostNothing() {
         Gate gate = withFloor(40);
         for (int i = 0; i < 3; i++) {
-            gate.enter(new ConnectionId(i), tenant(i));
+            gate.admit(new ConnectionId(i), tenant(i));
         }
         assertEquals(3, gate.tenantsInUse());
         int[] lookups = {0};
@@ -232,7 +232,7 @@
         });
         assertTrue(lookups[0] <= 2 * 3, lookups[0] + " lookups");
         for (int i = 0; i < 3; i++) {
-            gate.over(new ConnectionId(i), tenant(i));
+            gate.onQueryEnd(new ConnectionId(i), tenant(i));
         }
         for (int i = 0; i <= REPORTS_UNTIL_IDLE; i++) {
             gate.needs();
@@ -241,21 +241,21 @@
     }
 
     @Test
-    void whatWasLentIsKeptThoughNobodyIsConnected() {
+    void grantsAreKeptWithoutConnections() {
         Gate gate = new Gate(0);
         gate.caps(Caps.NONE);
-        gate.lent(Map.of(tenant(1), new Grant(3, 3)), 100, 100, false);
+        gate.updateGrants(Map.of(tenant(1), new Grant(3, 3)), 100, 100, false);
         gate.needs();
         gate.caps(tenant -> 40);
-        assertEquals(3, gate.most(tenant(1)));
+        assertEquals(3, gate.maxConnections(tenant(1)));
     }
 
     @Test
-    void aTenantThatWasTurnedAwayIsReportedOnce() {
+    void aRejectedTenantIsReportedOnce() {
         Gate gate = withFloor(0);
-        assertFalse(gate.enter(new ConnectionId(1), tenant(1)));
-        assertTrue(gate.pressed());
+        assertFalse(gate.admit(new ConnectionId(1), tenant(1)));
+        assertTrue(gate.hasRejected());
         gate.needs();
-        assertFalse(gate.pressed());
+        assertFalse(gate.hasRejected());
     }
 }
--- a/fleet/src/test/java/tallyweir/fleet/LendingModelTest.java
+++ b/fleet/src/test/java/tallyweir/fleet/LendingModelTest.java
@@ -37,7 +37,7 @@
 
     /** Servers that keep what they use and go down to their targets, reporting in any order, end with the model's shares. */
     @Property(tries = 300, seed = "7")
-    void sharesEndWhereTheModelHasThem(
+    void sharesConvergeToModel(
             @ForAll long seed,
             @ForAll @IntRange(min = 1, max = 9) int servers,
             @ForAll @IntRange(min = 0, max = 60) int cap,
@@ -45,7 +45,7 @@
         SplittableRandom random = new SplittableRandom(seed);
         Lending lending = new Lending(false, t -> cap);
         lending.settings(servers, floors * 0.25, 10);
-        lending.caps(1, List.of(new CapChange(T, Caps.UNCAPPED, cap)));
+        lending.applyCaps(1, List.of(new CapChange(T, Caps.UNCAPPED, cap)));
         int lendable = cap - lending.floor(cap) * servers;
         int[] wants = new int[servers];
         int[] has = new int[servers];
@@ -58,11 +58,11 @@
             for (int turn = 0; turn < 40 * servers; turn++) {
                 int i = turn < 20 * servers ? random.nextInt(servers) : turn % servers;
                 now += 1 + random.nextInt(3);
-                Grant g = lending.report(i, Map.of(T, new Need(Math.min(has[i], target[i]), wants[i])), now)
+                Grant grant = lending.report(i, Map.of(T, new Need(Math.min(has[i], target[i]), wants[i])), now)
                         .getOrDefault(T, new Grant(0, 0));
-                has[i] = g.granted();
-                target[i] = g.target();
-                assertTrue(lending.spoken(T) <= cap, "more than the cap is relied on");
+                has[i] = grant.granted();
+                target[i] = grant.target();
+                assertTrue(lending.committed(T) <= cap, "more than the cap is relied on");
                 assertEquals(
                         has[i], lending.lent(i).getOrDefault(T, new Grant(0, 0)).granted());
             }
@@ -75,7 +75,7 @@
             assertTrue(sum <= servers && sum >= 0, "not everything is lent: " + sum);
         }
         for (int i = 0; i < servers; i++) {
-            lending.free(i);
+            lending.releaseSlot(i);
         }
         assertEquals(0, lending.granted(T));
     }
@@ -85,18 +85,18 @@
      * floors of an earlier cap count as long as a server may use them.
      */
     @Property(tries = 300, seed = "8")
-    void floorsOfAnEarlierCapCountAsLongAsAnybodyMayRelyOnThem(@ForAll long seed) {
+    void earlierFloorsCountWhileAServerMayRelyOnThem(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         int servers = 4;
         List<Map<TenantId, Integer>> caps = new ArrayList<>(List.of(Map.of(T, 40)));
         Lending lending = new Lending(false, t -> caps.get(caps.size() - 1).get(t));
         lending.settings(servers, 0.5, 10);
-        lending.caps(1, List.of(new CapChange(T, Caps.UNCAPPED, 40)));
-        int[] under = new int[servers];
+        lending.applyCaps(1, List.of(new CapChange(T, Caps.UNCAPPED, 40)));
+        int[] appliedIndex = new int[servers];
         int[] floors = new int[servers];
         Map<Integer, Integer> has = new HashMap<>();
         for (int i = 0; i < servers; i++) {
-            lending.acting(i, 1);
+            lending.slotApplied(i, 1);
             floors[i] = lending.floor(40);
         }
         for (int turn = 1; turn < 200; turn++) {
@@ -106,11 +106,11 @@
                 int earlier = caps.get(caps.size() - 1).get(T);
                 int later = random.nextInt(0, 80);
                 caps.add(Map.of(T, later));
-                lending.caps(caps.size(), List.of(new CapChange(T, earlier, later)));
+                lending.applyCaps(caps.size(), List.of(new CapChange(T, earlier, later)));
             } else if (random.nextInt(4) == 0) {
-                under[i] = caps.size() - 1;
-                lending.acting(i, under[i] + 1);
-                floors[i] = Math.min(floors[i], lending.floor(caps.get(under[i]).get(T)));
+                appliedIndex[i] = caps.size() - 1;
+                lending.slotApplied(i, appliedIndex[i] + 1);
+                floors[i] = Math.min(floors[i], lending.floor(caps.get(appliedIndex[i]).get(T)));
             } else {
                 int want = random.nextInt(0, 30);
                 has.put(
@@ -118,8 +118,8 @@
                         lending.report(i, Map.of(T, new Need(has.getOrDefault(i, 0), want)), turn * 20L)
                                 .getOrDefault(T, new Grant(0, 0))
                                 .granted());
-                if (lending.floorsFree() && under[i] == caps.size() - 1) {
-                    floors[i] = lending.floor(caps.get(under[i]).get(T));
+                if (lending.floorsFree() && appliedIndex[i] == caps.size() - 1) {
+                    floors[i] = lending.floor(caps.get(appliedIndex[i]).get(T));
                 }
             }
             long after = relied(floors, has);
--- a/fleet/src/test/java/tallyweir/fleet/LendingPlainTest.java
+++ b/fleet/src/test/java/tallyweir/fleet/LendingPlainTest.java
@@ -22,11 +22,11 @@
  */
 class LendingPlainTest {
     private static final int TENANTS = 4;
-    private static final int PLACES = 5;
+    private static final int SLOTS = 5;
     private static final int STEPS = 200;
-    private static final int LEVEL_EVERY = 10;
-    private static final int CAP_MOST = 60;
-    private static final int WANT_MOST = 20;
+    private static final int LEVEL_INTERVAL = 10;
+    private static final int CAP_LIMIT = 60;
+    private static final int WANT_LIMIT = 20;
 
     private static TenantId tenant(int i) {
         return new TenantId("t" + i);
@@ -34,30 +34,30 @@
 
     /** Both implementations, given the same inputs, and what the servers really rely on by the rules of {@link Gate}. */
     private static final class Fleet {
-        final SplittableRandom chance;
+        final SplittableRandom random;
         final PlainLending plain = new PlainLending(false);
         final List<Map<TenantId, Integer>> revisions = new ArrayList<>(List.of(Map.of()));
         final double floorShare;
         Lending lending;
-        final boolean[] here = new boolean[PLACES];
-        final int[] reported = new int[PLACES]; // the revision that a slot has reported
-        final int[] acting = new int[PLACES]; // the revision that it really applies
-        final int[][] floors = new int[PLACES][TENANTS]; // that the slot may use
-        final int[][] granted = new int[PLACES][TENANTS];
-        final int[][] grantedByPlain = new int[PLACES][TENANTS];
-        final boolean[] parted = new boolean[TENANTS]; // excess floors differed once, so shares may differ since
+        final boolean[] present = new boolean[SLOTS];
+        final int[] reported = new int[SLOTS]; // the revision that a slot has reported
+        final int[] applied = new int[SLOTS]; // the revision that it really applies
+        final int[][] floors = new int[SLOTS][TENANTS]; // that the slot may use
+        final int[][] granted = new int[SLOTS][TENANTS];
+        final int[][] grantedByPlain = new int[SLOTS][TENANTS];
+        final boolean[] diverged = new boolean[TENANTS]; // excess floors differed once, so shares may differ since
         long now;
 
         Fleet(long seed, double floorShare) {
-            chance = new SplittableRandom(seed);
+            random = new SplittableRandom(seed);
             this.floorShare = floorShare;
-            plain.settings(PLACES, floorShare, LEVEL_EVERY);
-            lending = fresh();
+            plain.settings(SLOTS, floorShare, LEVEL_INTERVAL);
+            lending = newLending();
         }
 
-        Lending fresh() {
+        Lending newLending() {
             Lending fresh = new Lending(false, t -> last().getOrDefault(t, Caps.UNCAPPED));
-            fresh.settings(PLACES, floorShare, LEVEL_EVERY);
+            fresh.settings(SLOTS, floorShare, LEVEL_INTERVAL);
             return fresh;
         }
 
@@ -84,47 +84,47 @@
                 }
             }
             revisions.add(caps);
-            lending.caps(lastRevision(), changes);
-            plain.caps(caps);
-            now += LEVEL_EVERY;
+            lending.applyCaps(lastRevision(), changes);
+            plain.applyCaps(caps);
+            now += LEVEL_INTERVAL;
         }
 
         /** A slot applies a revision and does not report it yet. */
-        void move(int slot, int revision) {
-            acting[slot] = revision;
+        void apply(int slot, int revision) {
+            applied[slot] = revision;
             for (int t = 0; t < TENANTS; t++) {
                 floors[slot][t] = Math.min(floors[slot][t], lending.floor(cap(revision, t)));
             }
         }
 
-        void say(int slot) {
-            here[slot] = true;
-            reported[slot] = acting[slot];
-            lending.acting(slot, reported[slot]);
-            plain.acting(slot, revisions.get(reported[slot]));
+        void reportApplied(int slot) {
+            present[slot] = true;
+            reported[slot] = applied[slot];
+            lending.slotApplied(slot, reported[slot]);
+            plain.slotApplied(slot, revisions.get(reported[slot]));
         }
 
         void enter(int slot) {
-            move(slot, lastRevision());
-            say(slot);
+            apply(slot, lastRevision());
+            reportApplied(slot);
         }
 
         void report(int slot, boolean namesAll) {
             Map<TenantId, Need> needs = new HashMap<>();
             Map<TenantId, Need> needsOfPlain = new HashMap<>();
             for (int t = 0; t < TENANTS; t++) {
-                if (namesAll || slot == 0 || chance.nextInt(3) > 0) {
-                    int want = chance.nextInt(namesAll || slot == 0 ? 1 : 0, WANT_MOST);
-                    int returned = chance.nextInt(4) == 0 ? chance.nextInt(5) : 0;
+                if (namesAll || slot == 0 || random.nextInt(3) > 0) {
+                    int want = random.nextInt(namesAll || slot == 0 ? 1 : 0, WANT_LIMIT);
+                    int returned = random.nextInt(4) == 0 ? random.nextInt(5) : 0;
                     needs.put(tenant(t), new Need(granted[slot][t] - returned, want));
                     needsOfPlain.put(tenant(t), new Need(grantedByPlain[slot][t] - returned, want));
                 }
             }
-            now += chance.nextInt(5);
+            now += random.nextInt(5);
             Map<TenantId, Grant> grants = lending.report(slot, needs, now);
             Map<TenantId, Grant> grantsOfPlain = plain.report(slot, needsOfPlain, now);
             for (int t = 0; t < TENANTS; t++) {
-                if (!parted[t]) {
+                if (!diverged[t]) {
                     assertEquals(grantsOfPlain.get(tenant(t)), grants.get(tenant(t)));
                 }
                 granted[slot][t] = grantOf(grants, t);
@@ -139,25 +139,25 @@
         }
 
         /** A slot is told whether floors are free; the revision it applies may be newer than the one it has reported. */
-        void hearOfFloors(int slot) {
-            if (here[slot] && lending.floorsFree() && acting[slot] == lastRevision()) {
+        void learnFloorsFree(int slot) {
+            if (present[slot] && lending.floorsFree() && applied[slot] == lastRevision()) {
                 for (int t = 0; t < TENANTS; t++) {
                     floors[slot][t] = lending.floor(cap(lastRevision(), t));
                 }
             }
         }
 
-        void back(int slot) {
-            lending.back(slot);
-            plain.back(slot);
+        void reclaim(int slot) {
+            lending.reclaim(slot);
+            plain.reclaim(slot);
             Arrays.fill(granted[slot], 0);
             Arrays.fill(grantedByPlain[slot], 0);
         }
 
-        void free(int slot) {
-            lending.free(slot);
-            plain.free(slot);
-            here[slot] = false;
+        void releaseSlot(int slot) {
+            lending.releaseSlot(slot);
+            plain.releaseSlot(slot);
+            present[slot] = false;
             Arrays.fill(granted[slot], 0);
             Arrays.fill(grantedByPlain[slot], 0);
             Arrays.fill(floors[slot], 0);
@@ -165,19 +165,19 @@
 
         /** Replaces lending by an instance loaded from its snapshot. */
         void reload() {
-            Lending loaded = fresh();
+            Lending loaded = newLending();
             lending.save(loaded::load);
             lending = loaded;
         }
 
-        long floorsOverOfPlain(int t) {
-            long floorsNow = (long) lending.floor(cap(lastRevision(), t)) * PLACES;
-            return plain.spoken(tenant(t)) - plain.granted(tenant(t)) - floorsNow;
+        long excessFloorsOfPlain(int t) {
+            long floorsNow = (long) lending.floor(cap(lastRevision(), t)) * SLOTS;
+            return plain.committed(tenant(t)) - plain.granted(tenant(t)) - floorsNow;
         }
 
         long relied(int t) {
             long all = 0;
-            for (int slot = 0; slot < PLACES; slot++) {
+            for (int slot = 0; slot < SLOTS; slot++) {
                 all += floors[slot][t] + granted[slot][t];
             }
             return all;
@@ -185,35 +185,35 @@
 
         void compare() {
             for (int t = 0; t < TENANTS; t++) {
-                long over = lending.floorsOver(tenant(t));
-                assertTrue(over >= floorsOverOfPlain(t), "excess floors are lower than in the plain model");
-                parted[t] |= over != floorsOverOfPlain(t);
-                if (!parted[t]) {
+                long over = lending.excessFloors(tenant(t));
+                assertTrue(over >= excessFloorsOfPlain(t), "excess floors are lower than in the plain model");
+                diverged[t] |= over != excessFloorsOfPlain(t);
+                if (!diverged[t]) {
                     assertEquals(plain.granted(tenant(t)), lending.granted(tenant(t)));
-                    assertEquals(plain.spoken(tenant(t)), lending.spoken(tenant(t)));
+                    assertEquals(plain.committed(tenant(t)), lending.committed(tenant(t)));
                 }
             }
-            for (int slot = 0; slot < PLACES; slot++) {
-                assertEquals(Arrays.stream(granted[slot]).sum() > 0, lending.holds(slot));
+            for (int slot = 0; slot < SLOTS; slot++) {
+                assertEquals(Arrays.stream(granted[slot]).sum() > 0, lending.hasGrants(slot));
             }
         }
 
         /** Once all slots apply the revision in force no earlier floor is kept, and for an empty fleet nothing. */
         void end() {
-            allAct(this);
+            allApplyLatest(this);
             lending.save(part -> {
                 if (part instanceof LendingPart.PoolState pool) {
                     assertEquals(List.of(), pool.earlierFloors());
                 }
             });
-            for (int slot = 0; slot < PLACES; slot++) {
-                free(slot);
+            for (int slot = 0; slot < SLOTS; slot++) {
+                releaseSlot(slot);
             }
-            assertEquals(0, lending.pools());
+            assertEquals(0, lending.poolCount());
         }
 
-        boolean hasParted() {
-            for (boolean each : parted) {
+        boolean hasDiverged() {
+            for (boolean each : diverged) {
                 if (each) {
                     return true;
                 }
@@ -224,11 +224,11 @@
         Map<TenantId, Integer> anyCaps(boolean uncapped) {
             Map<TenantId, Integer> caps = new HashMap<>(last());
             for (int t = 0; t < TENANTS; t++) {
-                int choice = chance.nextInt(4);
+                int choice = random.nextInt(4);
                 if (choice == 0 && uncapped) {
                     caps.remove(tenant(t));
                 } else if (choice > 1) {
-                    caps.put(tenant(t), chance.nextInt(CAP_MOST));
+                    caps.put(tenant(t), random.nextInt(CAP_LIMIT));
                 }
             }
             return caps;
@@ -236,14 +236,14 @@
 
         Map<TenantId, Integer> lowerCaps() {
             Map<TenantId, Integer> caps = new HashMap<>(last());
-            caps.replaceAll((t, cap) -> chance.nextInt(cap + 1));
+            caps.replaceAll((t, cap) -> random.nextInt(cap + 1));
             return caps;
         }
 
         void begin() {
             Map<TenantId, Integer> caps = new HashMap<>();
             for (int t = 0; t < TENANTS; t++) {
-                caps.put(tenant(t), chance.nextInt(CAP_MOST));
+                caps.put(tenant(t), random.nextInt(CAP_LIMIT));
             }
             publish(caps);
             enter(0);
@@ -257,14 +257,14 @@
         Fleet fleet = new Fleet(seed, 0);
         fleet.begin();
         for (int step = 0; step < STEPS; step++) {
-            int slot = fleet.chance.nextInt(PLACES);
-            switch (fleet.chance.nextInt(12)) {
+            int slot = fleet.random.nextInt(SLOTS);
+            switch (fleet.random.nextInt(12)) {
                 case 0 -> fleet.publish(fleet.anyCaps(true));
-                case 1 -> fleet.back(Math.max(1, slot));
-                case 2 -> fleet.free(Math.max(1, slot));
+                case 1 -> fleet.reclaim(Math.max(1, slot));
+                case 2 -> fleet.releaseSlot(Math.max(1, slot));
                 case 3 -> fleet.reload();
                 default -> {
-                    if (!fleet.here[slot]) {
+                    if (!fleet.present[slot]) {
                         fleet.enter(slot);
                     }
                     fleet.report(slot, false);
@@ -282,26 +282,26 @@
      * next is published.
      */
     @Property(tries = 300, seed = "12")
-    void countsFloorsThatFellAsThePlainModelDoes(@ForAll long seed, @ForAll @IntRange(min = 1, max = 4) int quarters) {
+    void countsLoweredFloorsLikePlainModel(@ForAll long seed, @ForAll @IntRange(min = 1, max = 4) int quarters) {
         Fleet fleet = new Fleet(seed, quarters * 0.25);
         fleet.begin();
         for (int step = 0; step < STEPS; step++) {
-            int slot = fleet.chance.nextInt(PLACES);
-            switch (fleet.chance.nextInt(14)) {
+            int slot = fleet.random.nextInt(SLOTS);
+            switch (fleet.random.nextInt(14)) {
                 case 0 -> fleet.publish(fleet.lowerCaps());
                 case 1 -> {
-                    allAct(fleet);
+                    allApplyLatest(fleet);
                     fleet.publish(fleet.anyCaps(true));
-                    allAct(fleet);
+                    allApplyLatest(fleet);
                 }
-                case 2 -> fleet.back(Math.max(1, slot));
-                case 3 -> fleet.free(Math.max(1, slot));
+                case 2 -> fleet.reclaim(Math.max(1, slot));
+                case 3 -> fleet.releaseSlot(Math.max(1, slot));
                 case 4 -> fleet.reload();
-                case 5, 6, 7 -> actLater(fleet, slot);
-                default -> reportIfHere(fleet, slot);
+                case 5, 6, 7 -> applyLaterAndReport(fleet, slot);
+                default -> reportIfPresent(fleet, slot);
             }
             fleet.compare();
-            assertTrue(!fleet.hasParted(), "excess floors differ");
+            assertTrue(!fleet.hasDiverged(), "excess floors differ");
             assertEquals(fleet.plain.floorsFree(), fleet.lending.floorsFree());
         }
         fleet.end();
@@ -314,28 +314,28 @@
      * model overlooks. What servers rely on never grows beyond the cap, and floors that are free stay free.
      */
     @Property(tries = 500, seed = "13")
-    void neverCountsFewerFloorsThanPlacesMayUse(@ForAll long seed, @ForAll @IntRange(min = 1, max = 4) int quarters) {
+    void neverCountsFewerFloorsThanSlotsMayUse(@ForAll long seed, @ForAll @IntRange(min = 1, max = 4) int quarters) {
         Fleet fleet = new Fleet(seed, quarters * 0.25);
         fleet.begin();
         for (int step = 0; step < STEPS; step++) {
-            int slot = fleet.chance.nextInt(PLACES);
+            int slot = fleet.random.nextInt(SLOTS);
             long[] reliedBefore = new long[TENANTS];
             long[] committedBefore = new long[TENANTS];
             for (int t = 0; t < TENANTS; t++) {
                 reliedBefore[t] = fleet.relied(t);
-                committedBefore[t] = fleet.lending.spoken(tenant(t));
+                committedBefore[t] = fleet.lending.committed(tenant(t));
             }
             boolean freeBefore = fleet.lending.floorsFree();
-            int choice = fleet.chance.nextInt(16);
+            int choice = fleet.random.nextInt(16);
             switch (choice) {
                 case 0, 1 -> fleet.publish(fleet.anyCaps(true));
-                case 2 -> fleet.back(Math.max(1, slot));
-                case 3 -> fleet.free(Math.max(1, slot));
+                case 2 -> fleet.reclaim(Math.max(1, slot));
+                case 3 -> fleet.releaseSlot(Math.max(1, slot));
                 case 4 -> fleet.reload();
-                case 5, 6 -> actLater(fleet, slot);
-                case 7, 8 -> moveLater(fleet, slot);
-                case 9, 10 -> fleet.hearOfFloors(slot);
-                default -> reportIfHere(fleet, slot);
+                case 5, 6 -> applyLaterAndReport(fleet, slot);
+                case 7, 8 -> applyLater(fleet, slot);
+                case 9, 10 -> fleet.learnFloorsFree(slot);
+                default -> reportIfPresent(fleet, slot);
             }
             fleet.compare();
             assertTrue(
@@ -344,7 +344,7 @@
                 int cap = fleet.cap(fleet.lastRevision(), t);
                 if (cap != Caps.UNCAPPED && choice > 1) {
                     assertTrue(fleet.relied(t) <= Math.max(reliedBefore[t], cap), "servers rely on more than the cap");
-                    long committed = fleet.lending.spoken(tenant(t));
+                    long committed = fleet.lending.committed(tenant(t));
                     assertTrue(committed <= Math.max(committedBefore[t], cap), "more than the cap is committed");
                     assertTrue(fleet.relied(t) <= committed, "servers rely on more than is committed");
                 }
@@ -358,43 +358,43 @@
      * use the higher floor although it has not reported that it applies revision 2.
      */
     @Test
-    void aPlaceMayBeAheadOfItsReport() {
+    void slotMayBeAheadOfItsReport() {
         Fleet fleet = new Fleet(1, 0.5);
         fleet.publish(Map.of(tenant(0), 20));
         fleet.enter(0);
         fleet.publish(Map.of(tenant(0), 60));
-        fleet.move(0, 2);
-        fleet.hearOfFloors(0);
+        fleet.apply(0, 2);
+        fleet.learnFloorsFree(0);
         assertEquals(6, fleet.floors[0][0]);
         fleet.publish(Map.of(tenant(0), 20));
-        assertEquals(4, fleet.lending.floorsOver(tenant(0)));
-        assertEquals(0, fleet.floorsOverOfPlain(0));
+        assertEquals(4, fleet.lending.excessFloors(tenant(0)));
+        assertEquals(0, fleet.excessFloorsOfPlain(0));
     }
 
-    private static void allAct(Fleet fleet) {
-        for (int slot = 0; slot < PLACES; slot++) {
-            if (fleet.here[slot]) {
+    private static void allApplyLatest(Fleet fleet) {
+        for (int slot = 0; slot < SLOTS; slot++) {
+            if (fleet.present[slot]) {
                 fleet.enter(slot);
             }
         }
     }
 
     /** A present slot applies a later revision and reports it; an absent one enters. */
-    private static void actLater(Fleet fleet, int slot) {
-        moveLater(fleet, slot);
-        fleet.say(slot);
+    private static void applyLaterAndReport(Fleet fleet, int slot) {
+        applyLater(fleet, slot);
+        fleet.reportApplied(slot);
     }
 
-    private static void moveLater(Fleet fleet, int slot) {
-        if (!fleet.here[slot]) {
+    private static void applyLater(Fleet fleet, int slot) {
+        if (!fleet.present[slot]) {
             fleet.enter(slot);
-        } else if (fleet.acting[slot] < fleet.lastRevision()) {
-            fleet.move(slot, fleet.chance.nextInt(fleet.acting[slot] + 1, fleet.lastRevision() + 1));
+        } else if (fleet.applied[slot] < fleet.lastRevision()) {
+            fleet.apply(slot, fleet.random.nextInt(fleet.applied[slot] + 1, fleet.lastRevision() + 1));
         }
     }
 
-    private static void reportIfHere(Fleet fleet, int slot) {
-        if (fleet.here[slot]) {
+    private static void reportIfPresent(Fleet fleet, int slot) {
+        if (fleet.present[slot]) {
             fleet.report(slot, true);
         }
     }
--- a/fleet/src/test/java/tallyweir/fleet/PlainChanges.java
+++ b/fleet/src/test/java/tallyweir/fleet/PlainChanges.java
@@ -8,29 +8,29 @@
 /** A plain, slow model of changes and their outcomes: a list of maps, one per revision, searched for every query. */
 final class PlainChanges {
     /** A command that changes some caps from one value to another; -1 is no cap. */
-    record Asked(String command, String by, Map<String, Integer> before, Map<String, Integer> after) {}
+    record ChangeRequest(String command, String author, Map<String, Integer> before, Map<String, Integer> after) {}
 
-    private static final class Step {
+    private static final class RevisionModel {
         final Map<String, Integer> caps;
-        final List<Asked> asked;
+        final List<ChangeRequest> requests;
         final int base;
-        boolean turnedDown;
+        boolean rejected;
 
-        Step(Map<String, Integer> caps, List<Asked> asked, int base) {
+        RevisionModel(Map<String, Integer> caps, List<ChangeRequest> requests, int base) {
             this.caps = caps;
-            this.asked = asked;
+            this.requests = requests;
             this.base = base;
         }
     }
 
-    private final List<Step> steps = new ArrayList<>();
-    private final List<List<Asked>> toTry = new ArrayList<>(); // halves of rejected batches
-    private final List<Asked> waiting = new ArrayList<>();
+    private final List<RevisionModel> revisions = new ArrayList<>();
+    private final List<List<ChangeRequest>> retries = new ArrayList<>(); // halves of rejected batches
+    private final List<ChangeRequest> waiting = new ArrayList<>();
     private int inForce; // 0 for none
-    private int open; // 0 for none
+    private int proposed; // 0 for none
 
     private Map<String, Integer> caps(int revision) {
-        return revision == 0 ? Map.of() : steps.get(revision - 1).caps;
+        return revision == 0 ? Map.of() : revisions.get(revision - 1).caps;
     }
 
     Map<String, Integer> inForce() {
@@ -38,87 +38,87 @@
     }
 
     int revisions() {
-        return steps.size();
+        return revisions.size();
     }
 
     int inForceNumber() {
         return inForce;
     }
 
-    boolean isOpen() {
-        return open > 0;
+    boolean isProposed() {
+        return proposed > 0;
     }
 
-    Map<String, Integer> opened() {
-        return caps(open);
+    Map<String, Integer> proposedCaps() {
+        return caps(proposed);
     }
 
-    private List<Asked> allWaiting() {
-        List<Asked> all = new ArrayList<>();
-        toTry.forEach(all::addAll);
+    private List<ChangeRequest> allWaiting() {
+        List<ChangeRequest> all = new ArrayList<>();
+        retries.forEach(all::addAll);
         all.addAll(waiting);
         return all;
     }
 
     // ---- commands of operators; each returns the answer as text
 
-    String change(Asked asked) {
-        for (String tenant : asked.after.keySet()) {
-            if (isOpen() && (differs(open, tenant) || isAsked(open, tenant))) {
-                return "conflict " + tenant + " " + whoChanged(open, tenant);
+    String change(ChangeRequest request) {
+        for (String tenant : request.after.keySet()) {
+            if (isProposed() && (differs(proposed, tenant) || isRequested(proposed, tenant))) {
+                return "conflict " + tenant + " " + authorOfChange(proposed, tenant);
             }
-            for (Asked other : allWaiting()) {
+            for (ChangeRequest other : allWaiting()) {
                 if (other.after.containsKey(tenant)) {
-                    return "conflict " + tenant + " " + other.by;
+                    return "conflict " + tenant + " " + other.author;
                 }
             }
         }
-        for (String tenant : asked.after.keySet()) {
-            if (!holds(asked, tenant)) {
-                return "conflict " + tenant + " " + lastChanged(tenant);
+        for (String tenant : request.after.keySet()) {
+            if (!isUnchanged(request, tenant)) {
+                return "conflict " + tenant + " " + lastAuthor(tenant);
             }
         }
-        if (isOpen()) {
-            waiting.add(asked);
+        if (isProposed()) {
+            waiting.add(request);
             return "waiting " + (allWaiting().size() - 1);
         }
-        return propose(with(inForce(), asked), List.of(asked));
+        return propose(with(inForce(), request), List.of(request));
     }
 
-    String whole(String command, String by, int expected, Map<String, Integer> caps) {
+    String publish(String command, String author, int expected, Map<String, Integer> caps) {
         if (!allWaiting().isEmpty()) {
-            return "race " + allWaiting().get(0).by;
+            return "race " + allWaiting().get(0).author;
         }
-        if (isOpen()) {
-            return "race " + author(steps.get(open - 1));
+        if (isProposed()) {
+            return "race " + author(revisions.get(proposed - 1));
         }
         if (expected != inForce) {
-            return "race " + (inForce == 0 ? "nobody" : author(steps.get(inForce - 1)));
+            return "race " + (inForce == 0 ? "nobody" : author(revisions.get(inForce - 1)));
         }
-        return propose(caps, List.of(new Asked(command, by, Map.of(), Map.of())));
+        return propose(caps, List.of(new ChangeRequest(command, author, Map.of(), Map.of())));
     }
 
-    String rollback(String command, String by, int expected, int to) {
-        if (to < 1 || to > steps.size() || to == open || steps.get(to - 1).turnedDown) {
+    String rollback(String command, String author, int expected, int target) {
+        if (target < 1 || target > revisions.size() || target == proposed || revisions.get(target - 1).rejected) {
             return "no such";
         }
-        return whole(command, by, expected, caps(to));
+        return publish(command, author, expected, caps(target));
     }
 
-    private static String author(Step step) {
-        int more = step.asked.size() - 1;
-        return step.asked.get(0).by + (more == 0 ? "" : " and " + more + " more");
+    private static String author(RevisionModel step) {
+        int more = step.requests.size() - 1;
+        return step.requests.get(0).author + (more == 0 ? "" : " and " + more + " more");
     }
 
-    private String propose(Map<String, Integer> caps, List<Asked> asked) {
-        steps.add(new Step(caps, asked, inForce));
-        open = steps.size();
-        return "done " + open;
+    private String propose(Map<String, Integer> caps, List<ChangeRequest> requests) {
+        revisions.add(new RevisionModel(caps, requests, inForce));
+        proposed = revisions.size();
+        return "done " + proposed;
     }
 
-    private static Map<String, Integer> with(Map<String, Integer> caps, Asked asked) {
+    private static Map<String, Integer> with(Map<String, Integer> caps, ChangeRequest request) {
         Map<String, Integer> changed = new TreeMap<>(caps);
-        asked.after.forEach((tenant, cap) -> {
+        request.after.forEach((tenant, cap) -> {
             if (cap < 0) {
                 changed.remove(tenant);
             } else {
@@ -128,33 +128,33 @@
         return changed;
     }
 
-    private boolean holds(Asked asked, String tenant) {
-        return inForce().getOrDefault(tenant, -1).equals(asked.before.get(tenant));
+    private boolean isUnchanged(ChangeRequest request, String tenant) {
+        return inForce().getOrDefault(tenant, -1).equals(request.before.get(tenant));
     }
 
     private boolean differs(int revision, String tenant) {
-        Integer before = caps(steps.get(revision - 1).base).get(tenant);
+        Integer before = caps(revisions.get(revision - 1).base).get(tenant);
         Integer after = caps(revision).get(tenant);
         return before == null ? after != null : !before.equals(after);
     }
 
-    private boolean isAsked(int revision, String tenant) {
-        return steps.get(revision - 1).asked.stream().anyMatch(asked -> asked.after.containsKey(tenant));
+    private boolean isRequested(int revision, String tenant) {
+        return revisions.get(revision - 1).requests.stream().anyMatch(asked -> asked.after.containsKey(tenant));
     }
 
-    private String whoChanged(int revision, String tenant) {
-        for (Asked asked : steps.get(revision - 1).asked) {
+    private String authorOfChange(int revision, String tenant) {
+        for (ChangeRequest asked : revisions.get(revision - 1).requests) {
             if (asked.after.containsKey(tenant)) {
-                return asked.by;
+                return asked.author;
             }
         }
-        return steps.get(revision - 1).asked.get(0).by;
+        return revisions.get(revision - 1).requests.get(0).author;
     }
 
-    private String lastChanged(String tenant) {
-        for (int revision = inForce; revision > 0; revision = steps.get(revision - 1).base) {
+    private String lastAuthor(String tenant) {
+        for (int revision = inForce; revision > 0; revision = revisions.get(revision - 1).base) {
             if (differs(revision, tenant)) {
-                return whoChanged(revision, tenant);
+                return authorOfChange(revision, tenant);
             }
         }
         return "unknown";
@@ -162,36 +162,36 @@
 
     // ---- reports of servers
 
-    void decide(boolean can) {
-        Step step = steps.get(open - 1);
-        if (can) {
-            inForce = open;
+    void decide(boolean isAccepted) {
+        RevisionModel revision = revisions.get(proposed - 1);
+        if (isAccepted) {
+            inForce = proposed;
         } else {
-            step.turnedDown = true;
-            int half = step.asked.size() / 2;
+            revision.rejected = true;
+            int half = revision.requests.size() / 2;
             if (half > 0) {
-                toTry.add(0, step.asked.subList(half, step.asked.size()));
-                toTry.add(0, step.asked.subList(0, half));
+                retries.add(0, revision.requests.subList(half, revision.requests.size()));
+                retries.add(0, revision.requests.subList(0, half));
             }
         }
-        open = 0;
-        takeUp();
+        proposed = 0;
+        proposeWaiting();
     }
 
-    private void takeUp() {
-        while (open == 0 && !allWaiting().isEmpty()) {
-            List<Asked> batch = toTry.isEmpty() ? List.copyOf(waiting) : toTry.remove(0);
+    private void proposeWaiting() {
+        while (proposed == 0 && !allWaiting().isEmpty()) {
+            List<ChangeRequest> batch = retries.isEmpty() ? List.copyOf(waiting) : retries.remove(0);
             waiting.removeAll(batch);
-            List<Asked> holding = new ArrayList<>();
+            List<ChangeRequest> unchanged = new ArrayList<>();
             Map<String, Integer> caps = inForce();
-            for (Asked asked : batch) {
-                if (asked.after.keySet().stream().allMatch(tenant -> holds(asked, tenant))) {
-                    holding.add(asked);
+            for (ChangeRequest asked : batch) {
+                if (asked.after.keySet().stream().allMatch(tenant -> isUnchanged(asked, tenant))) {
+                    unchanged.add(asked);
                     caps = with(caps, asked);
                 }
             }
-            if (!holding.isEmpty()) {
-                propose(caps, holding);
+            if (!unchanged.isEmpty()) {
+                propose(caps, unchanged);
             }
         }
     }
@@ -199,16 +199,16 @@
     // ---- outcomes of commands
 
     String outcome(String command) {
-        List<Asked> all = allWaiting();
+        List<ChangeRequest> all = allWaiting();
         for (int i = 0; i < all.size(); i++) {
             if (all.get(i).command.equals(command)) {
                 return "waiting " + i;
             }
         }
-        for (int revision = steps.size(); revision > 0; revision--) {
-            Step step = steps.get(revision - 1);
-            if (step.asked.stream().anyMatch(asked -> asked.command.equals(command))) {
-                return step.turnedDown ? "cannot " + revision : "done " + revision;
+        for (int revision = revisions.size(); revision > 0; revision--) {
+            RevisionModel step = revisions.get(revision - 1);
+            if (step.requests.stream().anyMatch(asked -> asked.command.equals(command))) {
+                return step.rejected ? "cannot " + revision : "done " + revision;
             }
         }
         return "not taken";
--- a/fleet/src/test/java/tallyweir/fleet/PlainGate.java
+++ b/fleet/src/test/java/tallyweir/fleet/PlainGate.java
@@ -19,68 +19,68 @@
  * Times are in the unit of the clock that the caller passes in.
  */
 public final class PlainGate {
-    private static final int AHEAD = 4; // headroom asked for above the need: one in so many, plus one
-    private static final int IDLE_TURNS = 8; // reports after which peaks are reset, so that unused shares return
+    private static final int HEADROOM_DIVISOR = 4; // headroom asked for above the need: one in so many, plus one
+    private static final int PEAK_WINDOW_REPORTS = 8; // reports after which peaks are reset, so that unused shares return
 
-    private record Lingering(long until, TenantId tenant, ConnectionId connection, long since) {}
+    private record Lingering(long expiresAt, TenantId tenant, ConnectionId connection, long idleSince) {}
 
     /** A connection that counts for a tenant. */
-    private static final class Use {
-        int open; // queries
+    private static final class ConnectionUse {
+        int openQueries; // queries
         long idleSince = -1; // since when no query is open, -1 while one is
-        boolean ending; // accepts no more queries, because the limit was lowered
+        boolean retiring; // accepts no more queries, because the limit was lowered
     }
 
     private static final class Tenant {
-        final LinkedHashMap<ConnectionId, Use> uses = new LinkedHashMap<>();
+        final LinkedHashMap<ConnectionId, ConnectionUse> uses = new LinkedHashMap<>();
         int cap = -1; // none
         int floor;
-        int floorThen; // the floor once the fleet has declared the floors free
+        int floorOnceFree; // the floor once the fleet has declared the floors free
         int granted;
         int target;
-        int ending; // number of connections that accept no more queries
-        int most; // peak number of connections within the last reports
-        final HashSet<ConnectionId> turned = new HashSet<>(); // connections rejected since the last report
+        int retiring; // number of connections that accept no more queries
+        int peak; // peak number of connections within the last reports
+        final HashSet<ConnectionId> rejected = new HashSet<>(); // connections rejected since the last report
         int wanted; // as of the last report
-        int turns;
-        boolean full; // the fleet grants less than is wanted
+        int reportsInPeakWindow;
+        boolean fleetFull; // the fleet grants less than is wanted
     }
 
-    private final long linger;
+    private final long lingerTime;
     private final Map<TenantId, Tenant> tenants = new HashMap<>();
-    private final Map<ConnectionId, ArrayDeque<TenantId>> ofConnection = new HashMap<>();
+    private final Map<ConnectionId, ArrayDeque<TenantId>> tenantsByConnection = new HashMap<>();
     private final ArrayDeque<Lingering> lingering = new ArrayDeque<>(); // by expiry
     private long now;
     private long leaseUntil = Long.MIN_VALUE;
     private long floorUntil = Long.MIN_VALUE;
-    private int places = 1;
+    private int slots = 1;
     private double floorShare;
-    private boolean known; // whether any caps are known; until then every tenant counts as at its cap
+    private boolean hasCaps; // whether any caps are known; until then every tenant counts as at its cap
 
-    public PlainGate(long linger) {
-        this.linger = linger;
+    public PlainGate(long lingerTime) {
+        this.lingerTime = lingerTime;
     }
 
     /** The part of a cap that each slot may use without being lent anything. */
-    public static int floor(int cap, double floorShare, int places) {
-        return (int) Math.floor(cap * floorShare / places);
+    public static int floor(int cap, double floorShare, int slots) {
+        return (int) Math.floor(cap * floorShare / slots);
     }
 
     /** Advances the clock and releases the connections whose linger time is over. */
-    public void clock(long now) {
+    public void advanceClock(long now) {
         this.now = Math.max(this.now, now);
-        while (!lingering.isEmpty() && lingering.peek().until <= this.now) {
+        while (!lingering.isEmpty() && lingering.peek().expiresAt <= this.now) {
             Lingering expired = lingering.poll();
-            Use use = tenant(expired.tenant).uses.get(expired.connection);
-            if (use != null && use.idleSince == expired.since) {
+            ConnectionUse use = tenant(expired.tenant).uses.get(expired.connection);
+            if (use != null && use.idleSince == expired.idleSince) {
                 release(expired.tenant, expired.connection);
             }
         }
     }
 
     /** When {@link #clock} next has a connection to release, MAX_VALUE if there is none. */
-    public long next() {
-        return lingering.isEmpty() ? Long.MAX_VALUE : lingering.peek().until;
+    public long nextReleaseAt() {
+        return lingering.isEmpty() ? Long.MAX_VALUE : lingering.peek().expiresAt;
     }
 
     private Tenant tenant(TenantId t) {
@@ -88,8 +88,8 @@
     }
 
     /** Sets how floors are derived from caps in this fleet. */
-    void floors(int places, double floorShare) {
-        this.places = places;
+    void configureFloors(int slots, double floorShare) {
+        this.slots = slots;
         this.floorShare = floorShare;
     }
 
@@ -98,12 +98,12 @@
      * has declared the floors free, since until then it may be lent to others.
      */
     public void caps(Map<TenantId, Integer> caps) {
-        known = true;
+        hasCaps = true;
         caps.keySet().forEach(this::tenant);
         tenants.forEach((t, state) -> {
             state.cap = caps.getOrDefault(t, -1);
-            state.floorThen = state.cap < 0 ? 0 : floor(state.cap, floorShare, places);
-            state.floor = Math.min(state.floor, state.floorThen);
+            state.floorOnceFree = state.cap < 0 ? 0 : floor(state.cap, floorShare, slots);
+            state.floor = Math.min(state.floor, state.floorOnceFree);
         });
     }
 
@@ -115,16 +115,16 @@
      * @param floorUntil when the floors expire
      * @param floorsFree whether the floors of the caps in force here may be used, even if they are higher than before
      */
-    public void lent(Map<TenantId, Grant> shares, long leaseUntil, long floorUntil, boolean floorsFree) {
+    public void updateGrants(Map<TenantId, Grant> grants, long leaseUntil, long floorUntil, boolean floorsFree) {
         this.leaseUntil = leaseUntil;
         this.floorUntil = floorUntil;
-        shares.keySet().forEach(this::tenant);
+        grants.keySet().forEach(this::tenant);
         tenants.forEach((t, state) -> {
-            Grant grant = shares.get(t);
+            Grant grant = grants.get(t);
             state.granted = grant == null ? 0 : grant.granted();
             state.target = grant == null ? 0 : grant.target();
-            state.full = state.target < state.wanted;
-            state.floor = floorsFree ? state.floorThen : state.floor;
+            state.fleetFull = state.target < state.wanted;
+            state.floor = floorsFree ? state.floorOnceFree : state.floor;
         });
     }
 
@@ -133,42 +133,42 @@
         leaseUntil = Long.MIN_VALUE;
     }
 
-    private int floorNow(Tenant state) {
+    private int currentFloor(Tenant state) {
         return now < floorUntil ? state.floor : 0;
     }
 
     /** The maximum number of connections. */
-    private int most(Tenant state) {
-        return floorNow(state) + (now < leaseUntil ? state.granted : 0);
+    private int maxConnections(Tenant state) {
+        return currentFloor(state) + (now < leaseUntil ? state.granted : 0);
     }
 
     /** The number of connections that the fleet wants the server to reduce to. */
-    private int aim(Tenant state) {
-        return floorNow(state) + (now < leaseUntil ? Math.min(state.granted, state.target) : 0);
+    private int targetConnections(Tenant state) {
+        return currentFloor(state) + (now < leaseUntil ? Math.min(state.granted, state.target) : 0);
     }
 
     /**
      * Retires connections above the target: idle ones stop counting at once, the others once their last query is
      * answered.
      */
-    private void trim(TenantId t, Tenant state, int aim) {
-        if (state.uses.size() - state.ending <= aim) {
+    private void trim(TenantId t, Tenant state, int target) {
+        if (state.uses.size() - state.retiring <= target) {
             return;
         }
-        for (Iterator<Map.Entry<ConnectionId, Use>> i = state.uses.entrySet().iterator();
-                i.hasNext() && state.uses.size() - state.ending > aim; ) {
-            Map.Entry<ConnectionId, Use> entry = i.next();
-            if (entry.getValue().open == 0) {
+        for (Iterator<Map.Entry<ConnectionId, ConnectionUse>> i = state.uses.entrySet().iterator();
+                i.hasNext() && state.uses.size() - state.retiring > target; ) {
+            Map.Entry<ConnectionId, ConnectionUse> entry = i.next();
+            if (entry.getValue().openQueries == 0) {
                 i.remove();
-                leave(t, entry.getKey());
+                unlink(t, entry.getKey());
             }
         }
-        for (Use use : state.uses.values()) {
-            if (state.uses.size() - state.ending <= aim) {
+        for (ConnectionUse use : state.uses.values()) {
+            if (state.uses.size() - state.retiring <= target) {
                 return;
             }
-            state.ending += use.ending ? 0 : 1;
-            use.ending = true;
+            state.retiring += use.retiring ? 0 : 1;
+            use.retiring = true;
         }
     }
 
@@ -176,69 +176,69 @@
      * Called for each query read. Returns whether the query may proceed, in which case its connection counts for the
      * tenant.
      */
-    public boolean enter(ConnectionId connection, TenantId tenant) {
-        if (!known) {
+    public boolean admit(ConnectionId connection, TenantId tenant) {
+        if (!hasCaps) {
             return false;
         }
         Tenant state = tenant(tenant);
         if (state.cap >= 0) {
-            trim(tenant, state, aim(state));
+            trim(tenant, state, targetConnections(state));
         }
-        Use use = state.uses.get(connection);
-        if (state.cap >= 0 && (use == null || use.ending)) {
-            boolean room =
-                    state.uses.size() - state.ending < aim(state) && (use != null || state.uses.size() < most(state));
-            if (!room) {
-                state.turned.add(connection);
+        ConnectionUse use = state.uses.get(connection);
+        if (state.cap >= 0 && (use == null || use.retiring)) {
+            boolean hasRoom =
+                    state.uses.size() - state.retiring < targetConnections(state) && (use != null || state.uses.size() < maxConnections(state));
+            if (!hasRoom) {
+                state.rejected.add(connection);
                 return false;
             }
         }
         if (use == null) {
-            use = new Use();
+            use = new ConnectionUse();
             state.uses.put(connection, use);
-            ofConnection.computeIfAbsent(connection, c -> new ArrayDeque<>(1)).add(tenant);
-            state.most = Math.max(state.most, state.uses.size());
+            tenantsByConnection.computeIfAbsent(connection, c -> new ArrayDeque<>(1)).add(tenant);
+            state.peak = Math.max(state.peak, state.uses.size());
         }
-        state.ending -= use.ending ? 1 : 0;
-        use.ending = false;
-        use.open++;
+        state.retiring -= use.retiring ? 1 : 0;
+        use.retiring = false;
+        use.openQueries++;
         use.idleSince = -1;
         return true;
     }
 
     /** A query that was admitted has been answered or its caller has disconnected. */
-    public void over(ConnectionId connection, TenantId tenant) {
-        Use use = tenant(tenant).uses.get(connection);
-        if (use == null || --use.open > 0) {
+    public void onQueryEnd(ConnectionId connection, TenantId tenant) {
+        ConnectionUse use = tenant(tenant).uses.get(connection);
+        if (use == null || --use.openQueries > 0) {
             return;
         }
-        if (use.ending || linger == 0) {
+        if (use.retiring || lingerTime == 0) {
             release(tenant, connection);
         } else {
             use.idleSince = now;
-            lingering.add(new Lingering(now + linger, tenant, connection, now));
+            lingering.add(new Lingering(now + lingerTime, tenant, connection, now));
         }
     }
 
     /** A connection has closed: it counts for no tenant any more. */
-    public void closed(ConnectionId connection) {
-        ArrayDeque<TenantId> counted = ofConnection.get(connection);
+    public void onConnectionClosed(ConnectionId connection) {
+        ArrayDeque<TenantId> counted = tenantsByConnection.get(connection);
         while (counted != null && !counted.isEmpty()) {
             release(counted.peek(), connection);
         }
     }
 
     private void release(TenantId t, ConnectionId connection) {
-        Use use = tenant(t).uses.remove(connection);
-        tenant(t).ending -= use.ending ? 1 : 0;
-        leave(t, connection);
+        ConnectionUse use = tenant(t).uses.remove(connection);
+        tenant(t).retiring -= use.retiring ? 1 : 0;
+        unlink(t, connection);
     }
 
-    private void leave(TenantId t, ConnectionId connection) {
-        ArrayDeque<TenantId> counted = ofConnection.get(connection);
+    private void unlink(TenantId t, ConnectionId connection) {
+        ArrayDeque<TenantId> counted = tenantsByConnection.get(connection);
         counted.remove(t);
         if (counted.isEmpty()) {
-            ofConnection.remove(connection);
+            tenantsByConnection.remove(connection);
         }
     }
 
@@ -247,49 +247,49 @@
      * is used, whether or not the report arrives.
      */
     public Map<TenantId, Need> needs() {
-        Map<TenantId, Need> needs = new TreeMap<>((a, b) -> a.value().compareTo(b.value()));
+        Map<TenantId, Need> result = new TreeMap<>((a, b) -> a.value().compareTo(b.value()));
         tenants.forEach((t, state) -> {
             if (state.cap < 0) {
                 return;
             }
-            trim(t, state, aim(state));
+            trim(t, state, targetConnections(state));
             int used = state.uses.size();
-            int most = Math.max(state.most, used) + Math.min(state.turned.size(), state.cap);
-            state.wanted = most == 0 ? 0 : Math.max(0, Math.min(state.cap, most + most / AHEAD + 1) - state.floor);
-            int open = Math.max(0, used - floorNow(state));
+            int peak = Math.max(state.peak, used) + Math.min(state.rejected.size(), state.cap);
+            state.wanted = peak == 0 ? 0 : Math.max(0, Math.min(state.cap, peak + peak / HEADROOM_DIVISOR + 1) - state.floor);
+            int open = Math.max(0, used - currentFloor(state));
             state.granted = Math.min(state.granted, Math.max(open, Math.min(state.target, state.wanted)));
             int keep = Math.max(state.granted, open);
             if (keep > 0 || state.wanted > 0) {
-                needs.put(t, new Need(keep, state.wanted));
+                result.put(t, new Need(keep, state.wanted));
             }
-            state.turned.clear();
-            if (++state.turns >= IDLE_TURNS) {
-                state.turns = 0;
-                state.most = used;
+            state.rejected.clear();
+            if (++state.reportsInPeakWindow >= PEAK_WINDOW_REPORTS) {
+                state.reportsInPeakWindow = 0;
+                state.peak = used;
             }
         });
-        return needs;
+        return result;
     }
 
     /** Whether a tenant was rejected since the last report, so that the next report should be sent at once. */
-    public boolean pressed() {
-        return tenants.values().stream().anyMatch(state -> !state.turned.isEmpty());
+    public boolean hasRejected() {
+        return tenants.values().stream().anyMatch(state -> !state.rejected.isEmpty());
     }
 
     /** The number of connections that count for a tenant now. */
-    public int used(TenantId tenant) {
+    public int usedConnections(TenantId tenant) {
         return tenant(tenant).uses.size();
     }
 
     /** The maximum number of connections of a tenant now, -1 for no limit. */
-    public int most(TenantId tenant) {
+    public int maxConnections(TenantId tenant) {
         Tenant state = tenant(tenant);
-        return state.cap < 0 ? -1 : most(state);
+        return state.cap < 0 ? -1 : maxConnections(state);
     }
 
     /** Whether, as far as this server knows, the fleet has no more connections to lend to a tenant. */
-    public boolean fleetFull(TenantId tenant) {
-        return now < leaseUntil && tenant(tenant).full;
+    public boolean isFleetFull(TenantId tenant) {
+        return now < leaseUntil && tenant(tenant).fleetFull;
     }
 
     /** The caps in force here by tenant, ordered by name. */
@@ -317,20 +317,20 @@
                     .append(state.cap)
                     .append(',')
                     .append(state.floor)
-                    .append(state.floorThen)
+                    .append(state.floorOnceFree)
                     .append(',')
                     .append(state.granted)
                     .append(',')
                     .append(state.target)
                     .append(',')
-                    .append(state.ending)
+                    .append(state.retiring)
                     .append(',')
-                    .append(state.most)
+                    .append(state.peak)
                     .append(',')
-                    .append(state.turned.size())
+                    .append(state.rejected.size())
                     .append(',')
-                    .append(state.turns);
-            state.uses.forEach((c, use) -> text.append(use.open).append(use.ending));
+                    .append(state.reportsInPeakWindow);
+            state.uses.forEach((c, use) -> text.append(use.openQueries).append(use.retiring));
         });
         return text.toString();
     }
--- a/fleet/src/test/java/tallyweir/fleet/PlainLending.java
+++ b/fleet/src/test/java/tallyweir/fleet/PlainLending.java
@@ -21,9 +21,9 @@
     /** What one slot holds of one tenant's cap beyond its floor. */
     static final class Share {
         int granted;
-        int want;
+        int wanted;
         boolean extra; // gets one more than the level where the cap does not divide
-        int floorOver; // by how much its floor may still exceed that of the revision in force
+        int excessFloor; // by how much its floor may still exceed that of the revision in force
     }
 
     private static final class Pool {
@@ -31,7 +31,7 @@
         int floor;
         long granted; // of all slots
         long wanted;
-        long floorsOver;
+        long excessFloors;
         int level = Integer.MAX_VALUE;
         long levelAt = Long.MIN_VALUE;
         int turn;
@@ -39,12 +39,12 @@
     }
 
     private final boolean floorsLent; // floors are lent too: only where a check has switched the guard off
-    private int places;
+    private int slots;
     private double floorShare;
     private boolean floorsFree; // under the caps in force; once true, stays true until the next revision
-    private long levelEvery;
+    private long levelInterval;
     private final Map<TenantId, Pool> pools = new HashMap<>();
-    private final Map<Integer, Map<TenantId, Integer>> actingUnder =
+    private final Map<Integer, Map<TenantId, Integer>> capsBySlot =
             new HashMap<>(); // the caps that a slot may still apply
 
     PlainLending(boolean floorsLent) {
@@ -53,30 +53,30 @@
 
     /**
      * @param floorShare the fraction of each cap that is spread over all slots as floors
-     * @param levelEvery minimum interval between computations of the max-min level while demand exceeds the cap
+     * @param levelInterval minimum interval between computations of the max-min level while demand exceeds the cap
      */
-    void settings(int places, double floorShare, long levelEvery) {
-        this.places = places;
+    void settings(int slotCount, double floorShare, long levelInterval) {
+        this.slots = slotCount;
         this.floorShare = floorShare;
-        this.levelEvery = levelEvery;
+        this.levelInterval = levelInterval;
     }
 
     /** Restores the caps that a slot applies, after the rest was loaded. */
     void restored(int slot, Map<TenantId, Integer> caps) {
-        actingUnder.put(slot, caps);
+        capsBySlot.put(slot, caps);
     }
 
     /** The floor of each slot under a cap. */
     int floor(int cap) {
-        return cap == UNCAPPED ? 0 : Gate.floor(cap, floorShare, places);
+        return cap == UNCAPPED ? 0 : Gate.floor(cap, floorShare, slots);
     }
 
     /** Applies other caps. Grants beyond a lowered cap are returned as servers report. */
-    void caps(Map<TenantId, Integer> caps) {
+    void applyCaps(Map<TenantId, Integer> caps) {
         floorsFree = false;
         restored(caps);
         pools.values().forEach(pool -> pool.levelAt = Long.MIN_VALUE);
-        actingUnder.keySet().forEach(this::floorsOver);
+        capsBySlot.keySet().forEach(this::updateExcessFloors);
     }
 
     /** Restores the caps in force, after the rest was loaded. */
@@ -89,16 +89,16 @@
     }
 
     /** A slot applies other caps than before; it uses raised floors only once they are free. */
-    void acting(int slot, Map<TenantId, Integer> caps) {
-        actingUnder.put(slot, caps);
+    void slotApplied(int slot, Map<TenantId, Integer> caps) {
+        capsBySlot.put(slot, caps);
         pools.forEach((tenant, pool) -> {
             Share share = pool.shares.get(slot);
             if (share != null) {
-                over(
+                setExcessFloor(
                         pool,
                         share,
                         Math.min(
-                                share.floorOver, Math.max(0, floor(caps.getOrDefault(tenant, UNCAPPED)) - pool.floor)));
+                                share.excessFloor, Math.max(0, floor(caps.getOrDefault(tenant, UNCAPPED)) - pool.floor)));
             }
         });
     }
@@ -108,13 +108,13 @@
         if (!floorsFree) {
             floorsFree = pools.values().stream()
                     .allMatch(pool -> pool.cap == UNCAPPED
-                            || (long) pool.floor * places + pool.floorsOver + pool.granted <= pool.cap);
+                            || (long) pool.floor * slots + pool.excessFloors + pool.granted <= pool.cap);
         }
         return floorsFree;
     }
 
-    private void floorsOver(int slot) {
-        Map<TenantId, Integer> applied = actingUnder.get(slot);
+    private void updateExcessFloors(int slot) {
+        Map<TenantId, Integer> applied = capsBySlot.get(slot);
         pools.forEach((tenant, pool) -> {
             int over = Math.max(0, floor(applied.getOrDefault(tenant, UNCAPPED)) - pool.floor);
             Share share = pool.shares.get(slot);
@@ -122,14 +122,14 @@
                 share = share(pool, slot);
             }
             if (share != null) {
-                over(pool, share, over);
+                setExcessFloor(pool, share, over);
             }
         });
     }
 
-    private static void over(Pool pool, Share share, int over) {
-        pool.floorsOver += over - share.floorOver;
-        share.floorOver = over;
+    private static void setExcessFloor(Pool pool, Share share, int over) {
+        pool.excessFloors += over - share.excessFloor;
+        share.excessFloor = over;
     }
 
     private static Share share(Pool pool, int slot) {
@@ -152,9 +152,9 @@
                 share = share(pool, slot);
             }
             lend(pool, share, need == null ? new Need(0, 0) : need, now);
-            if (share.granted > 0 || share.want > 0) {
+            if (share.granted > 0 || share.wanted > 0) {
                 grants.put(tenant, new Grant(share.granted, target(pool, share)));
-            } else if (share.floorOver == 0) {
+            } else if (share.excessFloor == 0) {
                 pool.shares.remove(slot);
             }
         });
@@ -166,7 +166,7 @@
         Map<TenantId, Grant> grants = new TreeMap<>((a, b) -> a.value().compareTo(b.value()));
         pools.forEach((tenant, pool) -> {
             Share share = pool.shares.get(slot);
-            if (share != null && (share.granted > 0 || share.want > 0)) {
+            if (share != null && (share.granted > 0 || share.wanted > 0)) {
                 grants.put(tenant, new Grant(share.granted, target(pool, share)));
             }
         });
@@ -174,18 +174,18 @@
     }
 
     private void lend(Pool pool, Share share, Need need, long now) {
-        int kept = Math.min(share.granted, Math.max(0, need.keep()));
+        int kept = Math.min(share.granted, Math.max(0, need.kept()));
         pool.granted += kept - share.granted;
         share.granted = kept;
-        pool.wanted += need.want() - share.want;
-        share.want = need.want();
+        pool.wanted += need.wanted() - share.wanted;
+        share.wanted = need.wanted();
         if (pool.cap == UNCAPPED) {
             return;
         }
         if (pool.wanted <= lendable(pool)) {
             pool.level = Integer.MAX_VALUE;
             pool.levelAt = Long.MIN_VALUE;
-        } else if (pool.levelAt == Long.MIN_VALUE || now - pool.levelAt >= levelEvery) {
+        } else if (pool.levelAt == Long.MIN_VALUE || now - pool.levelAt >= levelInterval) {
             level(pool, now);
         }
         long more = Math.min(target(pool, share) - share.granted, lendable(pool) - pool.granted);
@@ -197,14 +197,14 @@
 
     /** The total that may be lent, including what is lent already. */
     private long lendable(Pool pool) {
-        return floorsLent ? pool.cap : pool.cap - (long) pool.floor * places - pool.floorsOver;
+        return floorsLent ? pool.cap : pool.cap - (long) pool.floor * slots - pool.excessFloors;
     }
 
     private static int target(Pool pool, Share share) {
         if (pool.cap == UNCAPPED) {
             return share.granted;
         }
-        return pool.level == Integer.MAX_VALUE ? share.want : Math.min(share.want, pool.level + (share.extra ? 1 : 0));
+        return pool.level == Integer.MAX_VALUE ? share.wanted : Math.min(share.wanted, pool.level + (share.extra ? 1 : 0));
     }
 
     /**
@@ -215,70 +215,70 @@
         List<Share> wanting = new ArrayList<>();
         pool.shares.values().forEach(share -> {
             share.extra = false;
-            if (share.want > 0) {
+            if (share.wanted > 0) {
                 wanting.add(share);
             }
         });
         List<Share> byWant = new ArrayList<>(wanting);
-        byWant.sort((a, b) -> Integer.compare(a.want, b.want));
+        byWant.sort((a, b) -> Integer.compare(a.wanted, b.wanted));
         long left = Math.max(0, lendable(pool));
         int level = 0;
         for (int i = 0; i < byWant.size(); i++) {
             long each = left / (byWant.size() - i);
-            if (byWant.get(i).want > each) {
+            if (byWant.get(i).wanted > each) {
                 level = (int) each;
                 left -= each * (byWant.size() - i);
                 break;
             }
-            left -= byWant.get(i).want;
+            left -= byWant.get(i).wanted;
         }
         pool.level = level;
         pool.levelAt = now;
-        int of = wanting.size();
-        for (int i = 0; i < of && left > 0; i++) {
-            Share share = wanting.get((pool.turn + i) % of);
-            if (share.want > level) {
+        int wantingCount = wanting.size();
+        for (int i = 0; i < wantingCount && left > 0; i++) {
+            Share share = wanting.get((pool.turn + i) % wantingCount);
+            if (share.wanted > level) {
                 share.extra = true;
                 left--;
             }
         }
-        pool.turn = of == 0 ? 0 : (pool.turn + 1) % of;
+        pool.turn = wantingCount == 0 ? 0 : (pool.turn + 1) % wantingCount;
     }
 
     /** Takes back everything that a slot was lent: none of it can be in use there any more. */
-    void back(int slot) {
+    void reclaim(int slot) {
         pools.values().forEach(pool -> {
             Share share = pool.shares.get(slot);
             if (share != null) {
                 pool.granted -= share.granted;
-                pool.wanted -= share.want;
+                pool.wanted -= share.wanted;
                 share.granted = 0;
-                share.want = 0;
+                share.wanted = 0;
             }
         });
     }
 
     /** Frees a slot: no server relies on its floors or grants any more. */
-    void free(int slot) {
-        back(slot);
-        actingUnder.remove(slot);
+    void releaseSlot(int slot) {
+        reclaim(slot);
+        capsBySlot.remove(slot);
         pools.values().forEach(pool -> {
             Share share = pool.shares.remove(slot);
             if (share != null) {
-                pool.floorsOver -= share.floorOver;
+                pool.excessFloors -= share.excessFloor;
             }
         });
     }
 
-    boolean holds(int slot) {
+    boolean hasGrants(int slot) {
         return pools.values().stream()
                 .anyMatch(pool -> pool.shares.containsKey(slot) && pool.shares.get(slot).granted > 0);
     }
 
     /** How much of a tenant's cap may be relied on: the floors of all slots plus what is lent. */
-    long spoken(TenantId tenant) {
+    long committed(TenantId tenant) {
         Pool pool = pools.get(tenant);
-        return pool == null ? 0 : (long) pool.floor * places + pool.floorsOver + pool.granted;
+        return pool == null ? 0 : (long) pool.floor * slots + pool.excessFloors + pool.granted;
     }
 
     long granted(TenantId tenant) {
@@ -295,7 +295,7 @@
                     Pool pool = pools.get(tenant);
                     List<Object> shares = new ArrayList<>();
                     pool.shares.forEach((slot, share) ->
-                            shares.add(List.of(slot, share.granted, share.want, share.extra, share.floorOver)));
+                            shares.add(List.of(slot, share.granted, share.wanted, share.extra, share.excessFloor)));
                     all.add(List.of(name, pool.level, pool.levelAt, pool.turn, shares));
                 });
         return all;
@@ -303,25 +303,25 @@
 
     void load(List<?> all) {
         for (Object each : all) {
-            List<?> of = (List<?>) each;
-            Pool pool = pools.computeIfAbsent(new TenantId((String) of.get(0)), tenant -> new Pool());
-            pool.level = number(of.get(1)).intValue();
-            pool.levelAt = number(of.get(2)).longValue();
-            pool.turn = number(of.get(3)).intValue();
-            for (Object eachShare : (List<?>) of.get(4)) {
-                List<?> from = (List<?>) eachShare;
-                Share share = share(pool, number(from.get(0)).intValue());
-                share.granted = number(from.get(1)).intValue();
-                share.want = number(from.get(2)).intValue();
-                share.extra = (Boolean) from.get(3);
-                over(pool, share, number(from.get(4)).intValue());
+            List<?> pooled = (List<?>) each;
+            Pool pool = pools.computeIfAbsent(new TenantId((String) pooled.get(0)), tenant -> new Pool());
+            pool.level = number(pooled.get(1)).intValue();
+            pool.levelAt = number(pooled.get(2)).longValue();
+            pool.turn = number(pooled.get(3)).intValue();
+            for (Object eachShare : (List<?>) pooled.get(4)) {
+                List<?> saved = (List<?>) eachShare;
+                Share share = share(pool, number(saved.get(0)).intValue());
+                share.granted = number(saved.get(1)).intValue();
+                share.wanted = number(saved.get(2)).intValue();
+                share.extra = (Boolean) saved.get(3);
+                setExcessFloor(pool, share, number(saved.get(4)).intValue());
                 pool.granted += share.granted;
-                pool.wanted += share.want;
+                pool.wanted += share.wanted;
             }
         }
     }
 
-    static Number number(Object of) {
-        return (Number) of;
+    static Number number(Object value) {
+        return (Number) value;
     }
 }
--- a/fleet/src/test/java/tallyweir/fleet/TestFleet.java
+++ b/fleet/src/test/java/tallyweir/fleet/TestFleet.java
@@ -15,14 +15,14 @@
 /** A replicated state with servers that apply the revision in force and answer whether they can apply a proposed one. */
 final class TestFleet {
     static final long LEASE = 1_000;
-    static final long BEHIND = 2_000;
+    static final long MAX_LAG = 2_000;
     static final long PROBATION = 3_000;
 
-    private final List<Incarnation> lives = new ArrayList<>();
+    private final List<Incarnation> incarnations = new ArrayList<>();
     private final List<Long> numbers = new ArrayList<>();
     private final long[] ended;
     private final long[] bad;
-    private Predicate<Table> canTake = table -> true;
+    private Predicate<Table> accepts = table -> true;
     private State state;
     private long now;
 
@@ -30,17 +30,17 @@
         this(
                 servers,
                 without,
-                new FleetSettings(1, LEASE, 500, 10 * LEASE, BEHIND, 0, 0.5, 0.25, 9, 0, PROBATION, 2, 0.5));
+                new FleetSettings(1, LEASE, 500, 10 * LEASE, MAX_LAG, 0, 0.5, 0.25, 9, 0, PROBATION, 2, 0.5));
     }
 
     TestFleet(int servers, Set<Guard> without, FleetSettings settings) {
         state = new State(without);
         ended = new long[servers];
         bad = new long[servers];
-        state.apply(new Command.Found("f", settings));
+        state.apply(new Command.CreateFleet("f", settings));
         for (int i = 0; i < servers; i++) {
             Answer answer = state.apply(new Command.Join("f", server(i), "at" + i, 1));
-            lives.add(((Answer.Joined) answer).as());
+            incarnations.add(((Answer.Joined) answer).incarnation());
             numbers.add(0L);
             report(i);
         }
@@ -65,8 +65,8 @@
     }
 
     /** Sets which tables servers can apply. */
-    void canTake(Predicate<Table> can) {
-        canTake = can;
+    void accepts(Predicate<Table> can) {
+        accepts = can;
     }
 
     /** Counts ended queries at a server, some of them bad. */
@@ -80,16 +80,16 @@
         return report(i, state.inForce());
     }
 
-    Answer report(int i, RevisionId acting) {
+    Answer report(int i, RevisionId applied) {
         numbers.set(i, numbers.get(i) + 1);
         Table proposed = state.table(state.proposed());
-        boolean can = state.proposed().equals(RevisionId.NONE) || canTake.test(proposed);
+        boolean can = state.proposed().equals(RevisionId.NONE) || accepts.test(proposed);
         return state.apply(new Command.Report(
                 server(i),
-                lives.get(i),
+                incarnations.get(i),
                 numbers.get(i),
-                acting,
-                state.table(acting).root(),
+                applied,
+                state.table(applied).root(),
                 0,
                 state.proposed(),
                 can ? "" : "it does not suit",
@@ -100,7 +100,7 @@
 
     /** Every server reports once. */
     void reportAll() {
-        for (int i = 0; i < lives.size(); i++) {
+        for (int i = 0; i < incarnations.size(); i++) {
             report(i);
         }
     }
--- a/fleet/src/test/java/tallyweir/fleet/table/EntryCodecTest.java
+++ b/fleet/src/test/java/tallyweir/fleet/table/EntryCodecTest.java
@@ -30,25 +30,25 @@
             new Entry(new Key(Kind.STAND_BACK, "server-2"), new Value.Present()));
 
     @Test
-    void entriesComeBackAsTheyWere() {
+    void entriesRoundTrip() {
         assertEquals(ENTRIES, EntryCodec.entries(EntryCodec.entries(ENTRIES)));
         assertEquals(List.of(), EntryCodec.entries(EntryCodec.entries(List.of())));
     }
 
     @Property(tries = 200, seed = "21")
-    void changesComeBackAsTheyWere(@ForAll long seed) {
+    void changesRoundTrip(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         List<Change> changes = new ArrayList<>();
         for (int i = random.nextInt(50); i > 0; i--) {
             Key key = TestTables.randomKey(random, 50);
-            changes.add(new Change(key, randomSide(random, key), randomSide(random, key)));
+            changes.add(new Change(key, randomOptionalValue(random, key), randomOptionalValue(random, key)));
         }
         assertEquals(changes, EntryCodec.changes(EntryCodec.changes(changes)));
     }
 
     /** Damaged bytes must either be rejected or be the only valid encoding of what is decoded from them. */
     @Property(tries = 300, seed = "22")
-    void damagedBytesAreFaultyOrMeanSomethingElse(@ForAll long seed) {
+    void damagedBytesAreRejectedOrEncodeAnotherValue(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         byte[] entries = EntryCodec.entries(ENTRIES);
         byte[] changes =
@@ -64,107 +64,107 @@
     }
 
     @Test
-    void anythingCutShortOrTooLongIsFaulty() {
+    void truncatedOrExtendedBytesAreRejected() {
         byte[] entries = EntryCodec.entries(ENTRIES);
         byte[] changes = EntryCodec.changes(List.of(changeOfStore()));
         for (int length = 0; length < entries.length; length++) {
             byte[] truncated = Arrays.copyOf(entries, length);
-            assertFaulty(() -> EntryCodec.entries(truncated));
+            assertRejected(() -> EntryCodec.entries(truncated));
         }
         for (int length = 0; length < changes.length; length++) {
             byte[] truncated = Arrays.copyOf(changes, length);
-            assertFaulty(() -> EntryCodec.changes(truncated));
+            assertRejected(() -> EntryCodec.changes(truncated));
         }
-        assertFaulty(() -> EntryCodec.entries(Arrays.copyOf(entries, entries.length + 1)));
-        assertFaulty(() -> EntryCodec.changes(Arrays.copyOf(changes, changes.length + 1)));
+        assertRejected(() -> EntryCodec.entries(Arrays.copyOf(entries, entries.length + 1)));
+        assertRejected(() -> EntryCodec.changes(Arrays.copyOf(changes, changes.length + 1)));
     }
 
     @Test
-    void unknownKindsAreFaulty() {
+    void unknownKindsAreRejected() {
         for (int code : new int[] {0, 6, 127, 255}) {
-            assertFaultyEntry(code, 1, 'a', 1);
+            assertEntryRejected(code, 1, 'a', 1);
         }
     }
 
     @Test
-    void valuesOutOfRangeAreFaulty() {
-        assertFaulty(() -> new Value.Weight(0));
-        assertFaulty(() -> new Value.Weight(1001));
-        assertFaulty(() -> new Value.Cap(-1));
-        assertFaulty(() -> new Value.Cap((1 << 24) + 1));
-        assertFaulty(() -> new Value.Address("10.0.0.1", 0));
-        assertFaulty(() -> new Value.Address("10.0.0.1", 65_536));
-        assertFaulty(() -> new Value.Address("a".repeat(256), 1));
-        assertFaultyEntry(Kind.STORE.code(), 1, 'a', 0);
-        assertFaultyEntry(Kind.STORE.code(), 1, 'a', 0xE9, 0x07);
-        assertFaultyEntry(Kind.CAP.code(), 1, 'a', 0x81, 0x80, 0x80, 0x08);
-        assertFaultyEntry(Kind.KERNEL.code(), 1, 'a', 1, 'h', 0);
-        assertFaultyEntry(Kind.KERNEL.code(), 1, 'a', 1, 'h', 0x80, 0x80, 0x04);
+    void valuesOutOfRangeAreRejected() {
+        assertRejected(() -> new Value.Weight(0));
+        assertRejected(() -> new Value.Weight(1001));
+        assertRejected(() -> new Value.Cap(-1));
+        assertRejected(() -> new Value.Cap((1 << 24) + 1));
+        assertRejected(() -> new Value.Address("10.0.0.1", 0));
+        assertRejected(() -> new Value.Address("10.0.0.1", 65_536));
+        assertRejected(() -> new Value.Address("a".repeat(256), 1));
+        assertEntryRejected(Kind.STORE.code(), 1, 'a', 0);
+        assertEntryRejected(Kind.STORE.code(), 1, 'a', 0xE9, 0x07);
+        assertEntryRejected(Kind.CAP.code(), 1, 'a', 0x81, 0x80, 0x80, 0x08);
+        assertEntryRejected(Kind.KERNEL.code(), 1, 'a', 1, 'h', 0);
+        assertEntryRejected(Kind.KERNEL.code(), 1, 'a', 1, 'h', 0x80, 0x80, 0x04);
     }
 
     @Test
-    void numbersHaveOneEncodingOnly() {
-        assertFaultyEntry(Kind.CAP.code(), 1, 'a', 0x81, 0x00);
-        assertFaultyEntry(Kind.CAP.code(), 1, 'a', 0xFF, 0xFF, 0xFF, 0xFF, 0x0F);
-        assertFaultyEntry(Kind.CAP.code(), 1, 'a', 0xFF, 0xFF, 0xFF, 0xFF, 0xFF, 0x01);
-        assertFaultyEntry(Kind.CAP.code(), 0xFF, 0xFF, 0xFF, 0xFF, 0x07, 'a', 1);
+    void numbersHaveExactlyOneEncoding() {
+        assertEntryRejected(Kind.CAP.code(), 1, 'a', 0x81, 0x00);
+        assertEntryRejected(Kind.CAP.code(), 1, 'a', 0xFF, 0xFF, 0xFF, 0xFF, 0x0F);
+        assertEntryRejected(Kind.CAP.code(), 1, 'a', 0xFF, 0xFF, 0xFF, 0xFF, 0xFF, 0x01);
+        assertEntryRejected(Kind.CAP.code(), 0xFF, 0xFF, 0xFF, 0xFF, 0x07, 'a', 1);
     }
 
     @Test
-    void namesTooLongOrNotTextAreFaulty() {
-        assertFaulty(() -> new Key(Kind.CAP, "a".repeat(256)));
-        assertFaulty(() -> new Key(Kind.CAP, "\u00e9".repeat(128)));
-        assertFaulty(() -> new Key(Kind.CAP, "\ud800"));
-        assertFaultyEntry(Kind.CAP.code(), 1, 0xFF, 1);
-        assertFaultyEntry(Kind.CAP.code(), 2, 0xC0, 0x80, 1);
+    void namesThatAreTooLongOrNotUtf8AreRejected() {
+        assertRejected(() -> new Key(Kind.CAP, "a".repeat(256)));
+        assertRejected(() -> new Key(Kind.CAP, "\u00e9".repeat(128)));
+        assertRejected(() -> new Key(Kind.CAP, "\ud800"));
+        assertEntryRejected(Kind.CAP.code(), 1, 0xFF, 1);
+        assertEntryRejected(Kind.CAP.code(), 2, 0xC0, 0x80, 1);
         byte[] oversized = new byte[262];
         Arrays.fill(oversized, (byte) 'a');
         oversized[0] = 1;
         oversized[1] = (byte) Kind.CAP.code();
         oversized[2] = (byte) 0x80;
         oversized[3] = 2;
-        assertFaulty(() -> EntryCodec.entries(oversized));
+        assertRejected(() -> EntryCodec.entries(oversized));
     }
 
     @Test
-    void moreAnnouncedThanBytesIsFaulty() {
-        assertFaulty(() -> EntryCodec.entries(new byte[] {(byte) 0xFF, (byte) 0xFF, (byte) 0xFF, (byte) 0xFF, 0x07}));
-        assertFaulty(() -> EntryCodec.changes(new byte[] {5}));
+    void countsAboveTheRemainingBytesAreRejected() {
+        assertRejected(() -> EntryCodec.entries(new byte[] {(byte) 0xFF, (byte) 0xFF, (byte) 0xFF, (byte) 0xFF, 0x07}));
+        assertRejected(() -> EntryCodec.changes(new byte[] {5}));
     }
 
     @Test
-    void aChangeWithUnknownPartsIsFaulty() {
+    void unknownPresenceFlagsAreRejected() {
         byte[] changes = EntryCodec.changes(List.of(TestTables.remove(new Key(Kind.CAP, "a"))));
         changes[changes.length - 1] = 4;
-        assertFaulty(() -> EntryCodec.changes(changes));
+        assertRejected(() -> EntryCodec.changes(changes));
     }
 
     @Test
-    void aValueOfAnotherKindIsFaulty() {
-        assertFaulty(() -> new Entry(STORE, new Value.Cap(1)));
-        assertFaulty(() -> new Change(STORE, Optional.of(new Value.Present()), Optional.empty()));
-        assertFaulty(() -> new Change(STORE, Optional.empty(), Optional.of(new Value.Address("h", 1))));
+    void valuesOfAnotherKindAreRejected() {
+        assertRejected(() -> new Entry(STORE, new Value.Cap(1)));
+        assertRejected(() -> new Change(STORE, Optional.of(new Value.Present()), Optional.empty()));
+        assertRejected(() -> new Change(STORE, Optional.empty(), Optional.of(new Value.Address("h", 1))));
     }
 
     private static Change changeOfStore() {
         return new Change(STORE, Optional.of(new Value.Weight(3)), Optional.empty());
     }
 
-    private static Optional<Value> randomSide(SplittableRandom random, Key key) {
+    private static Optional<Value> randomOptionalValue(SplittableRandom random, Key key) {
         return random.nextBoolean() ? Optional.of(TestTables.randomValue(random, key.kind())) : Optional.empty();
     }
 
     /** Decodes a list of one entry, which the bytes encode up to the one mistake under test. */
-    private static void assertFaultyEntry(int... bytes) {
+    private static void assertEntryRejected(int... bytes) {
         byte[] encoded = new byte[bytes.length + 1];
         encoded[0] = 1;
         for (int i = 0; i < bytes.length; i++) {
             encoded[i + 1] = (byte) bytes[i];
         }
-        assertFaulty(() -> EntryCodec.entries(encoded));
+        assertRejected(() -> EntryCodec.entries(encoded));
     }
 
-    private static void assertFaulty(Executable code) {
+    private static void assertRejected(Executable code) {
         FleetException thrown = assertThrows(FleetException.class, code);
         assertTrue(thrown.fault() instanceof Fault.EntryFaulty, thrown.fault().toString());
     }
--- a/fleet/src/test/java/tallyweir/fleet/table/TableFootprint.java
+++ b/fleet/src/test/java/tallyweir/fleet/table/TableFootprint.java
@@ -10,13 +10,13 @@
 
 /**
  * Measures heap usage and running times of a table of a large fleet. The heap figures are valid only under
- * {@code -Xmx40m -XX:+UseSerialGC}; the bulk build is a separate run, with the argument {@code bulk} and a larger heap.
+ * {@code -Xmx40m -XX:+UseSerialGC}; the bulk build is a separate run, with the argument {@code measureBulkBuild} and a larger heap.
  */
 public final class TableFootprint {
     private static final int STORES = 31_000;
     private static final int TENANTS = 400_000;
-    private static final int BATCH = 10_000;
-    private static final int KEPT_CHANGES = 25_000;
+    private static final int BATCH_SIZE = 10_000;
+    private static final int RETAINED_CHANGES = 25_000;
     private static final int DIFFERENCE_RUNS = 200;
     private static final int STORE_PORTS = 8;
     private static final int HOSTS_PER_NET = 250;
@@ -34,23 +34,23 @@
     public static void main(String[] arguments) {
         TableFootprint footprint = new TableFootprint(System.out);
         if (arguments.length > 0 && arguments[0].equals("bulk")) {
-            footprint.bulk();
+            footprint.measureBulkBuild();
         } else {
-            footprint.smallHeap();
+            footprint.measureHeapAndTimes();
         }
     }
 
-    private void smallHeap() {
+    private void measureHeapAndTimes() {
         long before = usedHeap();
-        Table table = timed("build in batches of " + BATCH, this::buildInBatches);
+        Table table = timed("build in batches of " + BATCH_SIZE, this::buildInBatches);
         out.printf("entries %d, heap of the table %d bytes%n", table.size(), usedHeap() - before);
-        changes(table);
-        differences(table);
-        transfers(table);
-        keptChanges(table);
+        measureSingleChanges(table);
+        measureDifferences(table);
+        measureTransfers(table);
+        measureRetainedChanges(table);
     }
 
-    private void bulk() {
+    private void measureBulkBuild() {
         List<Change> stores = storeChanges(0, STORES);
         List<Change> caps = capChanges(0, TENANTS);
         Table withStores = Table.EMPTY.apply(stores);
@@ -61,18 +61,18 @@
 
     private Table buildInBatches() {
         Table table = Table.EMPTY;
-        for (int from = 0; from < STORES; from += BATCH) {
-            table = table.apply(storeChanges(from, Math.min(from + BATCH, STORES)));
+        for (int from = 0; from < STORES; from += BATCH_SIZE) {
+            table = table.apply(storeChanges(from, Math.min(from + BATCH_SIZE, STORES)));
         }
-        for (int from = 0; from < TENANTS; from += BATCH) {
-            table = table.apply(capChanges(from, from + BATCH));
+        for (int from = 0; from < TENANTS; from += BATCH_SIZE) {
+            table = table.apply(capChanges(from, from + BATCH_SIZE));
         }
         return table;
     }
 
     /** Runs before the retained changes are created, so that garbage collections do not affect the times. */
-    private void changes(Table table) {
-        long[] nanos = new long[KEPT_CHANGES];
+    private void measureSingleChanges(Table table) {
+        long[] nanos = new long[RETAINED_CHANGES];
         for (int i = 0; i < nanos.length; i++) {
             List<Change> change = List.of(randomCap());
             long start = System.nanoTime();
@@ -84,7 +84,7 @@
         out.printf("one change: p50 %.1f us, p99 %.1f us%n", micros(warm, 0.5), micros(warm, 0.99));
     }
 
-    private void differences(Table table) {
+    private void measureDifferences(Table table) {
         for (int size : new int[] {1, 1_000}) {
             List<Change> changes = new ArrayList<>();
             for (int i = 0; i < size; i++) {
@@ -105,21 +105,21 @@
         }
     }
 
-    private void transfers(Table table) {
+    private void measureTransfers(Table table) {
         Table changed = table.apply(List.of(randomCap()));
-        transfer("of one changed entry", table, changed);
-        transfer("of all", Table.EMPTY, table);
+        measureTransfer("of one changed entry", table, changed);
+        measureTransfer("of all", Table.EMPTY, table);
     }
 
-    private void transfer(String label, Table base, Table target) {
+    private void measureTransfer(String label, Table base, Table target) {
         long start = System.nanoTime();
         TableTransfer transfer = new TableTransfer(base, target.root());
         int chunks = 0;
         long bytes = 0;
         int largest = 0;
-        for (Optional<Path> path = transfer.next(); path.isPresent(); path = transfer.next()) {
-            byte[] chunk = target.piece(path.get());
-            transfer.take(path.get(), chunk);
+        for (Optional<Path> path = transfer.nextPath(); path.isPresent(); path = transfer.nextPath()) {
+            byte[] chunk = target.chunk(path.get());
+            transfer.accept(path.get(), chunk);
             chunks++;
             bytes += chunk.length;
             largest = Math.max(largest, chunk.length);
@@ -131,12 +131,12 @@
                 label, chunks, bytes, largest, millis, same);
     }
 
-    private void keptChanges(Table table) {
+    private void measureRetainedChanges(Table table) {
         long before = usedHeap();
-        List<Table> retained = new ArrayList<>(KEPT_CHANGES);
+        List<Table> retained = new ArrayList<>(RETAINED_CHANGES);
         Table latest = table;
         long start = System.nanoTime();
-        for (int i = 0; i < KEPT_CHANGES; i++) {
+        for (int i = 0; i < RETAINED_CHANGES; i++) {
             latest = latest.apply(List.of(randomCap()));
             retained.add(latest);
         }
--- a/fleet/src/test/java/tallyweir/fleet/table/TableTest.java
+++ b/fleet/src/test/java/tallyweir/fleet/table/TableTest.java
@@ -29,7 +29,7 @@
             TestTables.differingInLastDigit());
 
     @Property(tries = 200, seed = "11")
-    void holdsWhatAPlainMapHolds(
+    void hasTheEntriesOfAModelMap(
             @ForAll long seed,
             @ForAll @IntRange(min = 1, max = 400) int names,
             @ForAll @IntRange(min = 0, max = 3) int hashing) {
@@ -71,11 +71,11 @@
         assertEquals(incremental.root(), oneByOne.root());
         assertEquals(incremental.root(), empty.apply(shuffled).root());
         assertSameShape(incremental.rootNode(), oneByOne.rootNode(), 0);
-        assertEquals(orderOf(incremental), orderOf(oneByOne));
+        assertEquals(entriesInOrder(incremental), entriesInOrder(oneByOne));
     }
 
     @Property(tries = 200, seed = "13")
-    void differenceLeadsThereAndItsInverseBack(
+    void differenceAndItsInverseConvertBetweenTables(
             @ForAll long seed,
             @ForAll @IntRange(min = 1, max = 300) int names,
             @ForAll @IntRange(min = 0, max = 3) int hashing) {
@@ -98,17 +98,17 @@
     }
 
     @Test
-    void changesWithoutEffectGiveTheSameTable() {
-        Table table = Table.EMPTY.apply(TestTables.caps(0, 5_000, 7));
+    void changesWithoutEffectReturnTheSameTable() {
+        Table table = Table.EMPTY.apply(TestTables.capChanges(0, 5_000, 7));
         assertSame(table, table.apply(List.of()));
-        assertSame(table, table.apply(TestTables.caps(100, 200, 7)));
-        assertSame(table, table.apply(List.of(TestTables.remove(TestTables.cap(5_001)))));
-        assertSame(Table.EMPTY, Table.EMPTY.apply(List.of(TestTables.remove(TestTables.cap(1)))));
+        assertSame(table, table.apply(TestTables.capChanges(100, 200, 7)));
+        assertSame(table, table.apply(List.of(TestTables.remove(TestTables.capKey(5_001)))));
+        assertSame(Table.EMPTY, Table.EMPTY.apply(List.of(TestTables.remove(TestTables.capKey(1)))));
     }
 
     @Test
     void ofSeveralChangesOfOneKeyTheLastCounts() {
-        Key key = TestTables.cap(1);
+        Key key = TestTables.capKey(1);
         Change one = TestTables.put(key, new Value.Cap(1));
         Change two = TestTables.put(key, new Value.Cap(2));
         assertEquals(
@@ -119,8 +119,8 @@
     }
 
     @Test
-    void removingAllLeavesTheEmptyTable() {
-        Table table = Table.EMPTY.apply(TestTables.caps(0, 3_000, 7));
+    void removingAllEntriesGivesTheEmptyTable() {
+        Table table = Table.EMPTY.apply(TestTables.capChanges(0, 3_000, 7));
         List<Change> removals = Table.EMPTY.differenceTo(table).stream()
                 .map(change -> TestTables.remove(change.key()))
                 .toList();
@@ -131,18 +131,18 @@
 
     @Test
     void aLeafIsSplitAtItsLimitAndJoinedAgain() {
-        Table full = Table.EMPTY.apply(TestTables.caps(0, Leaf.ENTRIES_MOST, 7));
+        Table full = Table.EMPTY.apply(TestTables.capChanges(0, Leaf.MAX_ENTRIES, 7));
         assertTrue(full.rootNode() instanceof Leaf);
-        Table split = full.apply(TestTables.caps(Leaf.ENTRIES_MOST, Leaf.ENTRIES_MOST + 1, 7));
+        Table split = full.apply(TestTables.capChanges(Leaf.MAX_ENTRIES, Leaf.MAX_ENTRIES + 1, 7));
         assertTrue(split.rootNode() instanceof Branch);
-        Table joined = split.apply(List.of(TestTables.remove(TestTables.cap(Leaf.ENTRIES_MOST))));
+        Table joined = split.apply(List.of(TestTables.remove(TestTables.capKey(Leaf.MAX_ENTRIES))));
         assertTrue(joined.rootNode() instanceof Leaf);
         assertEquals(full, joined);
     }
 
     @Test
     void keysOfEqualHashesShareOneLeafAtTheGreatestDepth() {
-        Table table = Table.empty(TestTables.collidingAfter(0)).apply(TestTables.caps(0, 100, 7));
+        Table table = Table.empty(TestTables.collidingAfter(0)).apply(TestTables.capChanges(0, 100, 7));
         Node node = table.rootNode();
         for (int depth = 0; depth < Hash256.DIGITS; depth++) {
             assertTrue(node instanceof Branch, "depth " + depth);
@@ -153,10 +153,10 @@
     }
 
     @Test
-    void aChangeMakesNewNodesOnItsPathOnly() {
-        Table before = Table.EMPTY.apply(TestTables.caps(0, 20_000, 7));
+    void aChangeCreatesNewNodesOnItsPathOnly() {
+        Table before = Table.EMPTY.apply(TestTables.capChanges(0, 20_000, 7));
         Set<Node> oldNodes = nodesOf(before);
-        Table after = before.apply(TestTables.caps(1_234, 1_235, 8));
+        Table after = before.apply(TestTables.capChanges(1_234, 1_235, 8));
         Set<Node> newNodes = nodesOf(after);
         newNodes.removeAll(oldNodes);
         assertTrue(newNodes.size() <= 5, "new nodes: " + newNodes.size() + " of " + oldNodes.size());
@@ -166,7 +166,7 @@
     @Test
     void theEmptyTableHasItsOwnRoot() {
         assertEquals(64, Table.EMPTY.root().value().length());
-        assertNotEquals(Table.EMPTY, Table.EMPTY.apply(TestTables.caps(0, 1, 7)));
+        assertNotEquals(Table.EMPTY, Table.EMPTY.apply(TestTables.capChanges(0, 1, 7)));
     }
 
     private static void assertSameShape(Node one, Node other, int depth) {
@@ -174,12 +174,12 @@
         assertEquals(one.count(), other.count());
         assertEquals(one.digest(), other.digest());
         if (one instanceof Branch branch) {
-            assertTrue(branch.count() > Leaf.ENTRIES_MOST);
+            assertTrue(branch.count() > Leaf.MAX_ENTRIES);
             for (int digit = 0; digit < Branch.FAN_OUT; digit++) {
                 assertSameShape(branch.child(digit), ((Branch) other).child(digit), depth + 1);
             }
         } else {
-            assertTrue(one.count() <= Leaf.ENTRIES_MOST || depth == Hash256.DIGITS);
+            assertTrue(one.count() <= Leaf.MAX_ENTRIES || depth == Hash256.DIGITS);
         }
     }
 
@@ -206,7 +206,7 @@
         return byKey;
     }
 
-    private static List<Entry> orderOf(Table table) {
+    private static List<Entry> entriesInOrder(Table table) {
         List<Entry> entries = new ArrayList<>();
         table.forEach(entries::add);
         return entries;
--- a/fleet/src/test/java/tallyweir/fleet/table/TableTransferTest.java
+++ b/fleet/src/test/java/tallyweir/fleet/table/TableTransferTest.java
@@ -24,11 +24,11 @@
 
 /** Transfers between tables: completeness, the number of chunks requested, and rejection of damaged chunks. */
 class TableTransferTest {
-    private static final int LARGE = 20_000;
-    private static final Table LARGE_TABLE = Table.EMPTY.apply(TestTables.caps(0, LARGE, 7));
+    private static final int LARGE_TABLE_ENTRIES = 20_000;
+    private static final Table LARGE_TABLE = Table.EMPTY.apply(TestTables.capChanges(0, LARGE_TABLE_ENTRIES, 7));
 
     @Test
-    void aWholeTableComesOver() {
+    void transfersACompleteTable() {
         TableTransfer transfer = new TableTransfer(Table.EMPTY, LARGE_TABLE.root());
         int chunks = complete(transfer, LARGE_TABLE);
         assertEquals(LARGE_TABLE, transfer.table());
@@ -37,16 +37,16 @@
     }
 
     @Test
-    void nothingIsAskedForByWhoHasTheTable() {
+    void requestsNothingIfTheReceiverHasTheTable() {
         TableTransfer transfer = new TableTransfer(LARGE_TABLE, LARGE_TABLE.root());
-        assertEquals(Optional.empty(), transfer.next());
+        assertEquals(Optional.empty(), transfer.nextPath());
         assertSame(LARGE_TABLE, transfer.table());
-        assertEquals(Optional.empty(), new TableTransfer(Table.EMPTY, Table.EMPTY.root()).next());
+        assertEquals(Optional.empty(), new TableTransfer(Table.EMPTY, Table.EMPTY.root()).nextPath());
     }
 
     @Test
-    void onlyWhatDiffersIsAskedFor() {
-        Table target = LARGE_TABLE.apply(TestTables.caps(77, 78, 8));
+    void requestsOnlyDifferingSubtrees() {
+        Table target = LARGE_TABLE.apply(TestTables.capChanges(77, 78, 8));
         TableTransfer transfer = new TableTransfer(LARGE_TABLE, target.root());
         assertEquals(2, complete(transfer, target));
         assertEquals(target, transfer.table());
@@ -54,16 +54,16 @@
     }
 
     @Property(tries = 60, seed = "31")
-    void piecesGrowWithWhatDiffers(@ForAll long seed, @ForAll @IntRange(min = 1, max = 6) int changes) {
+    void chunkCountIsBoundedByTheDifference(@ForAll long seed, @ForAll @IntRange(min = 1, max = 6) int changes) {
         SplittableRandom random = new SplittableRandom(seed);
         List<Change> differing = new ArrayList<>();
         for (int i = 0; i < changes; i++) {
-            int tenant = random.nextInt(2 * LARGE);
+            int tenant = random.nextInt(2 * LARGE_TABLE_ENTRIES);
             boolean removes = random.nextBoolean();
             differing.add(
                     removes
-                            ? TestTables.remove(TestTables.cap(tenant))
-                            : TestTables.caps(tenant, tenant + 1, 9).get(0));
+                            ? TestTables.remove(TestTables.capKey(tenant))
+                            : TestTables.capChanges(tenant, tenant + 1, 9).get(0));
         }
         Table target = LARGE_TABLE.apply(differing);
         TableTransfer transfer = new TableTransfer(LARGE_TABLE, target.root());
@@ -74,23 +74,23 @@
 
     /** Interrupted transfers, changes of the target and various base tables must not lose entries that were already received. */
     @Property(tries = 60, seed = "32")
-    void breaksAndOtherTargetsLoseNothing(@ForAll long seed, @ForAll @IntRange(min = 0, max = 3) int baseCase) {
+    void interruptionsAndNewTargetsLoseNothing(@ForAll long seed, @ForAll @IntRange(min = 0, max = 3) int baseCase) {
         SplittableRandom random = new SplittableRandom(seed);
         Table target = LARGE_TABLE;
         Table base = switch (baseCase) {
             case 0 -> Table.EMPTY;
-            case 1 -> Table.EMPTY.apply(TestTables.caps(0, LARGE / 2, 7));
-            case 2 -> Table.EMPTY.apply(TestTables.caps(0, 40, 7));
+            case 1 -> Table.EMPTY.apply(TestTables.capChanges(0, LARGE_TABLE_ENTRIES / 2, 7));
+            case 2 -> Table.EMPTY.apply(TestTables.capChanges(0, 40, 7));
             default -> LARGE_TABLE.apply(TestTables.randomChanges(random, 500, 300));
         };
         TableTransfer transfer = new TableTransfer(base, target.root());
         for (int retarget = 0; retarget < 4; retarget++) {
-            for (int chunks = random.nextInt(12); chunks > 0 && transfer.next().isPresent(); chunks--) {
-                Path path = transfer.next().get();
-                transfer.take(path, target.piece(path));
+            for (int chunks = random.nextInt(12); chunks > 0 && transfer.nextPath().isPresent(); chunks--) {
+                Path path = transfer.nextPath().get();
+                transfer.accept(path, target.chunk(path));
             }
             target = target.apply(TestTables.randomChanges(random, 1 + random.nextInt(30), 300));
-            transfer = transfer.towards(target.root());
+            transfer = transfer.retarget(target.root());
         }
         complete(transfer, target);
         assertEquals(target, transfer.table());
@@ -98,17 +98,17 @@
     }
 
     @Test
-    void aTransferTowardsANewerTableAsksOnlyForWhatIsNew() {
+    void retargetingRequestsOnlyNewSubtrees() {
         TableTransfer transfer = new TableTransfer(Table.EMPTY, LARGE_TABLE.root());
         Set<Path> received = new HashSet<>();
         for (int i = 0; i < 9; i++) {
-            Path path = transfer.next().orElseThrow();
-            transfer.take(path, LARGE_TABLE.piece(path));
+            Path path = transfer.nextPath().orElseThrow();
+            transfer.accept(path, LARGE_TABLE.chunk(path));
             received.add(path);
         }
-        Table newer = LARGE_TABLE.apply(TestTables.caps(77, 78, 8));
+        Table newer = LARGE_TABLE.apply(TestTables.capChanges(77, 78, 8));
         TableTransfer retargeted =
-                transfer.towards(newer.root()).towards(LARGE_TABLE.root()).towards(newer.root());
+                transfer.retarget(newer.root()).retarget(LARGE_TABLE.root()).retarget(newer.root());
         List<Path> requested = new ArrayList<>();
         complete(retargeted, newer, requested);
         requested.removeAll(Set.of(Path.ROOT));
@@ -118,48 +118,48 @@
     }
 
     @Test
-    void aTransferThatIsBackAtItsFirstTargetAsksForNothingTwice() {
+    void returningToTheFirstTargetRequestsNothing() {
         TableTransfer transfer = new TableTransfer(Table.EMPTY, LARGE_TABLE.root());
         complete(transfer, LARGE_TABLE);
-        Table newer = LARGE_TABLE.apply(TestTables.caps(77, 78, 8));
-        TableTransfer returned = transfer.towards(newer.root()).towards(LARGE_TABLE.root());
-        assertEquals(Optional.empty(), returned.next());
+        Table newer = LARGE_TABLE.apply(TestTables.capChanges(77, 78, 8));
+        TableTransfer returned = transfer.retarget(newer.root()).retarget(LARGE_TABLE.root());
+        assertEquals(Optional.empty(), returned.nextPath());
         assertEquals(LARGE_TABLE, returned.table());
     }
 
     @Test
-    void aWrongByteAnywhereIsFoundAndChangesNothing() {
+    void anyDamagedByteIsRejectedWithoutEffect() {
         Table small = Table.EMPTY.apply(TestTables.randomChanges(new SplittableRandom(5), 60, 40));
-        assertEveryDamageIsFound(new TableTransfer(Table.EMPTY, small.root()), small);
-        assertEveryDamageIsFound(new TableTransfer(Table.EMPTY, LARGE_TABLE.root()), LARGE_TABLE);
+        assertEveryDamageIsRejected(new TableTransfer(Table.EMPTY, small.root()), small);
+        assertEveryDamageIsRejected(new TableTransfer(Table.EMPTY, LARGE_TABLE.root()), LARGE_TABLE);
     }
 
     @Test
-    void aPieceOfAnotherPathOrTableIsFound() {
+    void chunksOfOtherPathsOrTablesAreRejected() {
         TableTransfer transfer = new TableTransfer(Table.EMPTY, LARGE_TABLE.root());
-        Table other = LARGE_TABLE.apply(TestTables.caps(0, 100, 8));
-        assertMismatch(transfer, Path.ROOT, other.piece(Path.ROOT));
-        transfer.take(Path.ROOT, LARGE_TABLE.piece(Path.ROOT));
-        assertMismatch(transfer, new Path("0"), LARGE_TABLE.piece(new Path("1")));
-        assertMismatch(transfer, new Path("0"), LARGE_TABLE.piece(new Path("00")));
-        assertMismatch(transfer, new Path("0"), LARGE_TABLE.piece(Path.ROOT));
+        Table other = LARGE_TABLE.apply(TestTables.capChanges(0, 100, 8));
+        assertMismatch(transfer, Path.ROOT, other.chunk(Path.ROOT));
+        transfer.accept(Path.ROOT, LARGE_TABLE.chunk(Path.ROOT));
+        assertMismatch(transfer, new Path("0"), LARGE_TABLE.chunk(new Path("1")));
+        assertMismatch(transfer, new Path("0"), LARGE_TABLE.chunk(new Path("00")));
+        assertMismatch(transfer, new Path("0"), LARGE_TABLE.chunk(Path.ROOT));
         complete(transfer, LARGE_TABLE);
         assertEquals(LARGE_TABLE, transfer.table());
     }
 
     @Test
-    void aPieceThatIsNotAskedForIsLeftAside() {
+    void unrequestedChunksAreIgnored() {
         TableTransfer transfer = new TableTransfer(Table.EMPTY, LARGE_TABLE.root());
-        transfer.take(new Path("0"), new byte[] {1, 2, 3});
-        assertEquals(Optional.of(Path.ROOT), transfer.next());
+        transfer.accept(new Path("0"), new byte[] {1, 2, 3});
+        assertEquals(Optional.of(Path.ROOT), transfer.nextPath());
         assertThrows(IllegalStateException.class, transfer::table);
     }
 
     @Test
-    void collidingHashesComeOver() {
+    void transfersTablesWithCollidingHashes() {
         for (KeyHashing hashing : List.of(TestTables.collidingAfter(0), TestTables.differingInLastDigit())) {
             Table empty = Table.empty(hashing);
-            Table target = empty.apply(TestTables.caps(0, Piece.ENTRIES_MOST + 500, 7));
+            Table target = empty.apply(TestTables.capChanges(0, Piece.MAX_ENTRIES + 500, 7));
             TableTransfer transfer = new TableTransfer(empty, target.root());
             complete(transfer, target);
             assertEquals(target, transfer.table());
@@ -167,7 +167,7 @@
     }
 
     @Test
-    void aRootThatCannotBeOneIsUnknown() {
+    void invalidRootDigestsAreRejected() {
         for (String root : List.of("", "mixed", "g".repeat(64))) {
             FleetException thrown =
                     assertThrows(FleetException.class, () -> new TableTransfer(Table.EMPTY, new Digest(root)));
@@ -176,7 +176,7 @@
     }
 
     @Test
-    void aPathIsMadeOfAtMostAsManyDigitsAsAHashHas() {
+    void pathsAreAtMostAsLongAsAHash() {
         assertEquals(64, new Path("0".repeat(64)).depth());
         for (String digits : List.of("g", "A", " ", "0".repeat(65))) {
             FleetException thrown = assertThrows(FleetException.class, () -> new Path(digits));
@@ -185,14 +185,14 @@
     }
 
     @Test
-    void aPieceOfAPathWithoutEntriesIsEmpty() {
-        byte[] emptyChunk = Table.EMPTY.piece(Path.ROOT);
-        assertArrayEquals(emptyChunk, LARGE_TABLE.piece(new Path("0".repeat(64))));
+    void theChunkOfAPathWithoutEntriesIsEmpty() {
+        byte[] emptyChunk = Table.EMPTY.chunk(Path.ROOT);
+        assertArrayEquals(emptyChunk, LARGE_TABLE.chunk(new Path("0".repeat(64))));
     }
 
-    private static void assertEveryDamageIsFound(TableTransfer transfer, Table target) {
-        Path path = transfer.next().orElseThrow();
-        byte[] chunk = target.piece(path);
+    private static void assertEveryDamageIsRejected(TableTransfer transfer, Table target) {
+        Path path = transfer.nextPath().orElseThrow();
+        byte[] chunk = target.chunk(path);
         for (int i = 0; i < chunk.length; i++) {
             for (int flipped : new int[] {1, 0x80, 0xFF}) {
                 byte[] damaged = chunk.clone();
@@ -202,16 +202,16 @@
             assertMismatch(transfer, path, Arrays.copyOf(chunk, i));
         }
         assertMismatch(transfer, path, Arrays.copyOf(chunk, chunk.length + 1));
-        assertEquals(Optional.of(path), transfer.next());
+        assertEquals(Optional.of(path), transfer.nextPath());
         complete(transfer, target);
         assertEquals(target, transfer.table());
     }
 
     private static void assertMismatch(TableTransfer transfer, Path path, byte[] chunk) {
-        FleetException thrown = assertThrows(FleetException.class, () -> transfer.take(path, chunk));
+        FleetException thrown = assertThrows(FleetException.class, () -> transfer.accept(path, chunk));
         assertTrue(
                 thrown.fault() instanceof Fault.DigestMismatch, thrown.fault().toString());
-        assertTrue(transfer.next().isPresent());
+        assertTrue(transfer.nextPath().isPresent());
     }
 
     private static void assertSharesAllButOneChild(Table one, Table other) {
@@ -232,11 +232,11 @@
 
     /** Requests and accepts chunks until the transfer is complete; adds the paths requested. */
     private static void complete(TableTransfer transfer, Table target, List<Path> requested) {
-        while (transfer.next().isPresent()) {
-            Path path = transfer.next().get();
+        while (transfer.nextPath().isPresent()) {
+            Path path = transfer.nextPath().get();
             assertFalse(requested.contains(path), "requested twice: " + path);
             requested.add(path);
-            transfer.take(path, target.piece(path));
+            transfer.accept(path, target.chunk(path));
         }
     }
 }
--- a/fleet/src/test/java/tallyweir/fleet/table/TestTables.java
+++ b/fleet/src/test/java/tallyweir/fleet/table/TestTables.java
@@ -11,7 +11,7 @@
 final class TestTables {
     private TestTables() {}
 
-    static Key cap(int tenant) {
+    static Key capKey(int tenant) {
         return new Key(Kind.CAP, String.format("tenant-%06d", tenant));
     }
 
@@ -24,10 +24,10 @@
     }
 
     /** Changes that set the caps of the tenants numbered from one number up to, but not including, another. */
-    static List<Change> caps(int from, int to, int connections) {
+    static List<Change> capChanges(int from, int to, int connections) {
         List<Change> changes = new ArrayList<>();
         for (int tenant = from; tenant < to; tenant++) {
-            changes.add(put(cap(tenant), new Value.Cap(connections)));
+            changes.add(put(capKey(tenant), new Value.Cap(connections)));
         }
         return changes;
     }
@@ -74,7 +74,7 @@
     /** A hash function of which only the first digits depend on the key, so that hashes collide at greater depth. */
     static KeyHashing collidingAfter(int digits) {
         return (bytes, from, to) -> {
-            long first = Sha256.of(bytes, from, to).first();
+            long first = Sha256.of(bytes, from, to).word0();
             int shift = Long.SIZE - 4 * digits;
             return new Hash256(digits == 0 ? 0 : first >>> shift << shift, 0, 0, 0);
         };
@@ -83,6 +83,6 @@
     /** A hash function of which only the last digit depends on the key. */
     static KeyHashing differingInLastDigit() {
         return (bytes, from, to) ->
-                new Hash256(0, 0, 0, Sha256.of(bytes, from, to).first() & 15);
+                new Hash256(0, 0, 0, Sha256.of(bytes, from, to).word0() & 15);
     }
 }
--- a/results/src/main/java/tallyweir/results/DurableResultStore.java
+++ b/results/src/main/java/tallyweir/results/DurableResultStore.java
@@ -31,16 +31,16 @@
     /** The namespace of the keys of open intents. */
     public static final String INTENTS = "intents";
     /** Flag in the kind byte for a compressed result: the original length (4 bytes), then a Zstandard frame. */
-    private static final int SMALLER = 0x10;
+    private static final int COMPRESSED_FLAG = 0x10;
 
-    private static final int RESULT_MOST = 4 << 10;
+    private static final int MAX_RESULT_BYTES = 4 << 10;
 
     private final Durable store;
     private final Committer committer;
-    private final Executor back;
-    private final Executor reads;
-    private final List<Kept> found;
-    private final Set<Marks.Guard> without;
+    private final Executor callbackExecutor;
+    private final Executor readExecutor;
+    private final List<StoredResult> intentsAtStart;
+    private final Set<Marks.Guard> disabledGuards;
 
     /**
      * @param callbackExecutor runs callbacks on the caller's thread
@@ -54,44 +54,44 @@
             Executor readExecutor,
             Set<Marks.Guard> disabledGuards)
             throws IOException {
-        this.without = disabledGuards;
+        this.disabledGuards = disabledGuards;
         this.store = store;
         this.committer = committer;
-        this.back = callbackExecutor;
-        this.reads = readExecutor;
-        found = new ArrayList<>();
+        this.callbackExecutor = callbackExecutor;
+        this.readExecutor = readExecutor;
+        intentsAtStart = new ArrayList<>();
         try (View view = store.view()) {
             for (Iterator<Found> in = view.range(INTENTS, new byte[0], null); in.hasNext(); ) {
                 byte[] key = in.next().key();
                 Found f = view.get(RESULTS, key);
-                Kept k = f == null ? null : decode(key, f);
+                StoredResult k = f == null ? null : decode(key, f);
                 if (k != null && k.known() == null) {
-                    found.add(k);
+                    intentsAtStart.add(k);
                 }
             }
         }
     }
 
     /** The key of a workload and the value of the Once-Key field. */
-    public static Mark mark(String workload, String stamp) {
+    public static Mark idempotencyKey(String workload, String stamp) {
         return new Mark(new WorkloadId(workload), new SubjectId(stamp));
     }
 
     /** Decodes a key of the store; null if it is malformed. */
-    static Mark mark(byte[] bytes) {
+    static Mark idempotencyKey(byte[] bytes) {
         int end = 0;
         while (end < bytes.length && bytes[end] != 0) {
             end++;
         }
         return end == bytes.length
                 ? null
-                : mark(
+                : idempotencyKey(
                         new String(bytes, 0, end, StandardCharsets.UTF_8),
                         new String(bytes, end + 1, bytes.length - end - 1, StandardCharsets.UTF_8));
     }
 
     /** Encodes a key for the store: workload, 0, stamp. */
-    public static byte[] key(Mark key) {
+    public static byte[] storeKey(Mark key) {
         byte[] workload = key.workload().value().getBytes(StandardCharsets.UTF_8);
         byte[] stamp = key.stamp().value().getBytes(StandardCharsets.UTF_8);
         return ByteBuffer.allocate(workload.length + stamp.length + 1)
@@ -102,12 +102,12 @@
     }
 
     /** Encodes an outcome, with its result compressed if that pays. */
-    static byte[] encoded(Known known, JobId job, long body, long expiresAt, byte[] result) {
+    static byte[] encodeOutcome(Known known, JobId job, long body, long expiresAt, byte[] result) {
         byte[] compressed = result == null ? null : ResultCompression.compress(result);
         return compressed == null
-                ? value(known.ordinal() + 1, job, body, expiresAt, result)
-                : value(
-                        known.ordinal() + 1 | SMALLER,
+                ? encode(known.ordinal() + 1, job, body, expiresAt, result)
+                : encode(
+                        known.ordinal() + 1 | COMPRESSED_FLAG,
                         job,
                         body,
                         expiresAt,
@@ -118,7 +118,7 @@
     }
 
     /** @param kind 0 for an intent, else the ordinal of the outcome plus 1, and the flag for a compressed result */
-    private static byte[] value(int kind, JobId job, long body, long expiresAt, byte[] result) {
+    private static byte[] encode(int kind, JobId job, long body, long expiresAt, byte[] result) {
         byte[] name = job.value().getBytes(StandardCharsets.UTF_8);
         byte[] content = result == null ? new byte[0] : result;
         return ByteBuffer.allocate(19 + name.length + content.length)
@@ -131,21 +131,21 @@
                 .array();
     }
 
-    private static Kept decode(byte[] storeKey, Found f) {
-        Mark key = mark(storeKey);
+    private static StoredResult decode(byte[] storeKey, Found f) {
+        Mark key = idempotencyKey(storeKey);
         if (key == null || f.value().length < 19) {
             return null;
         }
         ByteBuffer in = ByteBuffer.wrap(f.value());
         int kindAndFlag = in.get();
-        int kind = kindAndFlag & ~SMALLER;
+        int kind = kindAndFlag & ~COMPRESSED_FLAG;
         long body = in.getLong();
         long expiresAt = in.getLong();
         byte[] job = new byte[Math.min(in.getShort() & 0xffff, in.remaining())];
         in.get(job);
         byte[] result = new byte[in.remaining()];
         in.get(result);
-        if ((kindAndFlag & SMALLER) != 0) {
+        if ((kindAndFlag & COMPRESSED_FLAG) != 0) {
             result = result.length < 4
                     ? null
                     : ResultCompression.decompress(
@@ -156,7 +156,7 @@
             }
         }
         Known known = kind == 0 || kind > Known.values().length ? null : Known.values()[kind - 1];
-        return new Kept(
+        return new StoredResult(
                 key,
                 new JobId(new String(job, StandardCharsets.UTF_8)),
                 body,
@@ -167,30 +167,30 @@
     }
 
     /** Decodes a record of the namespace {@link #RESULTS}; null if it is malformed. */
-    public static Kept of(Found f) {
+    public static StoredResult decode(Found f) {
         return decode(f.key(), f);
     }
 
     @Override
-    public boolean knows(Mark key) {
-        return store.contains(RESULTS, key(key));
+    public boolean contains(Mark key) {
+        return store.contains(RESULTS, storeKey(key));
     }
 
     @Override
     public boolean hasRoom(int pending) {
-        return store.room(RESULTS) > (pending + 1L) * 2 * RESULT_MOST;
+        return store.remainingBytes(RESULTS) > (pending + 1L) * 2 * MAX_RESULT_BYTES;
     }
 
     private void write(Batch batch, Consumer<Boolean> onDone) {
-        committer.submit(batch).whenComplete((ignored, failure) -> back.execute(() -> onDone.accept(failure == null)));
+        committer.submit(batch).whenComplete((ignored, failure) -> callbackExecutor.execute(() -> onDone.accept(failure == null)));
     }
 
     @Override
-    public void intend(Mark key, JobId job, long body, long expiresAt, Consumer<Boolean> onDone) {
-        byte[] storeKey = key(key);
+    public void recordIntent(Mark key, JobId job, long body, long expiresAt, Consumer<Boolean> onDone) {
+        byte[] storeKey = storeKey(key);
         write(
                 new Batch()
-                        .put(RESULTS, storeKey, value(0, job, body, expiresAt, null), expiresAt)
+                        .put(RESULTS, storeKey, encode(0, job, body, expiresAt, null), expiresAt)
                         .put(INTENTS, storeKey, new byte[0], expiresAt),
                 onDone);
     }
@@ -200,43 +200,43 @@
             Mark key, JobId job, long body, Known known, byte[] result, long expiresAt, Consumer<Boolean> onDone) {
         Batch batch = new Batch();
         put(batch, key, job, body, known, result, expiresAt);
-        write(batch.delete(INTENTS, key(key)), onDone);
+        write(batch.delete(INTENTS, storeKey(key)), onDone);
     }
 
     /** Adds an outcome to a batch, encoded as in the store. */
     public static void put(Batch batch, Mark key, JobId job, long body, Known known, byte[] result, long expiresAt) {
-        batch.put(RESULTS, key(key), encoded(known, job, body, expiresAt, result), expiresAt);
+        batch.put(RESULTS, storeKey(key), encodeOutcome(known, job, body, expiresAt, result), expiresAt);
     }
 
     @Override
-    public void withdraw(Mark key, Consumer<Boolean> onDone) {
-        byte[] storeKey = key(key);
+    public void deleteIntent(Mark key, Consumer<Boolean> onDone) {
+        byte[] storeKey = storeKey(key);
         write(new Batch().delete(RESULTS, storeKey).delete(INTENTS, storeKey), onDone);
     }
 
     @Override
-    public void look(Mark key, Consumer<Kept> onRead) {
-        reads.execute(() -> {
-            Kept k;
+    public void read(Mark key, Consumer<StoredResult> onRead) {
+        readExecutor.execute(() -> {
+            StoredResult k;
             try {
-                byte[] storeKey = key(key);
+                byte[] storeKey = storeKey(key);
                 Found f = store.get(RESULTS, storeKey);
                 k = f == null ? null : decode(storeKey, f);
             } catch (IOException unreadable) {
                 k = null;
             }
-            Kept stored = k;
-            back.execute(() -> onRead.accept(stored));
+            StoredResult stored = k;
+            callbackExecutor.execute(() -> onRead.accept(stored));
         });
     }
 
     @Override
-    public List<Kept> intents() {
-        return List.copyOf(found);
+    public List<StoredResult> intentsAtStart() {
+        return List.copyOf(intentsAtStart);
     }
 
     @Override
-    public Set<Marks.Guard> without() {
-        return without;
+    public Set<Marks.Guard> disabledGuards() {
+        return disabledGuards;
     }
 }
--- a/results/src/main/java/tallyweir/results/Explorer.java
+++ b/results/src/main/java/tallyweir/results/Explorer.java
@@ -17,7 +17,7 @@
  * real {@link Marks} in a simulated environment.
  */
 public final class Explorer {
-    private static final Mark MARK = new Mark(new WorkloadId("w"), new SubjectId("m"));
+    private static final Mark KEY = new Mark(new WorkloadId("w"), new SubjectId("m"));
 
     private Explorer() {}
 
@@ -26,53 +26,53 @@
      * @param without guards that are switched off
      * @param maxStates after which the search ends with a violation that says so
      */
-    public static Search.Seen explore(int copies, Set<Marks.Guard> without, long maxStates) {
-        return Search.explore(() -> new Copies(copies, without), maxStates);
+    public static Search.SearchResult explore(int copies, Set<Marks.Guard> without, long maxStates) {
+        return Search.explore(() -> new SimulatedEnvironment(copies, without), maxStates);
     }
 
     private static final class Copy {
-        private static final int UNSENT = 0;
-        private static final int ASKING = 1;
-        private static final int OVER = 2;
+        private static final int NOT_SENT = 0;
+        private static final int WAITING = 1;
+        private static final int ENDED = 2;
 
         private final long body = 7;
-        private int state = UNSENT;
-        private int holds; // the run that it was admitted for, 0 for none
-        private boolean wanted;
-        private boolean given;
-        private boolean afterGood; // read after a result had been sent
+        private int state = NOT_SENT;
+        private int admittedRun; // the run that it was admitted for, 0 for none
+        private boolean startRequested;
+        private boolean givenUp;
+        private boolean readAfterResult; // read after a result had been sent
     }
 
-    private record Write(String what, long run, String value) {}
+    private record Write(String operation, long run, String value) {}
 
     /** The system under search: the tracker and its simulated environment. */
-    private static final class Copies implements World, Keeping {
+    private static final class SimulatedEnvironment implements World, Keeping {
         private final List<Copy> copies = new ArrayList<>();
         private final Set<Marks.Guard> without;
-        private final List<String> wrong = new ArrayList<>();
-        private Marks marks;
+        private final List<String> violations = new ArrayList<>();
+        private Marks tracker;
         private boolean up = true;
         private boolean crashed;
         private boolean kernelDied;
         private boolean faulted;
-        private String disk = ""; // the record of the key: "", "intent RUN" or "KNOWN RUN"
+        private String storedRecord = ""; // the record of the key: "", "intent RUN" or "KNOWN RUN"
         private final ArrayDeque<Write> writes = new ArrayDeque<>();
-        private boolean looking;
+        private boolean readPending;
         private final TreeSet<Long> sent = new TreeSet<>();
         private final TreeSet<Long> running = new TreeSet<>();
         private final TreeSet<Long> ended = new TreeSet<>();
         // Runs that this process passed to the kernel or found at its start.
-        private final TreeSet<Long> begun = new TreeSet<>();
+        private final TreeSet<Long> startedRuns = new TreeSet<>();
         private final TreeSet<Long> found = new TreeSet<>();
         private int starts;
-        private String good; // the result that was sent, null if none
+        private String sentResult; // the result that was sent, null if none
 
-        Copies(int copies, Set<Marks.Guard> without) {
+        SimulatedEnvironment(int copies, Set<Marks.Guard> without) {
             this.without = without;
             for (int i = 0; i < copies; i++) {
                 this.copies.add(new Copy());
             }
-            marks = new Marks(this, 4, without);
+            tracker = new Marks(this, 4, without);
         }
 
         @Override
@@ -81,42 +81,42 @@
                     .append(crashed)
                     .append(kernelDied)
                     .append(faulted)
-                    .append(disk)
+                    .append(storedRecord)
                     .append(writes)
-                    .append(looking)
+                    .append(readPending)
                     .append(sent)
                     .append(running)
                     .append(ended)
-                    .append(begun)
+                    .append(startedRuns)
                     .append(found)
                     .append(starts)
-                    .append(good);
+                    .append(sentResult);
             copies.forEach(c -> s.append(c.state)
-                    .append(c.holds)
-                    .append(c.wanted)
-                    .append(c.given)
-                    .append(c.afterGood));
-            return s.append(up ? marks.describe() : "").toString();
+                    .append(c.admittedRun)
+                    .append(c.startRequested)
+                    .append(c.givenUp)
+                    .append(c.readAfterResult));
+            return s.append(up ? tracker.describe() : "").toString();
         }
 
         @Override
-        public List<String> enabled() {
+        public List<String> enabledActions() {
             List<String> all = new ArrayList<>();
             boolean any = false;
             for (int i = 0; i < copies.size(); i++) {
                 Copy c = copies.get(i);
-                if (up && c.state == Copy.UNSENT && !any) {
+                if (up && c.state == Copy.NOT_SENT && !any) {
                     any = true; // copies are interchangeable, so only the next unsent one is tried
                     all.add("read " + i);
                     all.add("defer " + i);
                 }
-                if (up && c.state == Copy.ASKING && c.holds > 0 && !c.wanted) {
+                if (up && c.state == Copy.WAITING && c.admittedRun > 0 && !c.startRequested) {
                     all.add("want " + i);
                 }
-                if (up && c.state == Copy.ASKING && c.holds > 0 && !c.given) {
+                if (up && c.state == Copy.WAITING && c.admittedRun > 0 && !c.givenUp) {
                     all.add("giveup " + i);
                 }
-                if (up && c.state == Copy.ASKING) {
+                if (up && c.state == Copy.WAITING) {
                     all.add("leave " + i);
                 }
             }
@@ -127,17 +127,17 @@
                     all.add("disk does and says it failed");
                 }
             }
-            if (up && marks.lost() > 0) {
+            if (up && tracker.unrecordedOutcomes() > 0) {
                 all.add("again");
                 all.add("outlive");
             }
-            if (up && looking) {
+            if (up && readPending) {
                 all.add("disk shows");
             }
             sent.forEach(r -> all.add("kernel takes " + r));
             running.forEach(r -> all.add("kernel ends " + r));
             if (up) {
-                ended.stream().filter(begun::contains).forEach(r -> all.add("notice " + r));
+                ended.stream().filter(startedRuns::contains).forEach(r -> all.add("notice " + r));
                 found.forEach(r -> all.add("nobody knows " + r));
             }
             if (up && !crashed) {
@@ -155,52 +155,52 @@
         }
 
         @Override
-        public boolean rests(List<String> enabled) {
+        public boolean isQuiescent(List<String> enabled) {
             return enabled.stream()
                     .allMatch(a -> a.startsWith("leave") || a.startsWith("crash") || a.startsWith("kernel dies"));
         }
 
         @Override
-        public String wrongAtRest() {
-            return up && copies.stream().anyMatch(c -> c.state == Copy.ASKING) ? "a copy is never answered" : null;
+        public String quiescentViolation() {
+            return up && copies.stream().anyMatch(c -> c.state == Copy.WAITING) ? "a copy is never answered" : null;
         }
 
         @Override
-        public List<String> wrong() {
-            return wrong;
+        public List<String> violations() {
+            return violations;
         }
 
         @Override
-        public void act(String action) {
+        public void perform(String action) {
             String[] a = action.split(" ");
             int i = a.length > 1 && a[1].matches("[0-9]+") ? Integer.parseInt(a[1]) : 0;
             switch (a[0]) {
                 case "read" -> read(i);
-                case "defer" -> copies.get(i).state = Copy.OVER; // refused when read, so that it leaves no trace
+                case "defer" -> copies.get(i).state = Copy.ENDED; // refused when read, so that it leaves no trace
                 case "want" -> {
-                    copies.get(i).wanted = true;
-                    marks.want(new RunId(copies.get(i).holds));
+                    copies.get(i).startRequested = true;
+                    tracker.requestStart(new RunId(copies.get(i).admittedRun));
                 }
                 case "giveup" -> {
-                    copies.get(i).given = true;
-                    marks.giveUp(new RunId(copies.get(i).holds));
+                    copies.get(i).givenUp = true;
+                    tracker.giveUp(new RunId(copies.get(i).admittedRun));
                 }
                 case "leave" -> {
-                    copies.get(i).state = Copy.OVER;
-                    marks.leave(new RunId(i + 1));
+                    copies.get(i).state = Copy.ENDED;
+                    tracker.onDisconnected(new RunId(i + 1));
                 }
                 case "disk" -> disk(action);
-                case "again" -> marks.tryAgain(50);
-                case "outlive" -> outlive();
+                case "again" -> tracker.retryRecording(50);
+                case "outlive" -> expireUnrecorded();
                 case "notice" -> {
                     ended.remove((long) i);
                     found.remove((long) i);
-                    marks.ended(new RunId(i), Known.GOOD, new byte[] {(byte) i});
+                    tracker.onRunEnded(new RunId(i), Known.GOOD, new byte[] {(byte) i});
                 }
                 case "nobody" -> {
                     long run = Long.parseLong(a[2]);
                     found.remove(run);
-                    marks.ended(new RunId(run), Known.UNKNOWN, null);
+                    tracker.onRunEnded(new RunId(run), Known.UNKNOWN, null);
                 }
                 case "crash" -> crash(i);
                 case "start" -> start();
@@ -210,26 +210,26 @@
 
         private void read(int i) {
             Copy c = copies.get(i);
-            c.state = Copy.ASKING;
-            c.afterGood = good != null;
+            c.state = Copy.WAITING;
+            c.readAfterResult = sentResult != null;
             RunId id = new RunId(i + 1);
-            switch (marks.read(id, MARK, c.body, !disk.isEmpty())) {
+            switch (tracker.onCopyRead(id, KEY, c.body, !storedRecord.isEmpty())) {
                 case NEW -> {
-                    c.holds = i + 1;
-                    marks.admit(id, MARK, c.body, 100);
+                    c.admittedRun = i + 1;
+                    tracker.admit(id, KEY, c.body, 100);
                 }
-                case REPEAT -> marks.await(id, MARK, c.body);
-                default -> c.state = Copy.OVER;
+                case REPEAT -> tracker.awaitOutcome(id, KEY, c.body);
+                default -> c.state = Copy.ENDED;
             }
         }
 
         private void disk(String action) {
             if (action.equals("disk shows")) {
-                looking = false;
-                String[] d = disk.split(" ");
-                boolean over = disk.length() > 0 && !d[0].equals("intent");
-                marks.looked(
-                        MARK,
+                readPending = false;
+                String[] d = storedRecord.split(" ");
+                boolean over = storedRecord.length() > 0 && !d[0].equals("intent");
+                tracker.onRecordRead(
+                        KEY,
                         7,
                         over ? Known.valueOf(d[0]) : Known.UNKNOWN,
                         over ? new byte[] {Byte.parseByte(d[1])} : null);
@@ -238,23 +238,23 @@
             Write w = writes.poll();
             boolean success = action.equals("disk does");
             if (!action.equals("disk refuses")) {
-                disk = w.value;
+                storedRecord = w.value;
             }
             faulted |= !success;
-            switch (w.what) {
-                case "intend" -> marks.intended(new RunId(w.run), success);
-                case "record" -> marks.recorded(new RunId(w.run), success);
-                default -> marks.withdrawn(new RunId(w.run));
+            switch (w.operation) {
+                case "intend" -> tracker.onIntentRecorded(new RunId(w.run), success);
+                case "record" -> tracker.onOutcomeRecorded(new RunId(w.run), success);
+                default -> tracker.onIntentDeleted(new RunId(w.run));
             }
         }
 
         /** The window of outcomes that were not written has ended: any later copy is another query. */
-        private void outlive() {
-            marks.tryAgain(100);
-            if (marks.lost() > 0) {
-                wrong.add("an entry past its window stays in memory");
+        private void expireUnrecorded() {
+            tracker.retryRecording(100);
+            if (tracker.unrecordedOutcomes() > 0) {
+                violations.add("an entry past its window stays in memory");
             }
-            copies.stream().filter(c -> c.state == Copy.UNSENT).forEach(c -> c.state = Copy.OVER);
+            copies.stream().filter(c -> c.state == Copy.NOT_SENT).forEach(c -> c.state = Copy.ENDED);
         }
 
         private void kernel(String[] a) {
@@ -264,7 +264,7 @@
                     running.add(Long.parseLong(a[2]));
                     starts++;
                     if (starts > 1) {
-                        wrong.add("ran twice");
+                        violations.add("ran twice");
                     }
                 }
                 case "ends" -> {
@@ -273,13 +273,13 @@
                 }
                 default -> {
                     kernelDied = true;
-                    List<Long> lost = new ArrayList<>(begun);
+                    List<Long> lost = new ArrayList<>(startedRuns);
                     sent.clear();
                     running.clear();
                     ended.clear();
                     found.clear();
                     if (up) {
-                        lost.forEach(r -> marks.ended(new RunId(r), Known.UNKNOWN, null));
+                        lost.forEach(r -> tracker.onRunEnded(new RunId(r), Known.UNKNOWN, null));
                     }
                 }
             }
@@ -289,24 +289,24 @@
             crashed = true;
             up = false;
             for (int n = 0; n < applied; n++) {
-                disk = writes.poll().value;
+                storedRecord = writes.poll().value;
             }
             writes.clear();
-            looking = false;
-            begun.clear();
+            readPending = false;
+            startedRuns.clear();
             found.clear();
-            copies.stream().filter(c -> c.state == Copy.ASKING).forEach(c -> c.state = Copy.OVER);
+            copies.stream().filter(c -> c.state == Copy.WAITING).forEach(c -> c.state = Copy.ENDED);
         }
 
         private void start() {
             up = true;
-            marks = new Marks(this, 4, without);
-            if (disk.startsWith("intent")) {
-                long run = Long.parseLong(disk.split(" ")[1]);
-                begun.add(run);
-                marks.found(new RunId(run), MARK, 7, 100);
+            tracker = new Marks(this, 4, without);
+            if (storedRecord.startsWith("intent")) {
+                long run = Long.parseLong(storedRecord.split(" ")[1]);
+                startedRuns.add(run);
+                tracker.restoreIntent(new RunId(run), KEY, 7, 100);
                 if (kernelDied) {
-                    marks.ended(new RunId(run), Known.UNKNOWN, null);
+                    tracker.onRunEnded(new RunId(run), Known.UNKNOWN, null);
                 } else {
                     found.add(run);
                 }
@@ -316,7 +316,7 @@
         // ---- actions of the tracker
 
         @Override
-        public void intend(RunId run, Mark key, long body, long expiresAt) {
+        public void recordIntent(RunId run, Mark key, long body, long expiresAt) {
             writes.add(new Write("intend", run.value(), "intent " + run.value()));
         }
 
@@ -326,19 +326,19 @@
         }
 
         @Override
-        public void withdraw(RunId run, Mark key) {
+        public void deleteIntent(RunId run, Mark key) {
             writes.add(new Write("withdraw", run.value(), ""));
         }
 
         @Override
-        public void look(Mark key) {
-            looking = true;
+        public void readRecord(Mark key) {
+            readPending = true;
         }
 
         @Override
-        public void begin(RunId run) {
+        public void startRun(RunId run) {
             sent.add(run.value());
-            begun.add(run.value());
+            startedRuns.add(run.value());
         }
 
         @Override
@@ -346,37 +346,37 @@
             Copy c = close(copy);
             if (known == Known.GOOD) {
                 String value = Byte.toString(result[0]);
-                if (good != null && !good.equals(value)) {
-                    wrong.add("answers differ");
+                if (sentResult != null && !sentResult.equals(value)) {
+                    violations.add("answers differ");
                 }
-                good = value;
-            } else if (c.afterGood) {
-                wrong.add("a result that was sent is not known any more");
+                sentResult = value;
+            } else if (c.readAfterResult) {
+                violations.add("a result that was sent is not known any more");
             }
         }
 
         @Override
-        public void otherBody(RunId copy) {
+        public void refuseOtherBody(RunId copy) {
             close(copy);
-            wrong.add("equal bodies were taken for different ones");
+            violations.add("equal bodies were taken for different ones");
         }
 
         @Override
-        public void notBegun(RunId copy) {
+        public void deferNotStarted(RunId copy) {
             close(copy);
         }
 
         @Override
-        public void over(RunId run) {
+        public void release(RunId run) {
             // nothing is kept per run here
         }
 
         private Copy close(RunId copy) {
             Copy c = copies.get((int) copy.value() - 1);
-            if (c.state != Copy.ASKING) {
-                wrong.add("answered twice");
+            if (c.state != Copy.WAITING) {
+                violations.add("answered twice");
             }
-            c.state = Copy.OVER;
+            c.state = Copy.ENDED;
             return c;
         }
     }
--- a/results/src/main/java/tallyweir/results/Keeping.java
+++ b/results/src/main/java/tallyweir/results/Keeping.java
@@ -6,32 +6,32 @@
  */
 public interface Keeping {
     /** Writes the intent, the record that a run may start; answered by {@link Marks#onIntentRecorded}. */
-    void intend(RunId run, Mark key, long body, long expiresAt);
+    void recordIntent(RunId run, Mark key, long body, long expiresAt);
 
     /** Writes the outcome of a run in place of its intent; answered by {@link Marks#onOutcomeRecorded}. */
     void record(RunId run, Mark key, long body, Known known, byte[] result, long expiresAt);
 
     /** Deletes the intent of a run that never started; answered by {@link Marks#onIntentDeleted}. */
-    void withdraw(RunId run, Mark key);
+    void deleteIntent(RunId run, Mark key);
 
     /**
      * Reads the record of a key; answered by {@link Marks#onRecordRead} or
      * {@link Marks#onReadFailed}.
      */
-    void look(Mark key);
+    void readRecord(Mark key);
 
     /** Passes the run to the kernel. */
-    void begin(RunId run);
+    void startRun(RunId run);
 
     /** Answers a copy. */
     void answer(RunId copy, Known known, byte[] result);
 
     /** Refuses a copy because its key was used with another body. */
-    void otherBody(RunId copy);
+    void refuseOtherBody(RunId copy);
 
     /** An admitted copy did not start and will not: it may be deferred, and a later copy may run. */
-    void notBegun(RunId copy);
+    void deferNotStarted(RunId copy);
 
     /** No further action will be asked for this run. */
-    void over(RunId run);
+    void release(RunId run);
 }
--- a/results/src/main/java/tallyweir/results/Marks.java
+++ b/results/src/main/java/tallyweir/results/Marks.java
@@ -40,54 +40,54 @@
     }
 
     private enum Stage {
-        LOOKING,
-        INTENDING,
+        READING,
+        RECORDING_INTENT,
         READY,
-        BEGUN,
+        STARTED,
         RECORDING,
-        KEPT,
-        LOST,
-        WITHDRAWING,
-        GONE
+        RECORDED,
+        NOT_RECORDED,
+        DELETING_INTENT,
+        DELETED
     }
 
-    private record Asker(RunId copy, long body) {}
+    private record Waiter(RunId copy, long body) {}
 
     private static final class Entry {
-        private final Mark mark;
+        private final Mark key;
         private long body;
-        private final long until;
-        private final RunId holder;
+        private final long expiresAt;
+        private final RunId run;
         private Stage stage;
-        private boolean wanted; // the scheduler has asked for its start
-        private boolean given; // the scheduler has given it up
-        private boolean over; // the run has ended, or its end can't be determined
-        private boolean done; // the current write or read has finished,
-        private boolean failed; // and failed
+        private boolean startRequested; // the scheduler has asked for its start
+        private boolean givenUp; // the scheduler has given it up
+        private boolean runEnded; // the run has ended, or its end can't be determined
+        private boolean ioDone; // the current write or read has finished,
+        private boolean ioFailed; // and failed
         private boolean dropped; // removed from memory
-        private boolean anyBody; // the body is unknown, so it is not compared
-        private boolean outlived; // its window has ended
+        private boolean bodyUnknown; // the body is unknown, so it is not compared
+        private boolean expired; // its window has ended
         private Known known;
         private byte[] result;
-        private final List<Asker> asking = new ArrayList<>(1);
+        private final List<Waiter> waiters = new ArrayList<>(1);
 
         private Entry(Mark key, long body, long expiresAt, RunId run, Stage stage) {
-            this.mark = key;
+            this.key = key;
             this.body = body;
-            this.until = expiresAt;
-            this.holder = run;
+            this.expiresAt = expiresAt;
+            this.run = run;
             this.stage = stage;
         }
     }
 
     private final Keeping out;
-    private final int most;
+    private final int maxEntries;
     private final Set<Guard> without;
     private final Map<Mark, Entry> entries = new HashMap<>();
-    private final Map<RunId, Entry> held = new HashMap<>();
-    private final Set<Mark> passedOver = new HashSet<>(); // used only when a check has switched off a guard
+    private final Map<RunId, Entry> entriesByRun = new HashMap<>();
+    private final Set<Mark> ignoredIntents = new HashSet<>(); // used only when a check has switched off a guard
     private final Rules rules = new Rules();
-    private Entry e; // the entry that the current event is about
+    private Entry current; // the entry that the current event is about
 
     /**
      * @param maxEntries keys in memory at once, 1 or more; beyond that new keys are refused
@@ -95,34 +95,34 @@
      */
     public Marks(Keeping out, int maxEntries, Set<Guard> without) {
         this.out = out;
-        this.most = maxEntries;
+        this.maxEntries = maxEntries;
         this.without = without.isEmpty() ? EnumSet.noneOf(Guard.class) : EnumSet.copyOf(without);
         // Order: runs that must not start, runs that may, runs that have ended, callers that wait for an outcome.
-        rules.add(() -> e.stage == Stage.INTENDING && e.done && e.failed, this::neverBegan);
-        rules.add(() -> (e.stage == Stage.INTENDING && e.done || e.stage == Stage.READY) && e.given, this::withdraw);
-        rules.add(() -> e.stage == Stage.BEGUN && e.given && !has(Guard.PROOF), this::withdraw);
+        rules.add(() -> current.stage == Stage.RECORDING_INTENT && current.ioDone && current.ioFailed, this::discardUnstarted);
+        rules.add(() -> (current.stage == Stage.RECORDING_INTENT && current.ioDone || current.stage == Stage.READY) && current.givenUp, this::deleteIntent);
+        rules.add(() -> current.stage == Stage.STARTED && current.givenUp && !isOn(Guard.PROOF), this::deleteIntent);
         rules.add(
-                () -> e.stage == Stage.INTENDING && (e.done || e.wanted && !has(Guard.INTENT)),
-                () -> e.stage = Stage.READY);
-        rules.add(() -> e.stage == Stage.READY && e.wanted, this::begin);
-        rules.add(() -> e.stage == Stage.BEGUN && e.over, this::record);
-        rules.add(() -> e.stage == Stage.RECORDING && !e.asking.isEmpty() && !has(Guard.ORDER), this::answer);
-        rules.add(() -> e.stage == Stage.RECORDING && e.done, () -> e.stage = e.failed ? Stage.LOST : Stage.KEPT);
-        rules.add(() -> e.stage == Stage.LOST && e.done && !e.asking.isEmpty(), this::answerUnknown);
-        rules.add(() -> e.stage == Stage.LOST && e.outlived && !e.dropped, this::drop);
-        rules.add(() -> e.stage == Stage.LOOKING && e.done, () -> e.stage = Stage.KEPT);
-        rules.add(() -> e.stage == Stage.KEPT && !e.asking.isEmpty(), this::answer);
-        rules.add(() -> e.stage == Stage.WITHDRAWING && e.done, () -> e.stage = Stage.GONE);
-        rules.add(() -> (e.stage == Stage.KEPT || e.stage == Stage.GONE) && !e.dropped, this::drop);
-    }
-
-    private boolean has(Guard guard) {
+                () -> current.stage == Stage.RECORDING_INTENT && (current.ioDone || current.startRequested && !isOn(Guard.INTENT)),
+                () -> current.stage = Stage.READY);
+        rules.add(() -> current.stage == Stage.READY && current.startRequested, this::start);
+        rules.add(() -> current.stage == Stage.STARTED && current.runEnded, this::record);
+        rules.add(() -> current.stage == Stage.RECORDING && !current.waiters.isEmpty() && !isOn(Guard.ORDER), this::answer);
+        rules.add(() -> current.stage == Stage.RECORDING && current.ioDone, () -> current.stage = current.ioFailed ? Stage.NOT_RECORDED : Stage.RECORDED);
+        rules.add(() -> current.stage == Stage.NOT_RECORDED && current.ioDone && !current.waiters.isEmpty(), this::answerUnknown);
+        rules.add(() -> current.stage == Stage.NOT_RECORDED && current.expired && !current.dropped, this::drop);
+        rules.add(() -> current.stage == Stage.READING && current.ioDone, () -> current.stage = Stage.RECORDED);
+        rules.add(() -> current.stage == Stage.RECORDED && !current.waiters.isEmpty(), this::answer);
+        rules.add(() -> current.stage == Stage.DELETING_INTENT && current.ioDone, () -> current.stage = Stage.DELETED);
+        rules.add(() -> (current.stage == Stage.RECORDED || current.stage == Stage.DELETED) && !current.dropped, this::drop);
+    }
+
+    private boolean isOn(Guard guard) {
         return !without.contains(guard);
     }
 
-    private void settle(Entry entry) {
-        e = entry;
-        rules.settle();
+    private void applyRules(Entry entry) {
+        current = entry;
+        rules.runUntilStable();
     }
 
     /** Number of keys in memory. */
@@ -138,89 +138,89 @@
      * @param body digest of the copy's body
      * @param onDisk whether the key has a record on the disk, an intent or an outcome
      */
-    public Verdict read(RunId copy, Mark key, long body, boolean onDisk) {
+    public Verdict onCopyRead(RunId copy, Mark key, long body, boolean onDisk) {
         Entry entry = entries.get(key);
-        if (entry != null && !ending(entry)) {
-            if (entry.stage != Stage.LOOKING && entry.body != body) {
+        if (entry != null && !isAbandoned(entry)) {
+            if (entry.stage != Stage.READING && entry.body != body) {
                 return Verdict.OTHER_BODY;
             }
             return Verdict.REPEAT;
         }
-        if (entry == null && onDisk && has(Guard.WINDOW) && !passedOver.contains(key)) {
-            Entry looking = new Entry(key, 0, 0, null, Stage.LOOKING);
+        if (entry == null && onDisk && isOn(Guard.WINDOW) && !ignoredIntents.contains(key)) {
+            Entry looking = new Entry(key, 0, 0, null, Stage.READING);
             entries.put(key, looking);
-            out.look(key);
+            out.readRecord(key);
             return Verdict.REPEAT;
         }
-        return entry == null && entries.size() >= most ? Verdict.NO_ROOM : Verdict.NEW;
+        return entry == null && entries.size() >= maxEntries ? Verdict.NO_ROOM : Verdict.NEW;
     }
 
     /** Whether the entry was given up before its run started. */
-    private static boolean ending(Entry entry) {
-        return entry.stage == Stage.WITHDRAWING
-                || entry.given && (entry.stage == Stage.INTENDING || entry.stage == Stage.READY);
+    private static boolean isAbandoned(Entry entry) {
+        return entry.stage == Stage.DELETING_INTENT
+                || entry.givenUp && (entry.stage == Stage.RECORDING_INTENT || entry.stage == Stage.READY);
     }
 
     /** Lets a repeat wait for the outcome of its key. It is answered once, unless its caller disconnects before. */
-    public void await(RunId copy, Mark key, long body) {
+    public void awaitOutcome(RunId copy, Mark key, long body) {
         Entry entry = entries.get(key);
         if (entry == null) {
             out.answer(copy, Known.UNKNOWN, null);
             return;
         }
-        entry.asking.add(new Asker(copy, body));
-        if (entry.stage == Stage.LOST) {
-            again(entry);
+        entry.waiters.add(new Waiter(copy, body));
+        if (entry.stage == Stage.NOT_RECORDED) {
+            recordAgain(entry);
         }
-        settle(entry);
+        applyRules(entry);
     }
 
     /** The caller of a copy disconnected. Its run continues if the start was asked for, else it is given up. */
-    public void leave(RunId copy) {
-        entries.values().forEach(entry -> entry.asking.removeIf(a -> a.copy.equals(copy)));
-        held.values().forEach(entry -> entry.asking.removeIf(a -> a.copy.equals(copy)));
-        with(copy, entry -> entry.given |= !entry.wanted);
+    public void onDisconnected(RunId copy) {
+        entries.values().forEach(entry -> entry.waiters.removeIf(a -> a.copy.equals(copy)));
+        entriesByRun.values().forEach(entry -> entry.waiters.removeIf(a -> a.copy.equals(copy)));
+        update(copy, entry -> entry.givenUp |= !entry.startRequested);
     }
 
     /** The scheduler has admitted a new copy. Its intent is written while it waits for a core. */
     public void admit(RunId copy, Mark key, long body, long expiresAt) {
-        Entry entry = new Entry(key, body, expiresAt, copy, Stage.INTENDING);
-        entry.asking.add(new Asker(copy, body));
+        Entry entry = new Entry(key, body, expiresAt, copy, Stage.RECORDING_INTENT);
+        entry.waiters.add(new Waiter(copy, body));
         entries.put(key, entry);
-        held.put(copy, entry);
-        out.intend(copy, key, body, expiresAt);
-        settle(entry);
+        entriesByRun.put(copy, entry);
+        out.recordIntent(copy, key, body, expiresAt);
+        applyRules(entry);
     }
 
     /** The scheduler asks for the start of an admitted copy. */
-    public void want(RunId copy) {
-        with(copy, entry -> entry.wanted = true);
+    public void requestStart(RunId copy) {
+        update(copy, entry -> entry.startRequested = true);
     }
 
     /** The scheduler has given up a copy. If it may have started, its intent is not deleted. */
     public void giveUp(RunId copy) {
-        with(copy, entry -> entry.given = true);
+        update(copy, entry -> entry.givenUp = true);
     }
 
-    private interface Change {
-        void to(Entry entry);
+    private interface Update {
+        void apply(Entry entry);
     }
 
-    private void with(RunId copy, Change change) {
-        Entry entry = held.get(copy);
+    private void update(RunId copy, Update change) {
+        Entry entry = entriesByRun.get(copy);
         if (entry != null) {
-            change.to(entry);
-            settle(entry);
+            change.apply(entry);
+            applyRules(entry);
         }
     }
 
     // ---- the kernel
 
     /** A run has ended. Only the first call for a run counts. */
-    public void ended(RunId run, Known known, byte[] result) {
-        with(run, entry -> {
-            if (!entry.over) {
-                entry.over = true;
+    public void onRunEnded(RunId run, Known known, byte[] result) {
+        update(run, entry -> {
+            if (!entry.runEnded) {
+                entry.runEnded = true;
                 entry.known = known;
                 entry.result = result;
             }
@@ -230,34 +230,34 @@
     // ---- the disk
 
     /** @param success whether the intent is on the disk; if false, it may still be found there after a restart */
-    public void intended(RunId run, boolean success) {
-        with(run, entry -> {
-            if (entry.stage == Stage.INTENDING) {
-                entry.done = true;
-                entry.failed = !success;
+    public void onIntentRecorded(RunId run, boolean success) {
+        update(run, entry -> {
+            if (entry.stage == Stage.RECORDING_INTENT) {
+                entry.ioDone = true;
+                entry.ioFailed = !success;
             }
         });
     }
 
     /** @param success whether the outcome is on the disk; if false, it may still be found there after a restart */
-    public void recorded(RunId run, boolean success) {
-        with(run, entry -> {
+    public void onOutcomeRecorded(RunId run, boolean success) {
+        update(run, entry -> {
             if (entry.stage == Stage.RECORDING) {
-                entry.done = true;
-                entry.failed = !success;
+                entry.ioDone = true;
+                entry.ioFailed = !success;
             }
         });
     }
 
     /** The deletion of an intent has finished, whether it succeeded or not; its run never started. */
-    public void withdrawn(RunId run) {
-        with(run, entry -> entry.done = true);
+    public void onIntentDeleted(RunId run) {
+        update(run, entry -> entry.ioDone = true);
     }
 
     /** Number of outcomes whose write failed, so that they are in memory only. */
-    public int lost() {
+    public int unrecordedOutcomes() {
         return (int) entries.values().stream()
-                .filter(entry -> entry.stage == Stage.LOST)
+                .filter(entry -> entry.stage == Stage.NOT_RECORDED)
                 .count();
     }
 
@@ -266,123 +266,123 @@
      *
      * @param wall current time, tenths of a millisecond since 1970
      */
-    public void tryAgain(long wall) {
+    public void retryRecording(long wall) {
         for (Entry entry : List.copyOf(entries.values())) {
-            if (entry.stage == Stage.LOST) {
-                entry.outlived = entry.until <= wall;
-                if (!entry.outlived) {
-                    again(entry);
+            if (entry.stage == Stage.NOT_RECORDED) {
+                entry.expired = entry.expiresAt <= wall;
+                if (!entry.expired) {
+                    recordAgain(entry);
                 }
-                settle(entry);
+                applyRules(entry);
             }
         }
     }
 
     /** The record of a key was read. An intent without an outcome counts as {@link Known#UNKNOWN}. */
-    public void looked(Mark key, long body, Known known, byte[] result) {
+    public void onRecordRead(Mark key, long body, Known known, byte[] result) {
         Entry entry = entries.get(key);
-        if (entry != null && entry.stage == Stage.LOOKING) {
+        if (entry != null && entry.stage == Stage.READING) {
             entry.body = body;
             entry.known = known;
             entry.result = result;
-            entry.done = true;
-            settle(entry);
+            entry.ioDone = true;
+            applyRules(entry);
         }
     }
 
     /** The record of a key could not be read. */
-    public void lookFailed(Mark key) {
+    public void onReadFailed(Mark key) {
         Entry entry = entries.get(key);
-        if (entry != null && entry.stage == Stage.LOOKING) {
-            entry.anyBody = true;
-            looked(key, 0, Known.UNKNOWN, null);
+        if (entry != null && entry.stage == Stage.READING) {
+            entry.bodyUnknown = true;
+            onRecordRead(key, 0, Known.UNKNOWN, null);
         }
     }
 
     /** At startup, before any copy is read: an intent without an outcome was found on the disk. */
-    public void found(RunId run, Mark key, long body, long expiresAt) {
-        if (!has(Guard.RESTART)) {
-            passedOver.add(key);
+    public void restoreIntent(RunId run, Mark key, long body, long expiresAt) {
+        if (!isOn(Guard.RESTART)) {
+            ignoredIntents.add(key);
             return;
         }
-        Entry entry = new Entry(key, body, expiresAt, run, Stage.BEGUN);
+        Entry entry = new Entry(key, body, expiresAt, run, Stage.STARTED);
         entries.put(key, entry);
-        held.put(run, entry);
+        entriesByRun.put(run, entry);
     }
 
     // ---- actions of the rules
 
-    private void neverBegan() {
-        e.stage = Stage.GONE;
-        release();
+    private void discardUnstarted() {
+        current.stage = Stage.DELETED;
+        deferWaiters();
     }
 
-    private void withdraw() {
-        e.stage = Stage.WITHDRAWING;
-        e.done = entries.get(e.mark) != e; // the intent of a later copy has replaced it on the disk
-        if (!e.done) {
-            out.withdraw(e.holder, e.mark);
+    private void deleteIntent() {
+        current.stage = Stage.DELETING_INTENT;
+        current.ioDone = entries.get(current.key) != current; // the intent of a later copy has replaced it on the disk
+        if (!current.ioDone) {
+            out.deleteIntent(current.run, current.key);
         }
-        release();
+        deferWaiters();
     }
 
     /** The run will not start: tells all copies that wait for it that they may be deferred. */
-    private void release() {
-        List<Asker> all = List.copyOf(e.asking);
-        e.asking.clear();
-        all.forEach(a -> out.notBegun(a.copy));
+    private void deferWaiters() {
+        List<Waiter> all = List.copyOf(current.waiters);
+        current.waiters.clear();
+        all.forEach(a -> out.deferNotStarted(a.copy));
     }
 
-    private void begin() {
-        e.stage = Stage.BEGUN;
-        out.begin(e.holder);
+    private void start() {
+        current.stage = Stage.STARTED;
+        out.startRun(current.run);
     }
 
     private void record() {
-        e.stage = Stage.RECORDING;
-        e.done = false;
-        e.failed = false;
-        out.record(e.holder, e.mark, e.body, e.known, e.result, e.until);
+        current.stage = Stage.RECORDING;
+        current.ioDone = false;
+        current.ioFailed = false;
+        out.record(current.run, current.key, current.body, current.known, current.result, current.expiresAt);
     }
 
-    private void again(Entry entry) {
+    private void recordAgain(Entry entry) {
         entry.stage = Stage.RECORDING;
-        entry.done = false;
-        entry.failed = false;
-        out.record(entry.holder, entry.mark, entry.body, entry.known, entry.result, entry.until);
+        entry.ioDone = false;
+        entry.ioFailed = false;
+        out.record(entry.run, entry.key, entry.body, entry.known, entry.result, entry.expiresAt);
     }
 
     private void answer() {
-        List<Asker> all = List.copyOf(e.asking);
-        e.asking.clear();
-        for (Asker a : all) {
-            if (a.body != e.body && !e.anyBody) {
-                out.otherBody(a.copy);
+        List<Waiter> all = List.copyOf(current.waiters);
+        current.waiters.clear();
+        for (Waiter a : all) {
+            if (a.body != current.body && !current.bodyUnknown) {
+                out.refuseOtherBody(a.copy);
             } else {
-                out.answer(a.copy, e.known, e.known == Known.GOOD ? e.result : null);
+                out.answer(a.copy, current.known, current.known == Known.GOOD ? current.result : null);
             }
         }
     }
 
     /** A result that could not be written is not sent, since it may be unknown after a restart. */
     private void answerUnknown() {
-        List<Asker> all = List.copyOf(e.asking);
-        e.asking.clear();
+        List<Waiter> all = List.copyOf(current.waiters);
+        current.waiters.clear();
         all.forEach(a -> out.answer(a.copy, Known.UNKNOWN, null));
     }
 
     private void drop() {
-        e.dropped = true;
-        entries.remove(e.mark, e);
-        if (e.holder != null) {
-            held.remove(e.holder, e);
-            out.over(e.holder);
+        current.dropped = true;
+        entries.remove(current.key, current);
+        if (current.run != null) {
+            entriesByRun.remove(current.run, current);
+            out.release(current.run);
         }
     }
 
     /** The complete state as text, equal for equal states; for checks. */
     String describe() {
-        return held.entrySet().stream()
+        return entriesByRun.entrySet().stream()
                         .map(h -> h.getKey().value() + ":" + describe(h.getValue()))
                         .sorted()
                         .collect(Collectors.joining(";"))
@@ -391,17 +391,17 @@
     }
 
     private static String describe(Entry entry) {
-        return entry.mark.stamp().value()
+        return entry.key.stamp().value()
                 + entry.stage
-                + (entry.holder == null ? "" : entry.holder.value())
-                + entry.outlived
-                + entry.wanted
-                + entry.given
-                + entry.over
-                + entry.done
-                + entry.failed
+                + (entry.run == null ? "" : entry.run.value())
+                + entry.expired
+                + entry.startRequested
+                + entry.givenUp
+                + entry.runEnded
+                + entry.ioDone
+                + entry.ioFailed
                 + entry.known
                 + (entry.result == null ? "" : entry.result[0])
-                + entry.asking.stream().map(a -> a.copy.value() + "/" + a.body).toList();
+                + entry.waiters.stream().map(a -> a.copy.value() + "/" + a.body).toList();
     }
 }
