--- a/results/src/main/java/tallyweir/results/Settling.java
+++ b/results/src/main/java/tallyweir/results/Settling.java
@@ -23,7 +23,7 @@
     /** The namespace of the audit trail. */
     public static final String AUDIT = "audit";
 
-    private static final int TEXT_MOST = 2_000;
+    private static final int MAX_TEXT_CHARS = 2_000;
 
     /** The change to make: what was found out about the run, or that its key is to be forgotten. */
     public enum As {
@@ -37,7 +37,7 @@
         FORGOTTEN
     }
 
-    private record Rule(BiPredicate<ResultStore.Kept, As> when, String why) {}
+    private record Rule(BiPredicate<ResultStore.StoredResult, As> condition, String reason) {}
 
     // Evaluated in order; the first rule that matches gives the reason for the refusal.
     private static final List<Rule> RULES = List.of(
@@ -51,10 +51,10 @@
     private Settling() {}
 
     /** Returns the reason why a change is refused; null if it is allowed. */
-    static String refusal(ResultStore.Kept kept, As as) {
+    static String refusal(ResultStore.StoredResult kept, As as) {
         return RULES.stream()
-                .filter(r -> r.when.test(kept, as))
-                .map(Rule::why)
+                .filter(r -> r.condition.test(kept, as))
+                .map(Rule::reason)
                 .findFirst()
                 .orElse(null);
     }
@@ -70,13 +70,13 @@
     public static synchronized void settle(
             Durable store, Committer committer, Mark key, As as, byte[] result, String operator, String reason)
             throws IOException {
-        if (operator.isBlank() || reason.isBlank() || operator.length() > TEXT_MOST || reason.length() > TEXT_MOST) {
+        if (operator.isBlank() || reason.isBlank() || operator.length() > MAX_TEXT_CHARS || reason.length() > MAX_TEXT_CHARS) {
             throw new IOException(
-                    "an operator and a reason are required, of at most " + TEXT_MOST + " characters each");
+                    "an operator and a reason are required, of at most " + MAX_TEXT_CHARS + " characters each");
         }
-        byte[] storeKey = DurableResultStore.key(key);
+        byte[] storeKey = DurableResultStore.storeKey(key);
         Found found = store.get(DurableResultStore.RESULTS, storeKey);
-        ResultStore.Kept kept = found == null ? null : DurableResultStore.of(found);
+        ResultStore.StoredResult kept = found == null ? null : DurableResultStore.decode(found);
         String refusal = refusal(kept, as);
         if (refusal != null) {
             throw new IOException(refusal);
@@ -91,14 +91,14 @@
                         kept.body(),
                         Known.GOOD,
                         result == null ? new byte[0] : result,
-                        kept.until());
+                        kept.expiresAt());
             case RAN_BADLY ->
-                DurableResultStore.put(batch, key, kept.job(), kept.body(), Known.BAD, null, kept.until());
+                DurableResultStore.put(batch, key, kept.job(), kept.body(), Known.BAD, null, kept.expiresAt());
             default -> batch.delete(DurableResultStore.RESULTS, storeKey);
         }
         batch.put(
                 AUDIT,
-                free(store, storeKey),
+                newAuditKey(store, storeKey),
                 String.join("\t", as.name(), operator, reason).getBytes(StandardCharsets.UTF_8));
         committer.write(batch);
     }
@@ -107,7 +107,7 @@
      * A free audit key, made of time and key. A second change of a key at the same time is dated a tenth of a
      * millisecond later.
      */
-    private static byte[] free(Durable store, byte[] storeKey) {
+    private static byte[] newAuditKey(Durable store, byte[] storeKey) {
         byte[] key;
         long at = store.now();
         do {
@@ -120,7 +120,7 @@
     }
 
     /** A change as recorded in the namespace {@link #AUDIT}; its time is tenths of a millisecond since 1970. */
-    public record Change(long at, Mark mark, String as, String by, String why) {}
+    public record Change(long changedAt, Mark key, String as, String operator, String reason) {}
 
     /** Decodes a record of the namespace {@link #AUDIT}; null if it is malformed. */
     public static Change change(Found f) {
@@ -132,7 +132,7 @@
         ByteBuffer in = ByteBuffer.wrap(f.key());
         long at = in.getLong();
         in.get(storeKey);
-        Mark key = DurableResultStore.mark(storeKey);
+        Mark key = DurableResultStore.idempotencyKey(storeKey);
         return key == null ? null : new Change(at, key, text[0], text[1], text[2]);
     }
 
@@ -156,7 +156,7 @@
             settle(
                     store,
                     committer,
-                    DurableResultStore.mark(words.get(0), words.get(1)),
+                    DurableResultStore.idempotencyKey(words.get(0), words.get(1)),
                     as,
                     result,
                     words.get(4),
--- a/results/src/test/java/tallyweir/results/DurableResultStoreTest.java
+++ b/results/src/test/java/tallyweir/results/DurableResultStoreTest.java
@@ -22,23 +22,23 @@
 /** Records in the store, across restarts and up to the end of their windows. */
 @Timeout(30)
 class DurableResultStoreTest {
-    private static final Mark MARK = DurableResultStore.mark("reset", "m1");
-    private static final Mark OTHER = DurableResultStore.mark("reset", "m2");
+    private static final Mark KEY = DurableResultStore.idempotencyKey("reset", "m1");
+    private static final Mark OTHER_KEY = DurableResultStore.idempotencyKey("reset", "m2");
 
     private final SimDisk.Power power = new SimDisk.Power(1);
     private final SimDisk first = new SimDisk(power, 512, "first");
     private final SimDisk second = new SimDisk(power, 512, "second");
     private long clock = 17_000_000_000_000L;
 
-    private interface With {
-        void resultStore(DurableResultStore resultStore) throws Exception;
+    private interface Check {
+        void run(DurableResultStore resultStore) throws Exception;
     }
 
-    private void open(With with) throws Exception {
+    private void open(Check check) throws Exception {
         try (Durable d = new Durable(
                         first,
                         second,
-                        Both.IN_TURN,
+                        Both.SEQUENTIAL,
                         1 << 14,
                         512,
                         0.5,
@@ -51,81 +51,81 @@
                         Runnable::run,
                         Set.of());
                 Committer c = new Committer(d, 1 << 20, 0, 1 << 20)) {
-            with.resultStore(new DurableResultStore(d, c, Runnable::run, Runnable::run, Set.of()));
+            check.run(new DurableResultStore(d, c, Runnable::run, Runnable::run, Set.of()));
         }
     }
 
-    private static boolean done(java.util.function.Consumer<java.util.function.Consumer<Boolean>> write)
+    private static boolean succeeds(java.util.function.Consumer<java.util.function.Consumer<Boolean>> write)
             throws Exception {
         CompletableFuture<Boolean> done = new CompletableFuture<>();
         write.accept(done::complete);
         return done.get(10, TimeUnit.SECONDS);
     }
 
-    private static ResultStore.Kept look(DurableResultStore s, Mark mark) {
-        ResultStore.Kept[] stored = new ResultStore.Kept[1];
-        s.look(mark, k -> stored[0] = k);
+    private static ResultStore.StoredResult read(DurableResultStore s, Mark key) {
+        ResultStore.StoredResult[] stored = new ResultStore.StoredResult[1];
+        s.read(key, k -> stored[0] = k);
         return stored[0];
     }
 
     @Test
-    void aMarkIsKeptToTheVeryEndOfItsWindowThroughRestarts() throws Exception {
+    void recordLastsUntilEndOfWindowAcrossRestarts() throws Exception {
         long until = clock + 10_000;
-        open(s -> assertTrue(done(d -> s.record(MARK, new JobId("j"), 42, Known.GOOD, new byte[] {7}, until, d))));
+        open(s -> assertTrue(succeeds(d -> s.record(KEY, new JobId("j"), 42, Known.GOOD, new byte[] {7}, until, d))));
         clock = until - 1;
         open(s -> {
-            assertTrue(s.knows(MARK), "forgotten within its window");
-            assertArrayEquals(new byte[] {7}, look(s, MARK).result());
+            assertTrue(s.contains(KEY), "forgotten within its window");
+            assertArrayEquals(new byte[] {7}, read(s, KEY).result());
         });
         open(s -> {
-            assertTrue(s.knows(MARK));
+            assertTrue(s.contains(KEY));
             clock = until; // between the two calls
-            assertNull(look(s, MARK), "a result is returned after its window");
-            assertFalse(s.knows(MARK));
+            assertNull(read(s, KEY), "a result is returned after its window");
+            assertFalse(s.contains(KEY));
         });
         clock = until - 5_000; // the clock steps back during the restart
-        open(s -> assertEquals(s.knows(MARK), look(s, MARK) != null));
+        open(s -> assertEquals(s.contains(KEY), read(s, KEY) != null));
     }
 
     @Test
-    void anIntentOutlastsRestartsUntilItsOutcomeTakesItsPlace() throws Exception {
+    void intentSurvivesRestartsUntilItsOutcomeIsWritten() throws Exception {
         long until = clock + 10_000;
         open(s -> {
-            assertTrue(done(d -> s.intend(MARK, new JobId("j1"), 42, until, d)));
-            assertTrue(done(d -> s.intend(OTHER, new JobId("j2"), 43, until, d)));
+            assertTrue(succeeds(d -> s.recordIntent(KEY, new JobId("j1"), 42, until, d)));
+            assertTrue(succeeds(d -> s.recordIntent(OTHER_KEY, new JobId("j2"), 43, until, d)));
         });
         open(s -> {
             assertEquals(
                     Set.of("j1", "j2"),
-                    Set.copyOf(s.intents().stream().map(k -> k.job().value()).toList()));
-            assertTrue(done(d -> s.record(MARK, new JobId("j1"), 42, Known.UNKNOWN, null, until, d)));
-            assertTrue(done(d -> s.withdraw(OTHER, d)));
+                    Set.copyOf(s.intentsAtStart().stream().map(k -> k.job().value()).toList()));
+            assertTrue(succeeds(d -> s.record(KEY, new JobId("j1"), 42, Known.UNKNOWN, null, until, d)));
+            assertTrue(succeeds(d -> s.deleteIntent(OTHER_KEY, d)));
         });
         open(s -> {
-            assertEquals(List.of(), s.intents());
-            assertEquals(Known.UNKNOWN, look(s, MARK).known());
-            assertFalse(s.knows(OTHER));
+            assertEquals(List.of(), s.intentsAtStart());
+            assertEquals(Known.UNKNOWN, read(s, KEY).known());
+            assertFalse(s.contains(OTHER_KEY));
         });
         clock = until;
-        open(s -> assertEquals(List.of(), s.intents()));
+        open(s -> assertEquals(List.of(), s.intentsAtStart()));
     }
 
     @Test
-    void roomEndsBeforeTheBoundAndComesBackWithTheWindows() throws Exception {
+    void roomEndsBeforeSizeLimitAndReturnsAfterWindows() throws Exception {
         long until = clock + 10_000;
         open(s -> {
             int n = 0;
             for (; s.hasRoom(0); n++) {
-                Mark m = DurableResultStore.mark("reset", "x" + n);
+                Mark m = DurableResultStore.idempotencyKey("reset", "x" + n);
                 byte[] noise = new byte[1_000];
                 new java.util.SplittableRandom(n).nextBytes(noise);
                 assertTrue(
-                        done(d -> s.record(m, new JobId("j"), 1, Known.GOOD, noise, until, d)),
+                        succeeds(d -> s.record(m, new JobId("j"), 1, Known.GOOD, noise, until, d)),
                         "refused although there was room");
             }
             assertTrue(n > 40, "records that fit: " + n);
             assertFalse(s.hasRoom(0));
-            assertTrue(s.knows(DurableResultStore.mark("reset", "x0")), "dropped within its window to make room");
+            assertTrue(s.contains(DurableResultStore.idempotencyKey("reset", "x0")), "dropped within its window to make room");
         });
         open(s -> {
             clock = until + 700_000; // after the next sweep of expired records, which runs once a minute
@@ -138,13 +138,13 @@
     }
 
     @Test
-    void aDiskThatRefusesIsToldAsRefused() throws Exception {
+    void failedWriteIsReported() throws Exception {
         open(s -> {
-            power.readOnly(true);
-            assertFalse(done(d -> s.intend(MARK, new JobId("j"), 42, clock + 10_000, d)));
-            assertFalse(s.knows(MARK));
-            power.readOnly(false);
-            assertTrue(done(d -> s.intend(MARK, new JobId("j"), 42, clock + 10_000, d)));
+            power.setReadOnly(true);
+            assertFalse(succeeds(d -> s.recordIntent(KEY, new JobId("j"), 42, clock + 10_000, d)));
+            assertFalse(s.contains(KEY));
+            power.setReadOnly(false);
+            assertTrue(succeeds(d -> s.recordIntent(KEY, new JobId("j"), 42, clock + 10_000, d)));
         });
     }
 }
--- a/results/src/test/java/tallyweir/results/ExplorerTest.java
+++ b/results/src/test/java/tallyweir/results/ExplorerTest.java
@@ -14,21 +14,21 @@
 
 /** Explores every interleaving of copies, crashes and faults, and shows that each guard prevents a violation. */
 class ExplorerTest {
-    private static final long MOST = 400_000;
+    private static final long MAX_STATES = 400_000;
 
     @Test
-    void nothingRunsTwiceWhateverTheOrderOfThreeCopies() {
-        Search.Seen result = Explorer.explore(3, Set.of(), MOST);
-        assertEquals(List.of(), result.wrong());
+    void nothingRunsTwiceInAnyOrderOfThreeCopies() {
+        Search.SearchResult result = Explorer.explore(3, Set.of(), MAX_STATES);
+        assertEquals(List.of(), result.violations());
         assertTrue(result.states() > 1_000, result.states() + " states");
-        assertTrue(result.ends() > 10, result.ends() + " quiescent states");
+        assertTrue(result.quiescentStates() > 10, result.quiescentStates() + " quiescent states");
     }
 
     @ParameterizedTest
     @EnumSource(Marks.Guard.class)
-    void withoutOneGuardSomethingGoesWrong(Marks.Guard guard) {
-        Search.Seen result = Explorer.explore(3, EnumSet.of(guard), MOST);
-        assertFalse(result.wrong().isEmpty(), "no violation without " + guard);
-        assertFalse(result.wrong().get(0).startsWith("given up"), result.wrong().get(0));
+    void violationIsFoundWithoutAnyOneGuard(Marks.Guard guard) {
+        Search.SearchResult result = Explorer.explore(3, EnumSet.of(guard), MAX_STATES);
+        assertFalse(result.violations().isEmpty(), "no violation without " + guard);
+        assertFalse(result.violations().get(0).startsWith("given up"), result.violations().get(0));
     }
 }
--- a/results/src/test/java/tallyweir/results/SettlingTest.java
+++ b/results/src/test/java/tallyweir/results/SettlingTest.java
@@ -28,7 +28,7 @@
 /** Changes by operators, and their audit trail. */
 @Timeout(30)
 class SettlingTest {
-    private static final Mark MARK = DurableResultStore.mark("reset", "m1");
+    private static final Mark KEY = DurableResultStore.idempotencyKey("reset", "m1");
 
     private final SimDisk.Power power = new SimDisk.Power(1);
     private final long clock = 17_000_000_000_000L;
@@ -42,7 +42,7 @@
         store = new Durable(
                 new SimDisk(power, 512, "first"),
                 new SimDisk(power, 512, "second"),
-                Both.IN_TURN,
+                Both.SEQUENTIAL,
                 1 << 16,
                 512,
                 0.5,
@@ -65,21 +65,21 @@
         store.close();
     }
 
-    private void keep(Known known, String result) throws IOException {
+    private void store(Known known, String result) throws IOException {
         tallyweir.durable.Batch b = new tallyweir.durable.Batch();
-        DurableResultStore.put(b, MARK, new JobId("j"), 42, known, result == null ? null : result.getBytes(), until);
+        DurableResultStore.put(b, KEY, new JobId("j"), 42, known, result == null ? null : result.getBytes(), until);
         committer.write(b);
     }
 
-    private ResultStore.Kept kept() {
-        ResultStore.Kept[] stored = new ResultStore.Kept[1];
-        resultStore.look(MARK, k -> stored[0] = k);
+    private ResultStore.StoredResult storedRecord() {
+        ResultStore.StoredResult[] stored = new ResultStore.StoredResult[1];
+        resultStore.read(KEY, k -> stored[0] = k);
         return stored[0];
     }
 
     private String refusal(Settling.As as, String operator, String reason) {
         return assertThrows(
-                        IOException.class, () -> Settling.settle(store, committer, MARK, as, null, operator, reason))
+                        IOException.class, () -> Settling.settle(store, committer, KEY, as, null, operator, reason))
                 .getMessage();
     }
 
@@ -92,72 +92,72 @@
     }
 
     @Test
-    void whatRanGetsItsResultAndKeepsItsBodyAndWindow() throws IOException {
-        keep(Known.UNKNOWN, null);
-        Settling.settle(store, committer, MARK, Settling.As.RAN, "slot 7".getBytes(), "amal", "seen in the slot book");
-        assertEquals(Known.GOOD, kept().known());
-        assertArrayEquals("slot 7".getBytes(), kept().result());
-        assertEquals(42, kept().body());
-        assertEquals(until, kept().until());
-        assertEquals(List.of(new Settling.Change(clock, MARK, "RAN", "amal", "seen in the slot book")), audit());
+    void runSettledAsRanGetsResultAndKeepsBodyAndWindow() throws IOException {
+        store(Known.UNKNOWN, null);
+        Settling.settle(store, committer, KEY, Settling.As.RAN, "slot 7".getBytes(), "amal", "seen in the slot book");
+        assertEquals(Known.GOOD, storedRecord().known());
+        assertArrayEquals("slot 7".getBytes(), storedRecord().result());
+        assertEquals(42, storedRecord().body());
+        assertEquals(until, storedRecord().expiresAt());
+        assertEquals(List.of(new Settling.Change(clock, KEY, "RAN", "amal", "seen in the slot book")), audit());
         assertTrue(refusal(Settling.As.RAN_BADLY, "amal", "twice").contains("known"), "settled twice");
     }
 
     @Test
-    void whatRanBadlyNeverRunsAndWhatNeverRanMay() throws IOException {
-        keep(Known.UNKNOWN, null);
-        Settling.settle(store, committer, MARK, Settling.As.RAN_BADLY, null, "amal", "half done");
-        assertEquals(Known.BAD, kept().known());
-        keep(Known.UNKNOWN, null);
+    void failedRunNeverRepeatsAndUnstartedRunMayStart() throws IOException {
+        store(Known.UNKNOWN, null);
+        Settling.settle(store, committer, KEY, Settling.As.RAN_BADLY, null, "amal", "half done");
+        assertEquals(Known.BAD, storedRecord().known());
+        store(Known.UNKNOWN, null);
         Settling.settle(
-                store, committer, MARK, Settling.As.NEVER_RAN, null, "amal", "the kernel's log has no such run");
-        assertNull(kept());
-        assertEquals(false, resultStore.knows(MARK));
+                store, committer, KEY, Settling.As.NEVER_RAN, null, "amal", "the kernel's log has no such run");
+        assertNull(storedRecord());
+        assertEquals(false, resultStore.contains(KEY));
         assertEquals(2, audit().size());
     }
 
     @Test
-    void whatIsOpenOrKnownOrUnsignedIsNotSettled() throws IOException {
+    void openOrKnownRunOrMissingOperatorIsRefused() throws IOException {
         assertTrue(refusal(Settling.As.NEVER_RAN, "amal", "x").contains("no record"));
-        resultStore.intend(MARK, new JobId("j"), 42, until, good -> {});
-        while (!resultStore.knows(MARK)) {
+        resultStore.recordIntent(KEY, new JobId("j"), 42, until, good -> {});
+        while (!resultStore.contains(KEY)) {
             Thread.onSpinWait();
         }
         for (Settling.As as : Settling.As.values()) {
             assertTrue(refusal(as, "amal", "x").contains("still open"), as + " deleted an open intent");
         }
-        keep(Known.GOOD, "r");
+        store(Known.GOOD, "r");
         assertTrue(refusal(Settling.As.NEVER_RAN, "amal", "x").contains("known"));
-        keep(Known.UNKNOWN, null);
+        store(Known.UNKNOWN, null);
         assertTrue(refusal(Settling.As.NEVER_RAN, " ", "x").contains("an operator and a reason are required"));
         assertTrue(refusal(Settling.As.NEVER_RAN, "amal", "").contains("an operator and a reason are required"));
         assertTrue(refusal(Settling.As.NEVER_RAN, "amal", "x".repeat(2_001))
                 .contains("an operator and a reason are required"));
         assertEquals(List.of(), audit());
-        assertEquals(Known.UNKNOWN, kept().known());
+        assertEquals(Known.UNKNOWN, storedRecord().known());
     }
 
     @Test
-    void aKnownResultMayBeForgottenAndThatIsOnRecord() throws IOException {
-        keep(Known.GOOD, "r");
-        Settling.settle(store, committer, MARK, Settling.As.FORGOTTEN, null, "amal", "asked for by the baker");
-        assertNull(kept());
+    void knownResultMayBeForgottenWithAuditRecord() throws IOException {
+        store(Known.GOOD, "r");
+        Settling.settle(store, committer, KEY, Settling.As.FORGOTTEN, null, "amal", "asked for by the baker");
+        assertNull(storedRecord());
         assertEquals("FORGOTTEN", audit().get(0).as());
     }
 
     @Test
-    void theAdminSocketTakesTheSameAndRefusesWhatItCannotRead() throws IOException {
+    void adminSocketSettlesAndRefusesMalformedCommands() throws IOException {
         AdminSocket.Command settle = Settling.commands(store, committer).get("settle");
         List<String> lines = new ArrayList<>();
-        keep(Known.UNKNOWN, null);
-        settle.answer(List.of("reset", "m1", "RAN", "7269", "amal", "seen"), lines::add, n -> {});
+        store(Known.UNKNOWN, null);
+        settle.execute(List.of("reset", "m1", "RAN", "7269", "amal", "seen"), lines::add, n -> {});
         assertEquals(List.of("settled\tRAN"), lines);
-        assertArrayEquals("ri".getBytes(), kept().result());
+        assertArrayEquals("ri".getBytes(), storedRecord().result());
         for (List<String> bad : List.of(
                 List.of("reset"),
                 List.of("reset", "m1", "MAYBE", "-", "a", "b"),
                 List.of("reset", "m1", "RAN", "7", "a", "b"))) {
-            assertThrows(IOException.class, () -> settle.answer(bad, lines::add, n -> {}));
+            assertThrows(IOException.class, () -> settle.execute(bad, lines::add, n -> {}));
         }
         assertEquals(Map.of("settle", 1), Map.of("settle", audit().size()));
     }
--- a/stand/src/main/java/tallyweir/stand/FailingCalls.java
+++ b/stand/src/main/java/tallyweir/stand/FailingCalls.java
@@ -58,24 +58,24 @@
 
     private static final String COMPILER = "cc";
     private static final String SOURCE = "failing_calls.c";
-    private static final int COMPILER_SECONDS = 60;
-    private static final int ERRNOS_MOST = 8;
-    private static final int RULES_AT = Long.BYTES;
-    private static final int ERRNO_COUNT_AT = Integer.BYTES;
-    private static final int ERRNOS_AT = 2 * Integer.BYTES;
-    private static final int SEED_AT = ERRNOS_AT + ERRNOS_MOST * Integer.BYTES;
-    private static final int MADE_AT = SEED_AT + Integer.BYTES;
-    private static final int FAILED_AT = MADE_AT + Integer.BYTES;
-    private static final int MOST_AT = FAILED_AT + Integer.BYTES;
-    private static final int RULE_BYTES = MOST_AT + Integer.BYTES;
+    private static final int COMPILER_TIMEOUT_S = 60;
+    private static final int MAX_ERRNOS = 8;
+    private static final int RULES_OFFSET = Long.BYTES;
+    private static final int ERRNO_COUNT_OFFSET = Integer.BYTES;
+    private static final int ERRNOS_OFFSET = 2 * Integer.BYTES;
+    private static final int SEED_OFFSET = ERRNOS_OFFSET + MAX_ERRNOS * Integer.BYTES;
+    private static final int CALL_COUNT_OFFSET = SEED_OFFSET + Integer.BYTES;
+    private static final int FAILURE_COUNT_OFFSET = CALL_COUNT_OFFSET + Integer.BYTES;
+    private static final int MAX_FAILURES_OFFSET = FAILURE_COUNT_OFFSET + Integer.BYTES;
+    private static final int RULE_BYTES = MAX_FAILURES_OFFSET + Integer.BYTES;
 
     private final Path library;
-    private final Path file;
+    private final Path rulesFile;
     private final MappedByteBuffer rules;
 
     private FailingCalls(Path library, Path file, MappedByteBuffer rules) {
         this.library = library;
-        this.file = file;
+        this.rulesFile = file;
         this.rules = rules;
     }
 
@@ -89,7 +89,7 @@
     }
 
     /** Compiles the library into a directory and creates the file of rules there. */
-    public static FailingCalls in(Path directory) throws IOException, InterruptedException {
+    public static FailingCalls create(Path directory) throws IOException, InterruptedException {
         Path source = directory.resolve(SOURCE);
         Path library = directory.resolve("failing_calls.so");
         try (InputStream in = FailingCalls.class.getResourceAsStream(SOURCE)) {
@@ -102,7 +102,7 @@
         }
         Path file = directory.resolve("failing_calls.rules");
         try (RandomAccessFile rulesFile = new RandomAccessFile(file.toFile(), "rw")) {
-            rulesFile.setLength(RULES_AT + (long) RULE_BYTES * Call.values().length);
+            rulesFile.setLength(RULES_OFFSET + (long) RULE_BYTES * Call.values().length);
             MappedByteBuffer rules = rulesFile.getChannel().map(FileChannel.MapMode.READ_WRITE, 0, rulesFile.length());
             rules.order(ByteOrder.nativeOrder());
             return new FailingCalls(library, file, rules);
@@ -114,7 +114,7 @@
                 .redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                 .start();
-        if (!compiler.waitFor(COMPILER_SECONDS, TimeUnit.SECONDS)) {
+        if (!compiler.waitFor(COMPILER_TIMEOUT_S, TimeUnit.SECONDS)) {
             compiler.destroyForcibly();
             throw new IOException(command[0] + " does not exit in time");
         }
@@ -123,11 +123,11 @@
 
     /** The environment variables to set for the process. */
     public Map<String, String> environment() {
-        return Map.of("LD_PRELOAD", library.toString(), "FAILING_CALLS", file.toString());
+        return Map.of("LD_PRELOAD", library.toString(), "FAILING_CALLS", rulesFile.toString());
     }
 
-    private static int at(Call call) {
-        return RULES_AT + RULE_BYTES * call.ordinal();
+    private static int ruleOffset(Call call) {
+        return RULES_OFFSET + RULE_BYTES * call.ordinal();
     }
 
     /**
@@ -146,48 +146,48 @@
      * @param maxFailures the maximum number of calls that fail from now on, 0 for no bound
      */
     public void failAtMost(Call call, int maxFailures, int oneIn, int seed, Errno... errors) {
-        if (errors.length == 0 || errors.length > ERRNOS_MOST) {
-            throw new IllegalArgumentException("1 to " + ERRNOS_MOST + " errors are required");
+        if (errors.length == 0 || errors.length > MAX_ERRNOS) {
+            throw new IllegalArgumentException("1 to " + MAX_ERRNOS + " errors are required");
         }
-        mend(call);
-        int offset = at(call);
+        restore(call);
+        int offset = ruleOffset(call);
         for (int i = 0; i < errors.length; i++) {
-            rules.putInt(offset + ERRNOS_AT + i * Integer.BYTES, errors[i].number);
+            rules.putInt(offset + ERRNOS_OFFSET + i * Integer.BYTES, errors[i].number);
         }
-        rules.putInt(offset + ERRNO_COUNT_AT, errors.length);
-        rules.putInt(offset + SEED_AT, seed);
-        rules.putInt(offset + MOST_AT, maxFailures == 0 ? 0 : failures(call) + maxFailures);
+        rules.putInt(offset + ERRNO_COUNT_OFFSET, errors.length);
+        rules.putInt(offset + SEED_OFFSET, seed);
+        rules.putInt(offset + MAX_FAILURES_OFFSET, maxFailures == 0 ? 0 : failureCount(call) + maxFailures);
         rules.putInt(offset, oneIn);
     }
 
     /** Stops making calls of this kind fail. */
-    public void mend(Call call) {
-        rules.putInt(at(call), 0);
+    public void restore(Call call) {
+        rules.putInt(ruleOffset(call), 0);
     }
 
     /** Stops making any calls fail. */
-    public void mendAll() {
+    public void restoreAll() {
         for (Call call : Call.values()) {
-            mend(call);
+            restore(call);
         }
     }
 
     /** The number of calls of this kind that were made to fail so far. */
-    public int failures(Call call) {
-        return rules.getInt(at(call) + FAILED_AT);
+    public int failureCount(Call call) {
+        return rules.getInt(ruleOffset(call) + FAILURE_COUNT_OFFSET);
     }
 
     /** The number of calls of all kinds that were made to fail so far. */
-    public int failures() {
+    public int failureCount() {
         int sum = 0;
         for (Call call : Call.values()) {
-            sum += failures(call);
+            sum += failureCount(call);
         }
         return sum;
     }
 
     /** Sets the process's wall clock ahead of the machine's by an offset from now on; the monotonic clock is not affected. */
-    public void stepWall(long milliseconds) {
+    public void setWallClockOffset(long milliseconds) {
         rules.putLong(0, milliseconds);
     }
 }
--- a/stand/src/main/java/tallyweir/stand/History.java
+++ b/stand/src/main/java/tallyweir/stand/History.java
@@ -13,14 +13,14 @@
  */
 public final class History {
     /** The types of events: {@link #RUN} is observed by the kernel, all others by the caller. */
-    public enum What {
-        ASKED,
+    public enum EventType {
+        REQUESTED,
         RUN,
         HANDLED,
         DEFERRED,
         ERRORED,
-        BROKEN,
-        NOTHING
+        DISCONNECTED,
+        NO_ANSWER
     }
 
     /**
@@ -30,7 +30,7 @@
      * @param job the id of the query, unique to each request, so it differs between retries of one key
      * @param text the result for a run or a handled answer; {@code at once} or {@code late} for an error
      */
-    public record Event(What what, String mark, String job, String text) {}
+    public record Event(EventType type, String key, String job, String text) {}
 
     /**
      * The evaluation of a history.
@@ -47,8 +47,8 @@
     private final List<Event> events = new ArrayList<>();
 
     /** Appends an event. */
-    public synchronized void add(What what, String mark, String job, String text) {
-        events.add(new Event(what, mark, job, text));
+    public synchronized void add(EventType type, String key, String job, String text) {
+        events.add(new Event(type, key, job, text));
     }
 
     /** Evaluates the complete history, independently of how the program is implemented. */
@@ -60,23 +60,23 @@
         int differing = 0;
         int unanswered = 0;
         for (Event e : events) {
-            switch (e.what) {
-                case ASKED -> {
-                    runs.putIfAbsent(e.mark, 0);
-                    if (answers.containsKey(e.mark)) {
+            switch (e.type) {
+                case REQUESTED -> {
+                    runs.putIfAbsent(e.key, 0);
+                    if (answers.containsKey(e.key)) {
                         askedAfterResult.add(e.job);
                     }
                 }
                 // After a result was sent, a retry must get that result or be deferred. Late errors are those of a full
                 // queue.
                 case ERRORED -> differing += e.text.equals("at once") && askedAfterResult.contains(e.job) ? 1 : 0;
-                case RUN -> runs.merge(e.mark, 1, Integer::sum);
+                case RUN -> runs.merge(e.key, 1, Integer::sum);
                 case HANDLED -> {
-                    handled.merge(e.mark, 1, Integer::sum);
-                    String previous = answers.putIfAbsent(e.mark, e.text);
+                    handled.merge(e.key, 1, Integer::sum);
+                    String previous = answers.putIfAbsent(e.key, e.text);
                     differing += previous != null && !previous.equals(e.text) ? 1 : 0;
                 }
-                case NOTHING -> unanswered++;
+                case NO_ANSWER -> unanswered++;
                 default -> {}
             }
         }
@@ -93,7 +93,7 @@
     public synchronized Map<String, Integer> runsByJob() {
         Map<String, Integer> runs = new HashMap<>();
         for (Event e : events) {
-            if (e.what == What.RUN) {
+            if (e.type == EventType.RUN) {
                 runs.merge(e.job, 1, Integer::sum);
             }
         }
--- a/stand/src/main/java/tallyweir/stand/LoadSettings.java
+++ b/stand/src/main/java/tallyweir/stand/LoadSettings.java
@@ -9,9 +9,9 @@
  *
  * @param workload the name of the workload
  * @param keyed whether each request carries an idempotency key of its own
- * @param patienceMs how long a caller waits for an answer
+ * @param timeoutMs how long a caller waits for an answer
  */
-public record LoadSettings(String workload, boolean keyed, int patienceMs) {
+public record LoadSettings(String workload, boolean keyed, int timeoutMs) {
     private static final int FOOTPRINT_KB = 4;
 
     /** The FastCGI parameters of a request. */
@@ -22,7 +22,7 @@
         parameters.put("HTTP_REQUEST_ID", id);
         parameters.put("HTTP_RECEIVED_AT", Long.toString(System.currentTimeMillis()));
         parameters.put("HTTP_SENT_BY", "1");
-        parameters.put("HTTP_BUDGET_MS", Integer.toString(patienceMs));
+        parameters.put("HTTP_BUDGET_MS", Integer.toString(timeoutMs));
         parameters.put("HTTP_FOOTPRINT_KB", Integer.toString(FOOTPRINT_KB));
         parameters.put("HTTP_PRIORITY_RANK", String.format("%.4f", random.nextDouble(0.9999)));
         if (keyed) {
--- a/stand/src/main/java/tallyweir/stand/PipelinedCaller.java
+++ b/stand/src/main/java/tallyweir/stand/PipelinedCaller.java
@@ -23,34 +23,34 @@
      * The behaviour of a caller.
      *
      * @param open the maximum number of concurrent requests
-     * @param writeMs the mean delay between two requests
-     * @param readMs the maximum delay before an answer is read
+     * @param meanWriteDelayMs the mean delay between two requests
+     * @param maxReadDelayMs the maximum delay before an answer is read
      */
-    public record Manner(String name, int open, int writeMs, int readMs) {}
+    public record Profile(String name, int maxOpen, int meanWriteDelayMs, int maxReadDelayMs) {}
 
-    private static final int CROSSING_MS = 50; // the protocol allows a close to cross a request this recent
-    private static final int SLACK_MS = 50; // the lateness of an answer that the protocol allows
-    private static final int CONNECT_MS = 1_000;
-    private static final int AGAIN_MS = 5;
-    private static final int IDS = 30_000;
+    private static final int CROSSING_WINDOW_MS = 50; // the protocol allows a close to cross a request this recent
+    private static final int MAX_LATENESS_MS = 50; // the lateness of an answer that the protocol allows
+    private static final int CONNECT_TIMEOUT_MS = 1_000;
+    private static final int RECONNECT_DELAY_MS = 5;
+    private static final int MAX_REQUEST_ID = 30_000;
 
-    private record Open(String id, long written, ByteArrayOutputStream text) {}
+    private record OpenRequest(String id, long writtenAt, ByteArrayOutputStream output) {}
 
     private final InetSocketAddress server;
-    private final Manner manner;
+    private final Profile profile;
     private final LoadSettings settings;
     private final RequestLog log;
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
     private final Thread thread;
     private volatile boolean stopped;
 
     /** Starts a daemon thread that connects to the server and sends requests. */
-    public PipelinedCaller(InetSocketAddress server, Manner manner, LoadSettings settings, RequestLog log) {
+    public PipelinedCaller(InetSocketAddress server, Profile profile, LoadSettings settings, RequestLog log) {
         this.server = server;
-        this.manner = manner;
+        this.profile = profile;
         this.settings = settings;
         this.log = log;
-        chance = log.split();
+        random = log.newRandom();
         thread = new Thread(this::run, "pipelined caller");
         thread.setDaemon(true);
         thread.start();
@@ -61,10 +61,10 @@
             while (!stopped) {
                 try (Socket socket = new Socket()) {
                     socket.setTcpNoDelay(true);
-                    socket.connect(server, CONNECT_MS);
-                    new Connection(socket).use();
+                    socket.connect(server, CONNECT_TIMEOUT_MS);
+                    new Connection(socket).sendRequests();
                 } catch (IOException e) {
-                    TimeUnit.MILLISECONDS.sleep(AGAIN_MS);
+                    TimeUnit.MILLISECONDS.sleep(RECONNECT_DELAY_MS);
                 }
             }
         } catch (InterruptedException e) {
@@ -75,101 +75,101 @@
     /** One connection, used by the sending thread and a reader thread of its own. */
     private final class Connection {
         private final Socket socket;
-        private final long connected = System.nanoTime();
-        private final Map<Integer, Open> open = new HashMap<>();
-        private final SplittableRandom readerChance = chance.split();
-        private int last;
-        private volatile boolean ended;
+        private final long connectedAt = System.nanoTime();
+        private final Map<Integer, OpenRequest> open = new HashMap<>();
+        private final SplittableRandom readerRandom = random.split();
+        private int lastId;
+        private volatile boolean closed;
 
         Connection(Socket socket) {
             this.socket = socket;
         }
 
-        void use() throws IOException, InterruptedException {
-            Thread reader = new Thread(this::read, "pipelined caller reader");
+        void sendRequests() throws IOException, InterruptedException {
+            Thread reader = new Thread(this::readAnswers, "pipelined caller reader");
             reader.setDaemon(true);
             reader.start();
-            while (!stopped && !ended) {
-                if (room()) {
-                    send();
+            while (!stopped && !closed) {
+                if (hasRoom()) {
+                    sendRequest();
                 }
-                TimeUnit.MILLISECONDS.sleep(1 + chance.nextInt(2 * manner.writeMs));
+                TimeUnit.MILLISECONDS.sleep(1 + random.nextInt(2 * profile.meanWriteDelayMs));
             }
-            if (!ended) {
-                reader.join(TimeUnit.MILLISECONDS.toMillis(settings.patienceMs() + (long) manner.open * manner.readMs));
+            if (!closed) {
+                reader.join(TimeUnit.MILLISECONDS.toMillis(settings.timeoutMs() + (long) profile.maxOpen * profile.maxReadDelayMs));
             }
             socket.close();
             reader.join();
         }
 
-        private synchronized boolean room() {
-            return open.size() < manner.open;
+        private synchronized boolean hasRoom() {
+            return open.size() < profile.maxOpen;
         }
 
-        private void send() {
+        private void sendRequest() {
             String id = log.newId();
-            last = last % IDS + 1;
-            byte[] request = StandSidecar.request(last, settings.parameters(id, chance), id + " body");
+            lastId = lastId % MAX_REQUEST_ID + 1;
+            byte[] request = StandSidecar.encodeRequest(lastId, settings.parameters(id, random), id + " body");
             synchronized (this) {
                 try {
                     socket.getOutputStream().write(request);
                 } catch (IOException e) {
-                    ended = true;
+                    closed = true;
                     return;
                 }
-                if (!ended) {
-                    open.put(last, new Open(id, System.nanoTime(), new ByteArrayOutputStream()));
+                if (!closed) {
+                    open.put(lastId, new OpenRequest(id, System.nanoTime(), new ByteArrayOutputStream()));
                 }
             }
         }
 
-        private void read() {
+        private void readAnswers() {
             try (DataInputStream in = new DataInputStream(new BufferedInputStream(socket.getInputStream()))) {
                 while (true) {
-                    StandSidecar.Piece read = StandSidecar.piece(in);
-                    take(read);
-                    if (read.type() == StandSidecar.END && manner.readMs > 0) {
-                        TimeUnit.MILLISECONDS.sleep(readerChance.nextInt(manner.readMs));
+                    StandSidecar.FastCgiRecord read = StandSidecar.readRecord(in);
+                    onRecord(read);
+                    if (read.type() == StandSidecar.END_REQUEST && profile.maxReadDelayMs > 0) {
+                        TimeUnit.MILLISECONDS.sleep(readerRandom.nextInt(profile.maxReadDelayMs));
                     }
                 }
             } catch (IOException | InterruptedException e) {
-                ended();
+                onClosed();
             }
         }
 
-        private synchronized void take(StandSidecar.Piece read) {
-            Open request = open.get(read.of());
+        private synchronized void onRecord(StandSidecar.FastCgiRecord read) {
+            OpenRequest request = open.get(read.requestId());
             if (request != null && read.type() == StandSidecar.STDOUT) {
-                request.text.writeBytes(read.content());
-            } else if (request != null && read.type() == StandSidecar.END) {
-                open.remove(read.of());
-                log.answered(request.id);
-                String text = request.text.toString(StandardCharsets.UTF_8);
-                add(request, answerEnd(request), StandSidecar.answer(text).status());
+                request.output.writeBytes(read.content());
+            } else if (request != null && read.type() == StandSidecar.END_REQUEST) {
+                open.remove(read.requestId());
+                log.onAnswered(request.id);
+                String text = request.output.toString(StandardCharsets.UTF_8);
+                logOutcome(request, classifyAnswer(request), StandSidecar.answer(text).status());
             }
         }
 
-        private RequestFate.End answerEnd(Open request) {
-            long maxMs = settings.patienceMs() + SLACK_MS + (long) manner.open * manner.readMs;
-            boolean late = log.isOver(request.written, TimeUnit.MILLISECONDS.toNanos(maxMs));
+        private RequestFate.End classifyAnswer(OpenRequest request) {
+            long maxMs = settings.timeoutMs() + MAX_LATENESS_MS + (long) profile.maxOpen * profile.maxReadDelayMs;
+            boolean late = log.exceeds(request.writtenAt, TimeUnit.MILLISECONDS.toNanos(maxMs));
             return late ? RequestFate.End.ANSWERED_LATE : RequestFate.End.ANSWERED;
         }
 
-        private synchronized void ended() {
-            ended = true;
-            List<Open> unanswered = new ArrayList<>(open.values());
+        private synchronized void onClosed() {
+            closed = true;
+            List<OpenRequest> unanswered = new ArrayList<>(open.values());
             open.clear();
             // A connection counts as idle if its unanswered requests are all recent enough to have crossed the close.
             boolean wasIdle = unanswered.stream()
-                    .noneMatch(request -> log.isOver(request.written, TimeUnit.MILLISECONDS.toNanos(CROSSING_MS)));
-            for (Open request : unanswered) {
-                add(request, wasIdle ? RequestFate.End.CROSSED : RequestFate.End.CONNECTION_ENDED, 0);
+                    .noneMatch(request -> log.exceeds(request.writtenAt, TimeUnit.MILLISECONDS.toNanos(CROSSING_WINDOW_MS)));
+            for (OpenRequest request : unanswered) {
+                logOutcome(request, wasIdle ? RequestFate.End.CROSSED : RequestFate.End.CONNECTION_ENDED, 0);
             }
         }
 
-        private void add(Open request, RequestFate.End end, int status) {
+        private void logOutcome(OpenRequest request, RequestFate.End end, int status) {
             log.add(new RequestFate(
-                    request.id, manner.name, connected, request.written, System.nanoTime(), end, status, false));
+                    request.id, profile.name, connectedAt, request.writtenAt, System.nanoTime(), end, status, false));
         }
     }
 
--- a/stand/src/main/java/tallyweir/stand/RequestFate.java
+++ b/stand/src/main/java/tallyweir/stand/RequestFate.java
@@ -5,7 +5,7 @@
  *
  * @param id its Request-Id
  * @param caller the name of the caller's profile
- * @param connected when its connection was established
+ * @param connectedAt when its connection was established
  * @param written when its last byte was written
  * @param ended when the caller observed its end
  * @param end how it ended
@@ -13,7 +13,7 @@
  * @param resent whether it is the single retry of a request that crossed the close of its connection
  */
 public record RequestFate(
-        String id, String caller, long connected, long written, long ended, End end, int status, boolean resent) {
+        String id, String caller, long connectedAt, long writtenAt, long endedAt, End end, int status, boolean resent) {
     /** The ways in which a request can end. */
     public enum End {
         /** A complete answer arrived in time. */
--- a/stand/src/main/java/tallyweir/stand/RequestLog.java
+++ b/stand/src/main/java/tallyweir/stand/RequestLog.java
@@ -9,52 +9,52 @@
 
 /** Collects the outcomes of all requests of a test run. Safe for use by several threads. */
 public final class RequestLog implements AutoCloseable {
-    private static final double MILLION = 1e6;
+    private static final double NANOS_PER_MS = 1e6;
 
     private final RigLag lag = new RigLag();
-    private final SplittableRandom chance;
-    private final List<RequestFate> fates = new ArrayList<>();
+    private final SplittableRandom random;
+    private final List<RequestFate> outcomes = new ArrayList<>();
     private final Map<String, Integer> answersById = new ConcurrentHashMap<>();
 
     public RequestLog(long seed) {
-        chance = new SplittableRandom(seed);
+        random = new SplittableRandom(seed);
     }
 
     /** Creates a new Request-Id. */
     public synchronized String newId() {
-        return String.format("%016x", chance.nextLong());
+        return String.format("%016x", random.nextLong());
     }
 
     /** Creates a random number generator for one caller, independent of those of other callers. */
-    public synchronized SplittableRandom split() {
-        return chance.split();
+    public synchronized SplittableRandom newRandom() {
+        return random.split();
     }
 
     /**
      * Whether the time since {@code startedAt} exceeds a maximum even after the machine's own scheduling lag in that time is
      * subtracted.
      */
-    boolean isOver(long startedAt, long maxNanos) {
+    boolean exceeds(long startedAt, long maxNanos) {
         long elapsed = System.nanoTime() - startedAt;
-        return elapsed > maxNanos && elapsed - lag.worstSince(startedAt) > maxNanos;
+        return elapsed > maxNanos && elapsed - lag.maxNanosSince(startedAt) > maxNanos;
     }
 
-    synchronized void add(RequestFate fate) {
-        fates.add(fate);
+    synchronized void add(RequestFate outcome) {
+        outcomes.add(outcome);
     }
 
-    void answered(String id) {
+    void onAnswered(String id) {
         answersById.merge(id, 1, Integer::sum);
     }
 
     /** The number of requests that got more than one complete answer. */
-    public long answeredTwice() {
+    public long countAnsweredTwice() {
         return answersById.values().stream().filter(n -> n > 1).count();
     }
 
     /** A copy of the outcomes so far. */
-    public synchronized List<RequestFate> all() {
-        return List.copyOf(fates);
+    public synchronized List<RequestFate> allOutcomes() {
+        return List.copyOf(outcomes);
     }
 
     /**
@@ -64,31 +64,31 @@
      * @param killedAt when the server was killed, by {@link System#nanoTime()}
      */
     public List<RequestFate> lost(long killedAt) {
-        return all().stream()
-                .filter(fate -> fate.isLost() || fate.end() == RequestFate.End.CROSSED && fate.ended() >= killedAt)
+        return allOutcomes().stream()
+                .filter(outcome -> outcome.isLost() || outcome.end() == RequestFate.End.CROSSED && outcome.endedAt() >= killedAt)
                 .toList();
     }
 
     /** The number of requests by how they ended. */
-    public Map<RequestFate.End, Integer> byEnd() {
-        Map<RequestFate.End, Integer> count = new TreeMap<>();
-        all().forEach(fate -> count.merge(fate.end(), 1, Integer::sum));
-        return count;
+    public Map<RequestFate.End, Integer> countByEnd() {
+        Map<RequestFate.End, Integer> counts = new TreeMap<>();
+        allOutcomes().forEach(outcome -> counts.merge(outcome.end(), 1, Integer::sum));
+        return counts;
     }
 
     /** Describes each lost request on a line of its own, with times in milliseconds before {@code endedAt}. */
     public static String describe(List<RequestFate> lost, long endedAt) {
         StringBuilder text = new StringBuilder();
-        for (RequestFate fate : lost) {
+        for (RequestFate outcome : lost) {
             text.append(String.format(
                     "%n%s by %s: connected %.1f, written %.1f, %s seen %.1f ms before the end%s",
-                    fate.id(),
-                    fate.caller(),
-                    (endedAt - fate.connected()) / MILLION,
-                    (endedAt - fate.written()) / MILLION,
-                    fate.end(),
-                    (endedAt - fate.ended()) / MILLION,
-                    fate.resent() ? ", a resend" : ""));
+                    outcome.id(),
+                    outcome.caller(),
+                    (endedAt - outcome.connectedAt()) / NANOS_PER_MS,
+                    (endedAt - outcome.writtenAt()) / NANOS_PER_MS,
+                    outcome.end(),
+                    (endedAt - outcome.endedAt()) / NANOS_PER_MS,
+                    outcome.resent() ? ", a resend" : ""));
         }
         return text.toString();
     }
--- a/stand/src/main/java/tallyweir/stand/RigLag.java
+++ b/stand/src/main/java/tallyweir/stand/RigLag.java
@@ -9,12 +9,12 @@
  */
 public final class RigLag implements AutoCloseable {
     private static final long SLEEP_MS = 5;
-    private static final long NOTED_FROM_NANOS = TimeUnit.MILLISECONDS.toNanos(2);
-    private static final int KEPT = 10_000;
+    private static final long MIN_RECORDED_NANOS = TimeUnit.MILLISECONDS.toNanos(2);
+    private static final int MAX_RECORDED = 10_000;
 
-    private record Overslept(long until, long nanos) {}
+    private record Delay(long wokenAt, long lagNanos) {}
 
-    private final ArrayDeque<Overslept> noted = new ArrayDeque<>();
+    private final ArrayDeque<Delay> delays = new ArrayDeque<>();
     private final Thread thread;
     private volatile boolean stopped;
 
@@ -30,8 +30,8 @@
                 long wakeUpAt = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SLEEP_MS);
                 TimeUnit.MILLISECONDS.sleep(SLEEP_MS);
                 long lag = System.nanoTime() - wakeUpAt;
-                if (lag > NOTED_FROM_NANOS) {
-                    note(new Overslept(wakeUpAt + lag, lag));
+                if (lag > MIN_RECORDED_NANOS) {
+                    add(new Delay(wakeUpAt + lag, lag));
                 }
             }
         } catch (InterruptedException e) {
@@ -39,18 +39,18 @@
         }
     }
 
-    private synchronized void note(Overslept delay) {
-        noted.add(delay);
-        if (noted.size() > KEPT) {
-            noted.remove();
+    private synchronized void add(Delay delay) {
+        delays.add(delay);
+        if (delays.size() > MAX_RECORDED) {
+            delays.remove();
         }
     }
 
     /** The maximum lag of a thread since {@code startedAt} (by {@link System#nanoTime()}), in nanoseconds; 0 below 2 ms. */
-    public synchronized long worstSince(long startedAt) {
-        return noted.stream()
-                .filter(delay -> delay.until - startedAt >= 0)
-                .mapToLong(Overslept::nanos)
+    public synchronized long maxNanosSince(long startedAt) {
+        return delays.stream()
+                .filter(delay -> delay.wokenAt - startedAt >= 0)
+                .mapToLong(Delay::lagNanos)
                 .max()
                 .orElse(0);
     }
--- a/stand/src/main/java/tallyweir/stand/SilentClient.java
+++ b/stand/src/main/java/tallyweir/stand/SilentClient.java
@@ -10,14 +10,14 @@
 
 /** A misbehaving client: opens many connections, sends nothing or a partial record, and waits until the server closes them. */
 public final class SilentClient implements AutoCloseable {
-    private static final byte[] PART_OF_A_RECORD = {1, 1, 0};
-    private static final int CONNECT_MS = 1_000;
-    private static final int LOOK_MS = 20;
+    private static final byte[] PARTIAL_RECORD = {1, 1, 0};
+    private static final int CONNECT_TIMEOUT_MS = 1_000;
+    private static final int POLL_INTERVAL_MS = 20;
 
     private final InetSocketAddress server;
-    private final int most;
+    private final int maxOpen;
     private final Thread thread;
-    private final List<Socket> open = new ArrayList<>();
+    private final List<Socket> openSockets = new ArrayList<>();
     private volatile boolean stopped;
 
     /**
@@ -27,7 +27,7 @@
      */
     public SilentClient(InetSocketAddress server, int maxOpen) {
         this.server = server;
-        this.most = maxOpen;
+        this.maxOpen = maxOpen;
         thread = new Thread(this::run, "silent client");
         thread.setDaemon(true);
         thread.start();
@@ -36,33 +36,33 @@
     private void run() {
         try {
             for (int number = 0; !stopped; number++) {
-                open.removeIf(SilentClient::hasEnded);
-                if (open.size() < most) {
-                    open(number % 2 == 0 ? PART_OF_A_RECORD : new byte[0]);
+                openSockets.removeIf(SilentClient::isClosedByServer);
+                if (openSockets.size() < maxOpen) {
+                    openConnection(number % 2 == 0 ? PARTIAL_RECORD : new byte[0]);
                 } else {
-                    TimeUnit.MILLISECONDS.sleep(LOOK_MS);
+                    TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
                 }
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        open.forEach(SilentClient::close);
+        openSockets.forEach(SilentClient::close);
     }
 
-    private void open(byte[] firstBytes) throws InterruptedException {
+    private void openConnection(byte[] firstBytes) throws InterruptedException {
         Socket socket = new Socket();
         try {
-            socket.connect(server, CONNECT_MS);
+            socket.connect(server, CONNECT_TIMEOUT_MS);
             socket.getOutputStream().write(firstBytes);
             socket.setSoTimeout(1);
-            open.add(socket);
+            openSockets.add(socket);
         } catch (IOException e) {
             close(socket);
-            TimeUnit.MILLISECONDS.sleep(LOOK_MS);
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
         }
     }
 
-    private static boolean hasEnded(Socket socket) {
+    private static boolean isClosedByServer(Socket socket) {
         try {
             if (socket.getInputStream().read() >= 0) {
                 return false;
@@ -88,6 +88,6 @@
     @Override
     public void close() throws InterruptedException {
         stopped = true;
-        thread.join(CONNECT_MS);
+        thread.join(CONNECT_TIMEOUT_MS);
     }
 }
--- a/stand/src/main/java/tallyweir/stand/StandKernel.java
+++ b/stand/src/main/java/tallyweir/stand/StandKernel.java
@@ -32,56 +32,56 @@
  * idempotency key. Safe for use by several threads.
  */
 public final class StandKernel implements AutoCloseable {
-    private static final int NOTICES_KEPT = 4_000;
+    private static final int MAX_RETAINED_NOTICES = 4_000;
     private static final int SLOW_ONE_IN = 60; // one run in this many is slow
-    private static final int SLOW = 2_200_000; // longer than any caller waits
+    private static final int SLOW_RUN_US = 2_200_000; // longer than any caller waits
 
     private final History history;
     private final ServerSocket server;
-    private final SplittableRandom chance;
-    private final ToIntFunction<SplittableRandom> work;
-    private final ScheduledExecutorService cores;
+    private final SplittableRandom random;
+    private final ToIntFunction<SplittableRandom> runDurationUs;
+    private final ScheduledExecutorService scheduler;
     private final Object lock = new Object();
-    private long started = System.nanoTime();
-    private int longest;
-    private volatile int calls;
-    private final Map<String, Run> atCall = new HashMap<>();
-    private int life;
-    private final int most;
-    private int busy;
-    private final ArrayDeque<Run> queue = new ArrayDeque<>();
-    private long serial;
+    private long startedAt = System.nanoTime();
+    private int maxExtraResultBytes;
+    private volatile int callsPerRun;
+    private final Map<String, Run> blockedRuns = new HashMap<>();
+    private int incarnation;
+    private final int coreCount;
+    private int running;
+    private final ArrayDeque<Run> waitingRuns = new ArrayDeque<>();
+    private long lastResultNumber;
     private Socket link;
     private final Set<String> jobs = new HashSet<>();
     private final List<String> notices = new ArrayList<>(); // with N in place of their numbers
-    private long first = 1; // the number of the first retained notice
+    private long firstNotice = 1; // the number of the first retained notice
     private volatile boolean closed;
 
     /** Creates a kernel whose runs take 1 to 40 ms, and occasionally longer than any caller waits. */
     public StandKernel(History history, int cores, long seed) throws IOException {
-        this(history, cores, seed, random -> random.nextInt(SLOW_ONE_IN) == 0 ? SLOW : random.nextInt(1, 40) * 1_000);
+        this(history, cores, seed, random -> random.nextInt(SLOW_ONE_IN) == 0 ? SLOW_RUN_US : random.nextInt(1, 40) * 1_000);
     }
 
     /**
      * Starts listening on a free port of loopback.
      *
      * @param history where runs are recorded, or null
-     * @param cores the number of concurrent runs
+     * @param scheduler the number of concurrent runs
      * @param runDurationUs draws the duration of a run, in microseconds
      */
     public StandKernel(History history, int cores, long seed, ToIntFunction<SplittableRandom> runDurationUs)
             throws IOException {
         this.history = history;
-        this.work = runDurationUs;
-        most = cores;
-        this.cores = Executors.newScheduledThreadPool(1);
-        chance = new SplittableRandom(seed);
+        this.runDurationUs = runDurationUs;
+        coreCount = cores;
+        this.scheduler = Executors.newScheduledThreadPool(1);
+        random = new SplittableRandom(seed);
         server = new ServerSocket();
         server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        thread(this::accept);
+        startThread(this::accept);
     }
 
-    private static void thread(Runnable run) {
+    private static void startThread(Runnable run) {
         Thread thread = new Thread(run, "stand-in kernel");
         thread.setDaemon(true);
         thread.start();
@@ -93,30 +93,30 @@
     }
 
     /** Appends up to so many bytes, drawn at random, to every later result. */
-    public void resultsUpTo(int bytes) {
-        longest = bytes;
+    public void setMaxExtraResultBytes(int bytes) {
+        maxExtraResultBytes = bytes;
     }
 
     /** Makes every run perform so many calls to the store from now on, one after the other, before it ends. */
-    public void runsCall(int count) {
-        calls = count;
+    public void setCallsPerRun(int count) {
+        callsPerRun = count;
     }
 
     /** Simulates a kill and restart: all runs and notices are lost, and their ends are never reported. */
-    public void kill() {
+    public void killAndRestart() {
         synchronized (lock) {
-            life++;
+            incarnation++;
             jobs.clear();
             notices.clear();
-            queue.clear();
-            busy = 0;
-            first = 1;
-            started = System.nanoTime();
-            drop();
+            waitingRuns.clear();
+            running = 0;
+            firstNotice = 1;
+            startedAt = System.nanoTime();
+            dropLink();
         }
     }
 
-    private void drop() {
+    private void dropLink() {
         try {
             if (link != null) {
                 link.close();
@@ -132,7 +132,7 @@
             try {
                 Socket accepted = server.accept();
                 accepted.setTcpNoDelay(true);
-                thread(() -> serve(accepted));
+                startThread(() -> serve(accepted));
             } catch (IOException e) {
                 return;
             }
@@ -143,14 +143,14 @@
         try (BufferedReader in =
                 new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
-                command(socket, fields(line));
+                onCommand(socket, parseFields(line));
             }
         } catch (IOException e) {
             return; // the client has disconnected
         }
     }
 
-    private static Map<String, String> fields(String line) throws IOException {
+    private static Map<String, String> parseFields(String line) throws IOException {
         Map<String, String> fields = new HashMap<>();
         try (JsonParser in = new JsonFactory().createParser(line)) {
             in.nextToken();
@@ -163,104 +163,104 @@
         return fields;
     }
 
-    private void command(Socket socket, Map<String, String> fields) throws IOException {
+    private void onCommand(Socket socket, Map<String, String> fields) throws IOException {
         synchronized (lock) {
             switch (fields.get("type")) {
-                case "OPEN" -> open(socket, Long.parseLong(fields.get("n")));
+                case "OPEN" -> onOpen(socket, Long.parseLong(fields.get("n")));
                 case "SCHED" ->
-                    run(
+                    onSchedule(
                             fields.get("job"),
                             new String(Base64.getDecoder().decode(fields.get("data")), StandardCharsets.UTF_8));
-                case "IODONE" -> called(fields.get("job"));
+                case "IODONE" -> onCallReply(fields.get("job"));
                 case "SYSINFO" ->
                     send(
                             socket,
                             "{\"type\":\"INFO\",\"ref\":\"" + fields.get("ref") + "\",\"gauges\":["
-                                    + (double) busy / most + "," + (busy + queue.size()) + ",0.2,0.1]}");
+                                    + (double) running / coreCount + "," + (running + waitingRuns.size()) + ",0.2,0.1]}");
                 default -> {}
             }
         }
     }
 
-    private void open(Socket socket, long lastReceived) throws IOException {
-        drop();
+    private void onOpen(Socket socket, long lastReceived) throws IOException {
+        dropLink();
         link = socket;
         if (lastReceived == 0) {
-            first = 1; // a new process of the program, for which notices are numbered from 1
+            firstNotice = 1; // a new process of the program, for which notices are numbered from 1
         }
         send(
                 socket,
-                "{\"type\":\"BOOTED\",\"state\":\"old\",\"took\":" + (System.nanoTime() - started) / 1_000_000 + "}");
+                "{\"type\":\"BOOTED\",\"state\":\"old\",\"took\":" + (System.nanoTime() - startedAt) / 1_000_000 + "}");
         for (int i = 0; i < notices.size(); i++) {
-            if (first + i > lastReceived) {
-                send(socket, notices.get(i).replace("N,", first + i + ","));
+            if (firstNotice + i > lastReceived) {
+                send(socket, notices.get(i).replace("N,", firstNotice + i + ","));
             }
         }
     }
 
-    private void run(String job, String body) {
+    private void onSchedule(String job, String body) {
         if (!jobs.add(job)) {
             return;
         }
         String key = body.split(" ")[0];
-        String result = key + "#" + ++serial + " " + "x".repeat(longest == 0 ? 0 : chance.nextInt(longest));
+        String result = key + "#" + ++lastResultNumber + " " + "x".repeat(maxExtraResultBytes == 0 ? 0 : random.nextInt(maxExtraResultBytes));
         if (history != null) {
-            history.add(History.What.RUN, key, job, result);
+            history.add(History.EventType.RUN, key, job, result);
         }
-        Run run = new Run(life, job, result, work.applyAsInt(chance), 0);
-        if (busy < most) {
-            begin(run);
+        Run run = new Run(incarnation, job, result, runDurationUs.applyAsInt(random), 0);
+        if (running < coreCount) {
+            startRun(run);
         } else {
-            queue.add(run);
+            waitingRuns.add(run);
         }
     }
 
-    private record Run(int life, String job, String result, int work, int called) {}
+    private record Run(int incarnation, String job, String result, int durationUs, int callsMade) {}
 
-    private void begin(Run run) {
-        busy++;
-        cores.schedule(() -> over(run), run.work, TimeUnit.MICROSECONDS);
+    private void startRun(Run run) {
+        running++;
+        scheduler.schedule(() -> onDurationElapsed(run), run.durationUs, TimeUnit.MICROSECONDS);
     }
 
-    private void over(Run run) {
+    private void onDurationElapsed(Run run) {
         synchronized (lock) {
-            if (run.life != life) {
+            if (run.incarnation != incarnation) {
                 return;
             }
-            if (run.called < calls) {
-                atCall.put(run.job, run);
-                tell("{\"type\":\"IOREQ\",\"n\":N,\"job\":\"" + run.job + "\",\"data\":\"Y2FsbA==\"}");
+            if (run.callsMade < callsPerRun) {
+                blockedRuns.put(run.job, run);
+                sendNotice("{\"type\":\"IOREQ\",\"n\":N,\"job\":\"" + run.job + "\",\"data\":\"Y2FsbA==\"}");
                 return;
             }
-            busy--;
-            if (!queue.isEmpty()) {
-                begin(queue.remove());
+            running--;
+            if (!waitingRuns.isEmpty()) {
+                startRun(waitingRuns.remove());
             }
             String job = run.job;
             String result = run.result;
             String notice =
                     "{\"type\":\"REAP\",\"n\":N,\"job\":\"" + job + "\",\"state\":\"good\",\"took\":1,\"data\":\""
                             + Base64.getEncoder().encodeToString(result.getBytes(StandardCharsets.UTF_8)) + "\"}";
-            tell(notice);
+            sendNotice(notice);
         }
     }
 
-    private void tell(String notice) {
+    private void sendNotice(String notice) {
         notices.add(notice);
-        if (notices.size() > NOTICES_KEPT) {
+        if (notices.size() > MAX_RETAINED_NOTICES) {
             notices.remove(0);
-            first++;
+            firstNotice++;
         }
-        send(link, notice.replace("N,", first + notices.size() - 1 + ","));
+        send(link, notice.replace("N,", firstNotice + notices.size() - 1 + ","));
     }
 
     /** Handles the reply to a run's call: the run continues for its duration once more. */
-    private void called(String job) {
-        Run run = atCall.remove(job);
+    private void onCallReply(String job) {
+        Run run = blockedRuns.remove(job);
         if (run != null) {
-            cores.schedule(
-                    () -> over(new Run(run.life, run.job, run.result, run.work, run.called + 1)),
-                    run.work,
+            scheduler.schedule(
+                    () -> onDurationElapsed(new Run(run.incarnation, run.job, run.result, run.durationUs, run.callsMade + 1)),
+                    run.durationUs,
                     TimeUnit.MICROSECONDS);
         }
     }
@@ -281,9 +281,9 @@
     public void close() throws IOException {
         closed = true;
         server.close();
-        cores.shutdownNow();
+        scheduler.shutdownNow();
         synchronized (lock) {
-            drop();
+            dropLink();
         }
     }
 }
--- a/stand/src/main/java/tallyweir/stand/StandRelay.java
+++ b/stand/src/main/java/tallyweir/stand/StandRelay.java
@@ -18,20 +18,20 @@
  * damage the data. Forward is the direction from the connecting side to the target. Safe for use by several threads.
  */
 public final class StandRelay implements AutoCloseable {
-    private static final int PIECE = 16 << 10;
-    private static final int LOOK_MS = 5;
-    private static final int NOTHING_DAMAGED = Integer.MAX_VALUE;
+    private static final int CHUNK_BYTES = 16 << 10;
+    private static final int POLL_INTERVAL_MS = 5;
+    private static final int DAMAGE_OFF = Integer.MAX_VALUE;
 
     private final ServerSocket server;
-    private final InetSocketAddress to;
-    private final Set<Socket> open = ConcurrentHashMap.newKeySet();
-    private volatile boolean cut;
-    private volatile boolean thereHeld;
-    private volatile boolean backHeld;
+    private final InetSocketAddress target;
+    private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
+    private volatile boolean resetting;
+    private volatile boolean forwardStalled;
+    private volatile boolean backwardStalled;
     private volatile int delayMs;
-    private volatile int damagedFrom = NOTHING_DAMAGED;
-    private final AtomicLong replied = new AtomicLong();
-    private final AtomicInteger damaged = new AtomicInteger();
+    private volatile int minDamagedBytes = DAMAGE_OFF;
+    private final AtomicLong repliedBytes = new AtomicLong();
+    private final AtomicInteger damagedChunks = new AtomicInteger();
 
     /**
      * Starts listening.
@@ -40,55 +40,55 @@
      * @param target where it connects to
      */
     public StandRelay(InetSocketAddress listenAddress, InetSocketAddress target) throws IOException {
-        this.to = target;
+        this.target = target;
         server = new ServerSocket(listenAddress.getPort(), 64, listenAddress.getAddress());
-        thread(this::accept);
+        startThread(this::accept);
     }
 
-    private static void thread(Runnable run) {
+    private static void startThread(Runnable run) {
         Thread thread = new Thread(run, "relay");
         thread.setDaemon(true);
         thread.start();
     }
 
     /** Resets all open connections, and every new one at once, until {@link #mend()}. */
-    public void cut() {
-        cut = true;
-        open.forEach(StandRelay::reset);
+    public void resetAll() {
+        resetting = true;
+        openSockets.forEach(StandRelay::reset);
     }
 
     /** Stalls or resumes each direction: data of a stalled one is no longer passed on, but its connections stay open. */
-    public void hold(boolean forward, boolean backward) {
-        thereHeld = forward;
-        backHeld = backward;
+    public void stall(boolean forward, boolean backward) {
+        forwardStalled = forward;
+        backwardStalled = backward;
     }
 
     /** Delays every chunk that is read, in both directions. */
-    public void delay(int milliseconds) {
+    public void setDelayMs(int milliseconds) {
         delayMs = milliseconds;
     }
 
     /** Flips one bit of the middle byte of each backward chunk of at least {@code minBytes} bytes. */
     public void damageReplies(int minBytes) {
-        damagedFrom = minBytes;
+        minDamagedBytes = minBytes;
     }
 
     /** The number of chunks damaged so far. */
-    public int damaged() {
-        return damaged.get();
+    public int damagedChunks() {
+        return damagedChunks.get();
     }
 
     /** The number of bytes passed backward so far. */
-    public long replied() {
-        return replied.get();
+    public long repliedBytes() {
+        return repliedBytes.get();
     }
 
     /** Ends all faults: everything is passed on unchanged and without delay. */
-    public void mend() {
-        damagedFrom = NOTHING_DAMAGED;
-        cut = false;
-        thereHeld = false;
-        backHeld = false;
+    public void endFaults() {
+        minDamagedBytes = DAMAGE_OFF;
+        resetting = false;
+        forwardStalled = false;
+        backwardStalled = false;
         delayMs = 0;
     }
 
@@ -105,12 +105,12 @@
         try {
             while (true) {
                 Socket accepted = server.accept();
-                open.add(accepted);
-                if (cut) {
+                openSockets.add(accepted);
+                if (resetting) {
                     reset(accepted);
-                    open.remove(accepted);
+                    openSockets.remove(accepted);
                 } else {
-                    thread(() -> join(accepted));
+                    startThread(() -> connect(accepted));
                 }
             }
         } catch (IOException e) {
@@ -118,22 +118,22 @@
         }
     }
 
-    private void join(Socket accepted) {
+    private void connect(Socket accepted) {
         Socket outgoing = new Socket();
-        open.add(outgoing);
+        openSockets.add(outgoing);
         try {
-            outgoing.connect(to, 1_000);
+            outgoing.connect(target, 1_000);
             accepted.setTcpNoDelay(true);
             outgoing.setTcpNoDelay(true);
-            thread(() -> pump(accepted, outgoing, true));
+            startThread(() -> pump(accepted, outgoing, true));
             pump(outgoing, accepted, false);
         } catch (IOException e) {
-            end(accepted, outgoing);
+            closeBoth(accepted, outgoing);
         }
     }
 
     private void pump(Socket source, Socket destination, boolean forward) {
-        byte[] chunk = new byte[PIECE];
+        byte[] chunk = new byte[CHUNK_BYTES];
         try {
             InputStream in = source.getInputStream();
             OutputStream out = destination.getOutputStream();
@@ -141,45 +141,45 @@
                 if (delayMs > 0) {
                     TimeUnit.MILLISECONDS.sleep(delayMs);
                 }
-                while (forward ? thereHeld : backHeld) {
-                    TimeUnit.MILLISECONDS.sleep(LOOK_MS);
+                while (forward ? forwardStalled : backwardStalled) {
+                    TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
                 }
                 if (!forward) {
-                    reply(chunk, length);
+                    onReply(chunk, length);
                 }
                 out.write(chunk, 0, length);
             }
         } catch (IOException e) {
-            end(source, destination);
+            closeBoth(source, destination);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        end(source, destination);
+        closeBoth(source, destination);
     }
 
-    private void reply(byte[] chunk, int length) {
-        replied.addAndGet(length);
-        if (length >= damagedFrom) {
+    private void onReply(byte[] chunk, int length) {
+        repliedBytes.addAndGet(length);
+        if (length >= minDamagedBytes) {
             chunk[length / 2] ^= 1;
-            damaged.incrementAndGet();
+            damagedChunks.incrementAndGet();
         }
     }
 
-    private void end(Socket first, Socket second) {
+    private void closeBoth(Socket first, Socket second) {
         reset(first);
         reset(second);
-        open.remove(first);
-        open.remove(second);
+        openSockets.remove(first);
+        openSockets.remove(second);
     }
 
     @Override
     public void close() throws IOException {
         server.close();
-        cut();
+        resetAll();
     }
 
     /** A loopback address that is unique to a pair of servers, by their numbers from 0 to 254. */
-    public static InetAddress pair(int from, int to) throws IOException {
+    public static InetAddress pairAddress(int from, int to) throws IOException {
         return InetAddress.getByAddress(new byte[] {127, 77, (byte) (from + 1), (byte) (to + 1)});
     }
 }
--- a/stand/src/main/java/tallyweir/stand/StandSidecar.java
+++ b/stand/src/main/java/tallyweir/stand/StandSidecar.java
@@ -20,14 +20,14 @@
      */
     public record Answer(int status, String body) {}
 
-    private static final int BEGIN = 1;
-    static final int END = 3;
+    private static final int BEGIN_REQUEST = 1;
+    static final int END_REQUEST = 3;
     private static final int PARAMS = 4;
     private static final int STDIN = 5;
     static final int STDOUT = 6;
 
     private final Socket socket = new Socket();
-    private int id;
+    private int lastId;
 
     /** Connects to a port on loopback. */
     public StandSidecar(int port) throws IOException {
@@ -35,7 +35,7 @@
         socket.setTcpNoDelay(true);
     }
 
-    private static void record(ByteArrayOutputStream out, int type, int id, byte[] content) {
+    private static void writeRecord(ByteArrayOutputStream out, int type, int id, byte[] content) {
         out.write(1);
         out.write(type);
         out.write(id >> 8);
@@ -47,7 +47,7 @@
         out.writeBytes(content);
     }
 
-    private static void length(ByteArrayOutputStream out, int length) {
+    private static void writeLength(ByteArrayOutputStream out, int length) {
         if (length < 128) {
             out.write(length);
         } else {
@@ -59,28 +59,28 @@
     }
 
     /** Encodes a complete request. */
-    static byte[] request(int id, Map<String, String> parameters, String body) {
+    static byte[] encodeRequest(int id, Map<String, String> parameters, String body) {
         ByteArrayOutputStream params = new ByteArrayOutputStream();
         parameters.forEach((name, value) -> {
-            length(params, name.length());
-            length(params, value.length());
+            writeLength(params, name.length());
+            writeLength(params, value.length());
             params.writeBytes(name.getBytes(StandardCharsets.UTF_8));
             params.writeBytes(value.getBytes(StandardCharsets.UTF_8));
         });
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        record(out, BEGIN, id, new byte[] {0, 1, 1, 0, 0, 0, 0, 0});
-        record(out, PARAMS, id, params.toByteArray());
-        record(out, PARAMS, id, new byte[0]);
-        record(out, STDIN, id, body.getBytes(StandardCharsets.UTF_8));
-        record(out, STDIN, id, new byte[0]);
+        writeRecord(out, BEGIN_REQUEST, id, new byte[] {0, 1, 1, 0, 0, 0, 0, 0});
+        writeRecord(out, PARAMS, id, params.toByteArray());
+        writeRecord(out, PARAMS, id, new byte[0]);
+        writeRecord(out, STDIN, id, body.getBytes(StandardCharsets.UTF_8));
+        writeRecord(out, STDIN, id, new byte[0]);
         return out.toByteArray();
     }
 
     /** A FastCGI record. */
-    record Piece(int type, int of, byte[] content) {}
+    record FastCgiRecord(int type, int requestId, byte[] content) {}
 
     /** Reads the next record; blocks until it is complete. */
-    static Piece piece(DataInputStream in) throws IOException {
+    static FastCgiRecord readRecord(DataInputStream in) throws IOException {
         in.readUnsignedByte();
         int type = in.readUnsignedByte();
         int requestId = in.readUnsignedShort();
@@ -89,7 +89,7 @@
         in.readUnsignedByte();
         in.readFully(content);
         in.skipNBytes(padding);
-        return new Piece(type, requestId, content);
+        return new FastCgiRecord(type, requestId, content);
     }
 
     /** Parses the output of a request. */
@@ -103,11 +103,11 @@
     }
 
     /** Sends a request and waits for its answer. */
-    public Answer ask(Map<String, String> parameters, String body, int timeoutMs) {
-        id = id % 30_000 + 1;
+    public Answer exchange(Map<String, String> parameters, String body, int timeoutMs) {
+        lastId = lastId % 30_000 + 1;
         try {
             OutputStream out = socket.getOutputStream();
-            out.write(request(id, parameters, body));
+            out.write(encodeRequest(lastId, parameters, body));
             out.flush();
             return answer(timeoutMs);
         } catch (SocketTimeoutException e) {
@@ -123,10 +123,10 @@
         long deadline = System.nanoTime() + timeoutMs * 1_000_000L;
         while (true) {
             socket.setSoTimeout((int) Math.max(1, (deadline - System.nanoTime()) / 1_000_000));
-            Piece read = piece(in);
-            if (read.of == id && read.type == STDOUT) {
+            FastCgiRecord read = readRecord(in);
+            if (read.requestId == lastId && read.type == STDOUT) {
                 text.writeBytes(read.content);
-            } else if (read.of == id && read.type == END) {
+            } else if (read.requestId == lastId && read.type == END_REQUEST) {
                 return answer(text.toString(StandardCharsets.UTF_8));
             }
         }
--- a/stand/src/main/java/tallyweir/stand/StandStore.java
+++ b/stand/src/main/java/tallyweir/stand/StandStore.java
@@ -18,10 +18,10 @@
 
     /** Starts listening on a free port. */
     public StandStore() throws IOException {
-        thread(this::accept);
+        startThread(this::accept);
     }
 
-    private static void thread(Runnable run) {
+    private static void startThread(Runnable run) {
         Thread thread = new Thread(run, "stand-in store");
         thread.setDaemon(true);
         thread.start();
@@ -33,7 +33,7 @@
     }
 
     /** Whether a job of this id has called the store. */
-    public boolean called(String job) {
+    public boolean hasCalled(String job) {
         return jobs.contains(job);
     }
 
@@ -41,7 +41,7 @@
         try {
             while (true) {
                 Socket accepted = server.accept();
-                thread(() -> serve(accepted));
+                startThread(() -> serve(accepted));
             }
         } catch (IOException e) {
             return; // the store was closed
@@ -51,7 +51,7 @@
     private void serve(Socket socket) {
         try (DataInputStream in = new DataInputStream(new BufferedInputStream(socket.getInputStream()))) {
             OutputStream out = socket.getOutputStream();
-            for (String line = line(in); line != null; line = line(in)) {
+            for (String line = readLine(in); line != null; line = readLine(in)) {
                 String[] words = line.split(" ");
                 if (words[0].equals("CALL")) {
                     in.skipNBytes(Integer.parseInt(words[3]) + 2);
@@ -64,7 +64,7 @@
         }
     }
 
-    private static String line(DataInputStream in) throws IOException {
+    private static String readLine(DataInputStream in) throws IOException {
         StringBuilder line = new StringBuilder();
         for (int c = in.read(); c >= 0; c = in.read()) {
             if (c == '\n') {
--- a/stand/src/main/java/tallyweir/stand/StandStream.java
+++ b/stand/src/main/java/tallyweir/stand/StandStream.java
@@ -17,19 +17,19 @@
 
 /** A sidecar's FastCGI 1.0 connection with many concurrent requests. Safe for use by several threads. */
 public final class StandStream implements AutoCloseable {
-    private static final int IDS = 60_000;
+    private static final int MAX_REQUEST_ID = 60_000;
 
-    private record Asked(Consumer<StandSidecar.Answer> then, ByteArrayOutputStream text) {}
+    private record PendingRequest(Consumer<StandSidecar.Answer> onAnswer, ByteArrayOutputStream output) {}
 
     private final Socket socket = new Socket();
-    private final Map<Integer, Asked> waiting = new HashMap<>();
-    private int last;
+    private final Map<Integer, PendingRequest> pending = new HashMap<>();
+    private int lastId;
 
     /** Connects to a port on loopback and starts a daemon thread that reads the answers. */
     public StandStream(int port) throws IOException {
         socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 1_000);
         socket.setTcpNoDelay(true);
-        Thread reader = new Thread(this::read, "stand-in sidecar");
+        Thread reader = new Thread(this::readRecords, "stand-in sidecar");
         reader.setDaemon(true);
         reader.start();
     }
@@ -40,58 +40,58 @@
      * @param then called once with the answer on this connection's reader thread, or with status 0 on the thread that finds the
      *     connection broken
      */
-    public void ask(Map<String, String> parameters, String body, Consumer<StandSidecar.Answer> then) {
-        byte[] bytes;
+    public void send(Map<String, String> parameters, String body, Consumer<StandSidecar.Answer> onAnswer) {
+        byte[] encoded;
         try {
             synchronized (this) {
                 do {
-                    last = last % IDS + 1;
-                } while (waiting.containsKey(last));
-                waiting.put(last, new Asked(then, new ByteArrayOutputStream()));
-                bytes = StandSidecar.request(last, parameters, body);
+                    lastId = lastId % MAX_REQUEST_ID + 1;
+                } while (pending.containsKey(lastId));
+                pending.put(lastId, new PendingRequest(onAnswer, new ByteArrayOutputStream()));
+                encoded = StandSidecar.encodeRequest(lastId, parameters, body);
                 OutputStream out = socket.getOutputStream();
-                out.write(bytes);
+                out.write(encoded);
             }
         } catch (IOException e) {
-            broken();
+            failPending();
         }
     }
 
     /** The number of requests without an answer so far. */
-    public synchronized int waiting() {
-        return waiting.size();
+    public synchronized int pendingCount() {
+        return pending.size();
     }
 
-    private void read() {
+    private void readRecords() {
         try (DataInputStream in = new DataInputStream(new BufferedInputStream(socket.getInputStream(), 64 << 10))) {
             while (true) {
-                StandSidecar.Piece read = StandSidecar.piece(in);
-                take(read.type(), read.of(), read.content());
+                StandSidecar.FastCgiRecord read = StandSidecar.readRecord(in);
+                onRecord(read.type(), read.requestId(), read.content());
             }
         } catch (IOException e) {
-            broken();
+            failPending();
         }
     }
 
-    private void take(int type, int id, byte[] content) {
-        Asked request;
+    private void onRecord(int type, int id, byte[] content) {
+        PendingRequest request;
         synchronized (this) {
-            request = type == StandSidecar.END ? waiting.remove(id) : waiting.get(id);
+            request = type == StandSidecar.END_REQUEST ? pending.remove(id) : pending.get(id);
         }
         if (request != null && type == StandSidecar.STDOUT) {
-            request.text.writeBytes(content);
-        } else if (request != null && type == StandSidecar.END) {
-            request.then.accept(StandSidecar.answer(request.text.toString(StandardCharsets.UTF_8)));
+            request.output.writeBytes(content);
+        } else if (request != null && type == StandSidecar.END_REQUEST) {
+            request.onAnswer.accept(StandSidecar.answer(request.output.toString(StandardCharsets.UTF_8)));
         }
     }
 
-    private void broken() {
-        List<Asked> failed;
+    private void failPending() {
+        List<PendingRequest> failed;
         synchronized (this) {
-            failed = new ArrayList<>(waiting.values());
-            waiting.clear();
+            failed = new ArrayList<>(pending.values());
+            pending.clear();
         }
-        failed.forEach(request -> request.then.accept(new StandSidecar.Answer(0, "")));
+        failed.forEach(request -> request.onAnswer.accept(new StandSidecar.Answer(0, "")));
     }
 
     @Override
--- a/stand/src/main/java/tallyweir/stand/SteadyCaller.java
+++ b/stand/src/main/java/tallyweir/stand/SteadyCaller.java
@@ -17,44 +17,44 @@
     /**
      * The behaviour of a caller.
      *
-     * @param newConnectionEach whether each request is sent on a connection of its own
+     * @param connectionPerRequest whether each request is sent on a connection of its own
      * @param pieces the number of chunks in which a request is written
-     * @param pieceMs the delay between two chunks
-     * @param thinkMs the mean delay between two requests
+     * @param chunkDelayMs the delay between two chunks
+     * @param meanThinkMs the mean delay between two requests
      */
-    public record Manner(String name, boolean newConnectionEach, int pieces, int pieceMs, int thinkMs) {}
+    public record Profile(String name, boolean connectionPerRequest, int chunks, int chunkDelayMs, int meanThinkMs) {}
 
-    private static final int CROSSING_MS = 50; // the protocol allows a close to cross a request this recent
-    private static final int SLACK_MS = 50; // the lateness of an answer that the protocol allows
-    private static final int GIVE_UP_MS = 1_500; // an answer that is later than this counts as missing
-    private static final int CONNECT_MS = 1_000;
-    private static final int AGAIN_MS = 5; // after a failed connection attempt
+    private static final int CROSSING_WINDOW_MS = 50; // the protocol allows a close to cross a request this recent
+    private static final int MAX_LATENESS_MS = 50; // the lateness of an answer that the protocol allows
+    private static final int NO_ANSWER_LATENESS_MS = 1_500; // an answer that is later than this counts as missing
+    private static final int CONNECT_TIMEOUT_MS = 1_000;
+    private static final int RECONNECT_DELAY_MS = 5; // after a failed connection attempt
 
     private final InetSocketAddress server;
-    private final Manner manner;
+    private final Profile profile;
     private final LoadSettings settings;
     private final RequestLog log;
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
     private final Thread thread;
     private volatile boolean stopped;
     private Socket socket; // null while there is no connection
-    private long connected;
-    private int requestNumber;
+    private long connectedAt;
+    private int requestId;
 
     /** Starts a daemon thread that sends requests to the server. */
-    public SteadyCaller(InetSocketAddress server, Manner manner, LoadSettings settings, RequestLog log) {
+    public SteadyCaller(InetSocketAddress server, Profile profile, LoadSettings settings, RequestLog log) {
         this.server = server;
-        this.manner = manner;
+        this.profile = profile;
         this.settings = settings;
         this.log = log;
-        chance = log.split();
-        thread = new Thread(this::run, "caller " + manner.name);
+        random = log.newRandom();
+        thread = new Thread(this::run, "caller " + profile.name);
         thread.setDaemon(true);
         thread.start();
     }
 
     /** The address of a port on loopback. */
-    public static InetSocketAddress at(int port) {
+    public static InetSocketAddress loopback(int port) {
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
     }
 
@@ -62,10 +62,10 @@
         try {
             while (!stopped) {
                 if (connect()) {
-                    request();
-                    TimeUnit.MILLISECONDS.sleep(chance.nextInt(2 * manner.thinkMs + 1));
+                    sendNextRequest();
+                    TimeUnit.MILLISECONDS.sleep(random.nextInt(2 * profile.meanThinkMs + 1));
                 } else {
-                    TimeUnit.MILLISECONDS.sleep(AGAIN_MS);
+                    TimeUnit.MILLISECONDS.sleep(RECONNECT_DELAY_MS);
                 }
             }
         } catch (InterruptedException e) {
@@ -82,9 +82,9 @@
         Socket opened = new Socket();
         try {
             opened.setTcpNoDelay(true);
-            opened.connect(server, CONNECT_MS);
+            opened.connect(server, CONNECT_TIMEOUT_MS);
             socket = opened;
-            connected = System.nanoTime();
+            connectedAt = System.nanoTime();
             return true;
         } catch (IOException e) {
             close(opened);
@@ -92,80 +92,80 @@
         }
     }
 
-    private void request() throws InterruptedException {
+    private void sendNextRequest() throws InterruptedException {
         String id = log.newId();
-        RequestFate fate = attempt(id, false);
-        if (fate != null && fate.end() == RequestFate.End.CROSSED) {
-            log.add(fate);
-            fate = connect() ? attempt(id, true) : null;
+        RequestFate outcome = attempt(id, false);
+        if (outcome != null && outcome.end() == RequestFate.End.CROSSED) {
+            log.add(outcome);
+            outcome = connect() ? attempt(id, true) : null;
         }
-        if (fate != null) {
-            log.add(fate);
+        if (outcome != null) {
+            log.add(outcome);
         }
     }
 
     /** Returns null if the request could not be written completely; then the server never received all of it. */
     private RequestFate attempt(String id, boolean resent) throws InterruptedException {
-        requestNumber = requestNumber % 30_000 + 1;
-        byte[] request = StandSidecar.request(requestNumber, settings.parameters(id, chance), id + " body");
-        long written;
+        requestId = requestId % 30_000 + 1;
+        byte[] request = StandSidecar.encodeRequest(requestId, settings.parameters(id, random), id + " body");
+        long writtenAt;
         try {
             write(request);
-            written = System.nanoTime();
+            writtenAt = System.nanoTime();
         } catch (IOException e) {
             disconnect();
             return null;
         }
         try {
-            int status = answer(written);
-            log.answered(id);
-            long now = System.nanoTime();
-            boolean late = log.isOver(written, TimeUnit.MILLISECONDS.toNanos(settings.patienceMs() + SLACK_MS));
-            if (manner.newConnectionEach) {
+            int status = readAnswer(writtenAt);
+            log.onAnswered(id);
+            long endedAt = System.nanoTime();
+            boolean late = log.exceeds(writtenAt, TimeUnit.MILLISECONDS.toNanos(settings.timeoutMs() + MAX_LATENESS_MS));
+            if (profile.connectionPerRequest) {
                 disconnect();
             }
-            return fate(
-                    id, written, now, late ? RequestFate.End.ANSWERED_LATE : RequestFate.End.ANSWERED, status, resent);
+            return outcome(
+                    id, writtenAt, endedAt, late ? RequestFate.End.ANSWERED_LATE : RequestFate.End.ANSWERED, status, resent);
         } catch (SocketTimeoutException e) {
             disconnect();
-            return fate(id, written, System.nanoTime(), RequestFate.End.UNANSWERED, 0, resent);
+            return outcome(id, writtenAt, System.nanoTime(), RequestFate.End.UNANSWERED, 0, resent);
         } catch (IOException e) {
             disconnect();
-            long now = System.nanoTime();
-            boolean crossed = !resent && !log.isOver(written, TimeUnit.MILLISECONDS.toNanos(CROSSING_MS));
-            return fate(
-                    id, written, now, crossed ? RequestFate.End.CROSSED : RequestFate.End.CONNECTION_ENDED, 0, resent);
+            long endedAt = System.nanoTime();
+            boolean crossed = !resent && !log.exceeds(writtenAt, TimeUnit.MILLISECONDS.toNanos(CROSSING_WINDOW_MS));
+            return outcome(
+                    id, writtenAt, endedAt, crossed ? RequestFate.End.CROSSED : RequestFate.End.CONNECTION_ENDED, 0, resent);
         }
     }
 
-    private RequestFate fate(String id, long written, long ended, RequestFate.End end, int status, boolean resent) {
-        return new RequestFate(id, manner.name, connected, written, ended, end, status, resent);
+    private RequestFate outcome(String id, long writtenAt, long endedAt, RequestFate.End end, int status, boolean resent) {
+        return new RequestFate(id, profile.name, connectedAt, writtenAt, endedAt, end, status, resent);
     }
 
     private void write(byte[] request) throws IOException, InterruptedException {
         OutputStream out = socket.getOutputStream();
         int from = 0;
-        for (int chunk = 1; chunk <= manner.pieces; chunk++) {
-            int to = chunk == manner.pieces ? request.length : request.length * chunk / manner.pieces;
+        for (int chunk = 1; chunk <= profile.chunks; chunk++) {
+            int to = chunk == profile.chunks ? request.length : request.length * chunk / profile.chunks;
             out.write(request, from, to - from);
             from = to;
-            if (chunk < manner.pieces) {
-                TimeUnit.MILLISECONDS.sleep(manner.pieceMs);
+            if (chunk < profile.chunks) {
+                TimeUnit.MILLISECONDS.sleep(profile.chunkDelayMs);
             }
         }
     }
 
-    private int answer(long written) throws IOException {
-        long deadline = written + TimeUnit.MILLISECONDS.toNanos(settings.patienceMs() + GIVE_UP_MS);
+    private int readAnswer(long writtenAt) throws IOException {
+        long deadline = writtenAt + TimeUnit.MILLISECONDS.toNanos(settings.timeoutMs() + NO_ANSWER_LATENESS_MS);
         ByteArrayOutputStream text = new ByteArrayOutputStream();
         DataInputStream in = new DataInputStream(socket.getInputStream());
         while (true) {
             long remainingMs = TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime());
             socket.setSoTimeout((int) Math.max(1, remainingMs));
-            StandSidecar.Piece read = StandSidecar.piece(in);
-            if (read.of() == requestNumber && read.type() == StandSidecar.STDOUT) {
+            StandSidecar.FastCgiRecord read = StandSidecar.readRecord(in);
+            if (read.requestId() == requestId && read.type() == StandSidecar.STDOUT) {
                 text.writeBytes(read.content());
-            } else if (read.of() == requestNumber && read.type() == StandSidecar.END) {
+            } else if (read.requestId() == requestId && read.type() == StandSidecar.END_REQUEST) {
                 return StandSidecar.answer(text.toString(StandardCharsets.UTF_8))
                         .status();
             }
@@ -196,6 +196,6 @@
     @Override
     public void close() throws InterruptedException {
         stop();
-        thread.join(TimeUnit.MILLISECONDS.toMillis(settings.patienceMs() + GIVE_UP_MS + CONNECT_MS));
+        thread.join(TimeUnit.MILLISECONDS.toMillis(settings.timeoutMs() + NO_ANSWER_LATENESS_MS + CONNECT_TIMEOUT_MS));
     }
 }
--- a/tool/src/main/java/tallyweir/tool/AuditReader.java
+++ b/tool/src/main/java/tallyweir/tool/AuditReader.java
@@ -15,7 +15,7 @@
                 .filter(revision -> revision.revision().equals(id))
                 .findFirst()
                 .orElseThrow(() ->
-                        new Fault.NoSuchRevision(id.value(), audit.inForce().value()).thrown());
+                        new Fault.NoSuchRevision(id.value(), audit.inForce().value()).toException());
     }
 
     /** A revision with the root of its table. */
--- a/tool/src/main/java/tallyweir/tool/DurableBench.java
+++ b/tool/src/main/java/tallyweir/tool/DurableBench.java
@@ -176,8 +176,8 @@
                 longest(longest, s);
                 longest.put(
                         "batches_a_group",
-                        round((double) s.store().figures().get(Figures.Of.BATCHES)
-                                / Math.max(1, s.store().figures().get(Figures.Of.GROUPS))));
+                        round((double) s.store().figures().get(Figures.Counter.BATCHES)
+                                / Math.max(1, s.store().figures().get(Figures.Counter.GROUPS))));
             }
             ratios.add(storeRates[round] / bareRates[round]);
         }
@@ -221,9 +221,9 @@
 
     /** Into the figures, the longest of each step so far, milliseconds. */
     private static void longest(Map<String, Object> figures, FileStore s) {
-        for (Times.Of of : Times.Of.values()) {
+        for (Times.Step of : Times.Step.values()) {
             figures.merge(
-                    of.name().toLowerCase(), s.times().longest(of) / 10.0, (a, b) -> Math.max((Double) a, (Double) b));
+                    of.name().toLowerCase(), s.times().maxDuration(of) / 10.0, (a, b) -> Math.max((Double) a, (Double) b));
         }
     }
 
@@ -472,17 +472,17 @@
                 }
             });
             churn.start();
-            long moved = s.store().figures().get(Figures.Of.MOVED_BYTES);
-            while (s.store().figures().get(Figures.Of.MOVED_BYTES) == moved) {
+            long moved = s.store().figures().get(Figures.Counter.MOVED_BYTES);
+            while (s.store().figures().get(Figures.Counter.MOVED_BYTES) == moved) {
                 Thread.sleep(10);
             }
-            moved = s.store().figures().get(Figures.Of.MOVED_BYTES);
+            moved = s.store().figures().get(Figures.Counter.MOVED_BYTES);
             Histogram busy = reads(s, many);
             Map<String, Object> of = new LinkedHashMap<>();
             of.put("idle_p99_us", round(idle.getValueAtPercentile(99) / 1e3));
             of.put("compacting_p99_us", round(busy.getValueAtPercentile(99) / 1e3));
             of.put("ratio", round((double) busy.getValueAtPercentile(99) / idle.getValueAtPercentile(99)));
-            of.put("moved_mb_meanwhile", (s.store().figures().get(Figures.Of.MOVED_BYTES) - moved) / MB);
+            of.put("moved_mb_meanwhile", (s.store().figures().get(Figures.Counter.MOVED_BYTES) - moved) / MB);
             print("reads, 2 readers, 10000 offered a second, while writes and compaction run", of);
             stop.set(true);
             churn.join();
@@ -534,8 +534,8 @@
             SplittableRandom chance = new SplittableRandom(seed);
             fill(s, many, chance);
             for (int half = 0; half < 2; half++) { // the first to settle, the second to count
-                long written = s.store().figures().get(Figures.Of.BYTES_WRITTEN);
-                long asked = s.store().figures().get(Figures.Of.RECORD_BYTES);
+                long written = s.store().figures().get(Figures.Counter.BYTES_WRITTEN);
+                long asked = s.store().figures().get(Figures.Counter.RECORD_BYTES);
                 for (int i = 0; i < 3 * many / 500; i++) {
                     Batch b = new Batch();
                     for (int n = 0; n < 500; n++) {
@@ -548,9 +548,9 @@
                     of.put("live_share", s.store().info().get("live_share"));
                     of.put(
                             "written_each_copy_per_byte_asked",
-                            round((s.store().figures().get(Figures.Of.BYTES_WRITTEN) - written)
+                            round((s.store().figures().get(Figures.Counter.BYTES_WRITTEN) - written)
                                     / 2.0
-                                    / (s.store().figures().get(Figures.Of.RECORD_BYTES) - asked)));
+                                    / (s.store().figures().get(Figures.Counter.RECORD_BYTES) - asked)));
                     print("write amplification, random overwrites", of);
                 }
             }
@@ -605,19 +605,19 @@
         Durable d = new Durable(
                 new FileDisk(dir.resolve("first")),
                 new FileDisk(dir.resolve("second")),
-                Both.IN_TURN,
+                Both.SEQUENTIAL,
                 64 * MB,
                 4_096,
                 0.5,
                 0,
                 List.of(new Namespace(SPACE, Long.MAX_VALUE, false)),
                 seed,
-                FileStore::clock,
+                FileStore::currentTime,
                 r -> {},
                 Set.of());
         double took = (System.nanoTime() - start) / 1e9;
-        if (d.openedFromSnapshot() != bySnapshot || d.keys() != keys) {
-            throw new IOException("opened " + d.keys() + " keys, from a snapshot: " + d.openedFromSnapshot());
+        if (d.openedFromSnapshot() != bySnapshot || d.keyCount() != keys) {
+            throw new IOException("opened " + d.keyCount() + " keys, from a snapshot: " + d.openedFromSnapshot());
         }
         d.abandon();
         if (!bySnapshot) {
--- a/tool/src/main/java/tallyweir/tool/DurableCommand.java
+++ b/tool/src/main/java/tallyweir/tool/DurableCommand.java
@@ -58,13 +58,13 @@
     /** Figures that tell of damage, by name. */
     private static Map<String, Object> damage(Durable d) {
         Map<String, Object> of = new LinkedHashMap<>();
-        for (Figures.Of f : List.of(
-                Figures.Of.FRAMES_READ,
-                Figures.Of.REPAIRED,
-                Figures.Of.FILES_REMADE,
-                Figures.Of.UNREPAIRED,
-                Figures.Of.LOST_FRAMES,
-                Figures.Of.SNAPSHOTS_DISTRUSTED)) {
+        for (Figures.Counter f : List.of(
+                Figures.Counter.FRAMES_READ,
+                Figures.Counter.REPAIRED,
+                Figures.Counter.FILES_REMADE,
+                Figures.Counter.UNREPAIRED,
+                Figures.Counter.LOST_FRAMES,
+                Figures.Counter.SNAPSHOTS_DISTRUSTED)) {
             of.put(f.name().toLowerCase(), d.figures().get(f));
         }
         return of;
@@ -87,8 +87,8 @@
         of.put("key", printable(f.key()));
         of.put("key_hex", hex(f.key()));
         of.put("written", at(Stamp.time(f.stamp())));
-        if (f.expires() != 0) {
-            of.put("expires", at(f.expires()));
+        if (f.expiresAt() != 0) {
+            of.put("expires", at(f.expiresAt()));
         }
         of.put("value_bytes", f.value().length);
         if (value) {
@@ -140,7 +140,7 @@
         /** Names and values that an admin socket says. */
         Map<String, Object> asked(Path adminSocket, String unit, String... words) throws IOException {
             Map<String, Object> all = new LinkedHashMap<>();
-            AdminSocket.ask(
+            AdminSocket.sendRequest(
                     adminSocket,
                     List.of(words),
                     line -> {
@@ -183,7 +183,7 @@
                             d -> {
                                 Map<String, Object> all = d.info();
                                 all.put("at_opening", damage(d));
-                                all.put("figures", d.figures().all());
+                                all.put("figures", d.figures().toMap());
                                 return all;
                             },
                             adminSocket -> asked(adminSocket, "", "info")));
@@ -220,10 +220,10 @@
                     },
                     adminSocket -> {
                         Found[] there = new Found[1];
-                        AdminSocket.ask(
+                        AdminSocket.sendRequest(
                                 adminSocket,
                                 List.of("get", namespace, hex(k)),
-                                line -> there[0] = AdminCommands.record(line),
+                                line -> there[0] = AdminCommands.parseRecord(line),
                                 n -> {});
                         return there[0];
                     });
@@ -278,7 +278,7 @@
                 throw new ParameterException(spec.commandLine(), "--from and --to do not go with --since and --until");
             }
             long first = time(since, 0);
-            long end = time(until, Stamp.LATEST);
+            long end = time(until, Stamp.MAX_TIME_TENTHS_MS);
             byte[] fromKey = key(from, hex);
             byte[] toKey = to == null ? null : key(to, hex);
             boolean more = store.look(
@@ -286,7 +286,7 @@
                         try (View view = d.view()) {
                             known(view, namespace);
                             Iterator<Found> in = byTime
-                                    ? view.between(namespace, first, end)
+                                    ? view.writtenBetween(namespace, first, end)
                                     : view.range(namespace, fromKey, toKey);
                             for (long n = 0; in.hasNext() && n < limit; n++) {
                                 print(in.next());
@@ -296,7 +296,7 @@
                     },
                     adminSocket -> {
                         long[] n = {0};
-                        AdminSocket.ask(
+                        AdminSocket.sendRequest(
                                 adminSocket,
                                 List.of(
                                         "list",
@@ -308,7 +308,7 @@
                                         Long.toString(limit + 1)),
                                 line -> {
                                     if (n[0]++ < limit) {
-                                        print(AdminCommands.record(line));
+                                        print(AdminCommands.parseRecord(line));
                                     }
                                 },
                                 far -> {});
@@ -352,15 +352,15 @@
         public Integer call() throws IOException {
             return store.look(
                     d -> {
-                        long before = d.figures().get(Figures.Of.UNREPAIRED);
-                        long lostBefore = d.figures().get(Figures.Of.LOST_FRAMES);
+                        long before = d.figures().get(Figures.Counter.UNREPAIRED);
+                        long lostBefore = d.figures().get(Figures.Counter.LOST_FRAMES);
                         d.scrubAll(progress(d));
-                        long damaged = d.figures().get(Figures.Of.UNREPAIRED) - before;
-                        long lost = d.figures().get(Figures.Of.LOST_FRAMES) - lostBefore;
+                        long damaged = d.figures().get(Figures.Counter.UNREPAIRED) - before;
+                        long lost = d.figures().get(Figures.Counter.LOST_FRAMES) - lostBefore;
                         Map<String, Object> all = new LinkedHashMap<>();
                         all.put("damaged_in_one_copy", damaged);
                         all.put("damaged_in_both_copies", lost);
-                        all.put("snapshots_distrusted", d.figures().get(Figures.Of.SNAPSHOTS_DISTRUSTED));
+                        all.put("snapshots_distrusted", d.figures().get(Figures.Counter.SNAPSHOTS_DISTRUSTED));
                         print(out(), store.json(), all);
                         return damaged + lost > 0 ? 1 : 0;
                     },
@@ -383,7 +383,7 @@
                 d.scrubAll(progress(d));
                 Map<String, Object> all = damage(d);
                 print(out(), store.json(), all);
-                return d.figures().get(Figures.Of.LOST_FRAMES) + d.figures().get(Figures.Of.UNREPAIRED) > 0 ? 1 : 0;
+                return d.figures().get(Figures.Counter.LOST_FRAMES) + d.figures().get(Figures.Counter.UNREPAIRED) > 0 ? 1 : 0;
             }
         }
     }
@@ -401,7 +401,7 @@
                 Map<String, Object> all = new LinkedHashMap<>();
                 all.put("bytes_of_each_copy_before", before);
                 all.put("bytes_of_each_copy", d.info().get("bytes_of_each_copy"));
-                all.put("moved_bytes", d.figures().get(Figures.Of.MOVED_BYTES));
+                all.put("moved_bytes", d.figures().get(Figures.Counter.MOVED_BYTES));
                 print(out(), store.json(), all);
             }
             return 0;
@@ -409,7 +409,7 @@
     }
 
     private static int copy(OnStore c, Durable from, Path to) throws IOException {
-        Backup.Made made = Backup.make(from, to, c.seldom(n -> n + " records"));
+        Backup.BackupResult made = Backup.make(from, to, c.seldom(n -> n + " records"));
         Map<String, Object> all = new LinkedHashMap<>();
         all.put("records", made.records());
         all.put("bytes_of_each_copy", made.bytes());
@@ -455,9 +455,9 @@
         public Integer call() throws IOException {
             try (Durable d = store.look()) {
                 int code = copy(this, d, to);
-                if (d.figures().get(Figures.Of.LOST_FRAMES) > 0) {
+                if (d.figures().get(Figures.Counter.LOST_FRAMES) > 0) {
                     err().println("tallyweir: the backup is damaged in both copies: "
-                            + d.figures().get(Figures.Of.LOST_FRAMES) + " frames are lost");
+                            + d.figures().get(Figures.Counter.LOST_FRAMES) + " frames are lost");
                     return 1;
                 }
                 return code;
--- a/tool/src/main/java/tallyweir/tool/DurableDrill.java
+++ b/tool/src/main/java/tallyweir/tool/DurableDrill.java
@@ -51,21 +51,21 @@
         boolean small = files == Size.SMALL;
         int threads = Runtime.getRuntime().availableProcessors();
         Drill.Tally all = new Drill.Tally();
-        part(out, "power cuts", all, Drill.cuts(seed, small ? 40 : 120, 1, 3, off));
-        part(out, "failing forces, full and read-only disks", all, Drill.faults(seed, small ? 300 : 3_000, off));
-        part(out, "old versions", all, Drill.oldVersions(seed, small ? 300 : 3_000, off));
-        part(out, "two processes at one store", all, Drill.turns(seed, small ? 1_000 : 10_000, off));
-        part(out, "damage in memory", all, Drill.damage(null, seed, small ? 60 : 200, 1, threads, off));
+        part(out, "power cuts", all, Drill.powerCuts(seed, small ? 40 : 120, 1, 3, off));
+        part(out, "failing forces, full and read-only disks", all, Drill.diskFaults(seed, small ? 300 : 3_000, off));
+        part(out, "old versions", all, Drill.staleVersions(seed, small ? 300 : 3_000, off));
+        part(out, "two processes at one store", all, Drill.takeovers(seed, small ? 1_000 : 10_000, off));
+        part(out, "damage in memory", all, Drill.fileDamage(null, seed, small ? 60 : 200, 1, threads, off));
         part(
                 out,
                 "damage on files",
                 all,
-                Drill.damage(dir.resolve("damage"), seed + 1, small ? 12 : 120, 1, threads, off));
-        part(out, "kill -9", all, Kills.play(dir.resolve("kills"), seed, small ? 12 : 100, off));
-        all.wrong().forEach(w -> out.println("wrong: " + w));
+                Drill.fileDamage(dir.resolve("damage"), seed + 1, small ? 12 : 120, 1, threads, off));
+        part(out, "kill -9", all, Kills.run(dir.resolve("kills"), seed, small ? 12 : 100, off));
+        all.violations().forEach(w -> out.println("wrong: " + w));
         out.println("durable drill: openings " + all.openings() + ", acknowledged lost " + all.lost()
                 + ", torn returned " + all.torn() + ", openings failed " + all.failed());
-        return all.good() ? 0 : 1;
+        return all.passed() ? 0 : 1;
     }
 
     private static void part(PrintWriter out, String name, Drill.Tally all, Drill.Tally part) {
--- a/tool/src/main/java/tallyweir/tool/FleetAuditCommand.java
+++ b/tool/src/main/java/tallyweir/tool/FleetAuditCommand.java
@@ -94,7 +94,7 @@
                 + ", heard " + time(server.heardMs())
                 + ", outdated queries " + server.outdated()
                 + (server.cause().isEmpty() ? "" : ", " + server.cause()));
-        for (FleetAudit.PassageAudit passage : server.passages()) {
+        for (FleetAudit.TransitionAudit passage : server.passages()) {
             out.println("  " + time(passage.atMs()) + " from " + passage.from().value() + " to "
                     + passage.to().value() + ", behind " + passage.behindMs() + " ms, outdated queries "
                     + passage.outdated());
--- a/tool/src/main/java/tallyweir/tool/FleetCapsCommand.java
+++ b/tool/src/main/java/tallyweir/tool/FleetCapsCommand.java
@@ -34,7 +34,7 @@
 
     private int print(FleetAudit audit) {
         long behind = audit.servers().stream()
-                .filter(server -> server.acting().before(audit.inForce()))
+                .filter(server -> server.acting().isBefore(audit.inForce()))
                 .count();
         PrintWriter out = spec.commandLine().getOut();
         out.println("revision " + audit.inForce().value() + ", " + behind + " servers under an earlier one");
--- a/tool/src/main/java/tallyweir/tool/FleetChange.java
+++ b/tool/src/main/java/tallyweir/tool/FleetChange.java
@@ -57,7 +57,7 @@
     private RevisionId send(RatisFleetClient client, Command command, long until) throws InterruptedException {
         boolean toldToWait = false;
         while (true) {
-            Answer answer = client.ask(command);
+            Answer answer = client.request(command);
             long waitMs;
             if (answer instanceof Answer.Done done) {
                 return done.revision();
@@ -68,7 +68,7 @@
                     toldToWait = true;
                 }
             } else if (answer instanceof Answer.Refused refused) {
-                waitMs = againAfter(refused.why(), until);
+                waitMs = againAfter(refused.fault(), until);
             } else {
                 throw new IllegalStateException("no answer to a change: " + answer);
             }
@@ -81,9 +81,9 @@
 
     /** Only a queue that is full is worth another try. */
     private static long againAfter(Fault why, long until) {
-        if (why instanceof Fault.QueueFull full && System.nanoTime() + full.againMs() * 1_000_000L < until) {
-            return full.againMs();
+        if (why instanceof Fault.QueueFull full && System.nanoTime() + full.retryAfterMs() * 1_000_000L < until) {
+            return full.retryAfterMs();
         }
-        throw why.thrown();
+        throw why.toException();
     }
 }
--- a/tool/src/main/java/tallyweir/tool/FleetDrill.java
+++ b/tool/src/main/java/tallyweir/tool/FleetDrill.java
@@ -163,14 +163,14 @@
             }
             case STOP_SHORT -> stop(at, chance.nextInt(100, LEASE_MS / 2));
             case STOP_LONG -> stop(at, 3 * LEASE_MS + chance.nextInt(LEASE_MS));
-            case RESET -> cut(stage.around(at), at, StandRelay::cut, store, chance);
-            case SILENCE -> cut(stage.around(at), at, r -> r.hold(true, true), store, chance);
-            case ONE_WAY -> cut(stage.around(at), at, r -> r.hold(true, false), store, chance);
+            case RESET -> cut(stage.around(at), at, StandRelay::resetAll, store, chance);
+            case SILENCE -> cut(stage.around(at), at, r -> r.stall(true, true), store, chance);
+            case ONE_WAY -> cut(stage.around(at), at, r -> r.stall(true, false), store, chance);
             case NO_MAJORITY -> {
                 cuts++;
-                stage.all().forEach(StandRelay::cut);
+                stage.all().forEach(StandRelay::resetAll);
                 TimeUnit.MILLISECONDS.sleep(LEASE_MS + chance.nextInt(LEASE_MS));
-                stage.all().forEach(StandRelay::mend);
+                stage.all().forEach(StandRelay::endFaults);
             }
             case ROLLBACK -> {
                 List<Long> all = new ArrayList<>(acknowledged.keySet());
@@ -204,7 +204,7 @@
         around.forEach(how::apply);
         TimeUnit.MILLISECONDS.sleep(chance.nextInt(100, 2 * LEASE_MS));
         publish(store);
-        around.forEach(StandRelay::mend);
+        around.forEach(StandRelay::endFaults);
     }
 
     // ---- operators
@@ -278,7 +278,7 @@
                         String job = stage.job();
                         try (StandSidecar s = new StandSidecar(p.port())) {
                             asked.add(job);
-                            history.add(History.What.ASKED, "m" + job, job, "");
+                            history.add(History.EventType.REQUESTED, "m" + job, job, "");
                             int status =
                                     FleetStage.ask(s, job, tenant, ANSWER_MS).status();
                             if (status == 200) {
--- a/tool/src/main/java/tallyweir/tool/FleetExploreCommand.java
+++ b/tool/src/main/java/tallyweir/tool/FleetExploreCommand.java
@@ -33,32 +33,32 @@
 
     @Override
     public Integer call() {
-        if (without != null && !Explorer.guards().containsKey(without)) {
+        if (without != null && !Explorer.scenesByGuard().containsKey(without)) {
             throw new ParameterException(spec.commandLine(), without + " is not of this check");
         }
         return without != null ? one() : all();
     }
 
     private int one() {
-        Search.Seen seen = Explorer.explore(Explorer.guards().get(without), EnumSet.of(without), most);
-        String found = seen.wrong().isEmpty() ? "nothing wrong" : seen.wrong().get(0);
+        Search.SearchResult seen = Explorer.explore(Explorer.scenesByGuard().get(without), EnumSet.of(without), most);
+        String found = seen.violations().isEmpty() ? "nothing wrong" : seen.violations().get(0);
         out().println("without " + without + ": " + found);
-        return seen.wrong().isEmpty() ? 0 : 1;
+        return seen.violations().isEmpty() ? 0 : 1;
     }
 
     private int all() {
         boolean good = true;
         for (Explorer.Scene scene : Explorer.Scene.values()) {
-            Search.Seen seen = Explorer.explore(scene, Set.of(), most);
-            out().println(scene + ": states " + seen.states() + ", steps " + seen.steps() + ", ends " + seen.ends()
-                    + ", wrong " + seen.wrong());
-            good &= seen.wrong().isEmpty();
+            Search.SearchResult seen = Explorer.explore(scene, Set.of(), most);
+            out().println(scene + ": states " + seen.states() + ", steps " + seen.steps() + ", ends " + seen.quiescentStates()
+                    + ", wrong " + seen.violations());
+            good &= seen.violations().isEmpty();
         }
-        for (Map.Entry<Guard, Explorer.Scene> guard : Explorer.guards().entrySet()) {
-            Search.Seen seen = Explorer.explore(guard.getValue(), EnumSet.of(guard.getKey()), most);
-            boolean missed = !seen.wrong().isEmpty() && !seen.wrong().get(0).startsWith("given up");
+        for (Map.Entry<Guard, Explorer.Scene> guard : Explorer.scenesByGuard().entrySet()) {
+            Search.SearchResult seen = Explorer.explore(guard.getValue(), EnumSet.of(guard.getKey()), most);
+            boolean missed = !seen.violations().isEmpty() && !seen.violations().get(0).startsWith("given up");
             out().println("without " + guard.getKey() + ": "
-                    + (missed ? seen.wrong().get(0) : "NOT MISSED"));
+                    + (missed ? seen.violations().get(0) : "NOT MISSED"));
             good &= missed;
         }
         out().println("fleet explore: " + (good ? "good" : "BAD"));
--- a/tool/src/main/java/tallyweir/tool/FleetOptions.java
+++ b/tool/src/main/java/tallyweir/tool/FleetOptions.java
@@ -33,8 +33,8 @@
 
     /** Prints what is the matter and what can be done; the exit code goes by the kind of fault. */
     static int print(CommandSpec spec, Fault fault) {
-        spec.commandLine().getErr().println("tallyweir: " + fault.what());
+        spec.commandLine().getErr().println("tallyweir: " + fault.description());
         spec.commandLine().getErr().println("what to do: " + fault.advice());
-        return fault.exit();
+        return fault.exitCode();
     }
 }
--- a/tool/src/main/java/tallyweir/tool/FleetStage.java
+++ b/tool/src/main/java/tallyweir/tool/FleetStage.java
@@ -51,22 +51,22 @@
             stores.add(new StandStore());
         }
         for (int i = 0; i < VOTERS; i++) {
-            try (ServerSocket s = new ServerSocket(0, 1, StandRelay.pair(i, i))) {
+            try (ServerSocket s = new ServerSocket(0, 1, StandRelay.pairAddress(i, i))) {
                 voters.add("\"v" + i + "\":\"v" + i + ":" + s.getLocalPort() + "\"");
                 for (int from = 0; from < size; from++) {
                     if (from != i) {
                         relays.put(
                                 from + ">" + i,
                                 new StandRelay(
-                                        new InetSocketAddress(StandRelay.pair(from, i), s.getLocalPort()),
-                                        new InetSocketAddress(StandRelay.pair(i, i), s.getLocalPort())));
+                                        new InetSocketAddress(StandRelay.pairAddress(from, i), s.getLocalPort()),
+                                        new InetSocketAddress(StandRelay.pairAddress(i, i), s.getLocalPort())));
                     }
                 }
             }
         }
         for (int i = 0; i < size; i++) {
             StandKernel kernel = new StandKernel(history, CORES, i, chance -> WORK_MS * 1_000);
-            kernel.runsCall(calls);
+            kernel.setCallsPerRun(calls);
             kernels.add(kernel);
             Path at = Files.createDirectories(dir.resolve("v" + i));
             Files.writeString(
@@ -100,7 +100,7 @@
     private static String hosts(int from) throws IOException {
         StringBuilder all = new StringBuilder("127.0.0.1 localhost\n");
         for (int to = 0; to < VOTERS; to++) {
-            all.append(StandRelay.pair(from < 0 ? to : from, to).getHostAddress())
+            all.append(StandRelay.pairAddress(from < 0 ? to : from, to).getHostAddress())
                     .append(" v")
                     .append(to)
                     .append('\n');
@@ -146,7 +146,7 @@
     List<Integer> storesOf(String job) {
         List<Integer> at = new ArrayList<>();
         for (int i = 0; i < stores.size(); i++) {
-            if (stores.get(i).called(job)) {
+            if (stores.get(i).hasCalled(job)) {
                 at.add(i);
             }
         }
@@ -161,7 +161,7 @@
         Map<String, String> p = Program.parameters("m" + job, job, 1_500);
         p.put("SCRIPT_NAME", "/do/" + workload);
         p.put("HTTP_ACCOUNT", tenant);
-        return of.ask(p, "m" + job, patienceMs);
+        return of.exchange(p, "m" + job, patienceMs);
     }
 
     /** A file with a revision that routes each workload by an entry of its own to the same store, and has so many other caps. */
--- a/tool/src/main/java/tallyweir/tool/ResultsBench.java
+++ b/tool/src/main/java/tallyweir/tool/ResultsBench.java
@@ -228,7 +228,7 @@
             }
             long meant = (long) next;
             links.get((int) (n % LINKS))
-                    .ask(
+                    .send(
                             Program.parameters(marks + n, String.format("%016x", chance.nextLong()), PATIENCE_MS),
                             marks + n + " " + "x".repeat(RESULT_BYTES),
                             a -> {
@@ -243,10 +243,10 @@
                             });
         }
         long last = System.nanoTime() + LAST_NS;
-        while (System.nanoTime() < last && links.stream().anyMatch(l -> l.waiting() > 0)) {
+        while (System.nanoTime() < last && links.stream().anyMatch(l -> l.pendingCount() > 0)) {
             TimeUnit.MILLISECONDS.sleep(5);
         }
-        long lost = links.stream().mapToLong(StandStream::waiting).sum() + became[3].get();
+        long lost = links.stream().mapToLong(StandStream::pendingCount).sum() + became[3].get();
         Map<String, Long> counters = counters(p);
         for (StandStream l : links) {
             l.close();
@@ -263,7 +263,7 @@
     private static Map<String, Long> counters(Program p) throws IOException {
         Map<String, Long> all = new LinkedHashMap<>();
         try (StandSidecar s = new StandSidecar(p.port())) {
-            s.ask(Map.of("REQUEST_METHOD", "GET", "SCRIPT_NAME", "/counters"), "", 2_000)
+            s.exchange(Map.of("REQUEST_METHOD", "GET", "SCRIPT_NAME", "/counters"), "", 2_000)
                     .body()
                     .lines()
                     .forEach(l -> {
@@ -281,7 +281,7 @@
     private void start() throws Exception {
         clear();
         Map<String, Object> of = new LinkedHashMap<>();
-        long until = FileStore.clock() + 36_000_000L;
+        long until = FileStore.currentTime() + 36_000_000L;
         byte[] result = "x".repeat(RESULT_BYTES).getBytes();
         try (FileStore s = open()) {
             for (int n = 0; n < marks; ) {
@@ -303,7 +303,7 @@
         long before = DurableBench.heap();
         try (FileStore s = open()) {
             of.put("heap_bytes_a_mark", round((double) (DurableBench.heap() - before) / marks));
-            of.put("marks", s.store().keys());
+            of.put("marks", s.store().keyCount());
         }
         int heap = 48 + (int) (marks * 160L >> 20); // an index is laid out anew while the old one is still read
         try (StandKernel kernel = kernel(seed);
@@ -313,7 +313,7 @@
             long asked = System.nanoTime();
             try (StandSidecar s = new StandSidecar(p.port())) {
                 int tries = 1; // until the kernel's link is up all are deferred
-                while (s.ask(Program.parameters("s7", "00000000000000aa", PATIENCE_MS), "s7 body", 5_000)
+                while (s.exchange(Program.parameters("s7", "00000000000000aa", PATIENCE_MS), "s7 body", 5_000)
                                 .status()
                         != 200) {
                     if (++tries > 1_000) {
@@ -370,7 +370,7 @@
                     while (System.nanoTime() < end) {
                         String mark = "s" + chance.nextInt(marks);
                         long began = System.nanoTime();
-                        StandSidecar.Answer a = s.ask(
+                        StandSidecar.Answer a = s.exchange(
                                 Program.parameters(mark, String.format("%016x", chance.nextLong()), PATIENCE_MS),
                                 mark + " body",
                                 5_000);
--- a/tool/src/main/java/tallyweir/tool/ResultsCommand.java
+++ b/tool/src/main/java/tallyweir/tool/ResultsCommand.java
@@ -63,7 +63,7 @@
         }
     }
 
-    private static String kind(ResultStore.Kept k) {
+    private static String kind(ResultStore.StoredResult k) {
         return k.known() == null ? "intent" : k.known().name().toLowerCase();
     }
 
@@ -86,7 +86,7 @@
             }
             long[] bytes = {0};
             each(store, DurableResultStore.RESULTS, f -> {
-                ResultStore.Kept k = DurableResultStore.of(f);
+                ResultStore.StoredResult k = DurableResultStore.decode(f);
                 all.merge(k == null ? "not ours" : kind(k), 1L, (a, b) -> (Long) a + (Long) b);
                 bytes[0] += 29 + f.key().length + f.value().length;
             });
@@ -115,20 +115,20 @@
 
         @Override
         public Integer call() throws IOException {
-            byte[] mark = DurableResultStore.key(DurableResultStore.mark(workload, key));
+            byte[] mark = DurableResultStore.storeKey(DurableResultStore.idempotencyKey(workload, key));
             Found f = store.look(d -> d.get(DurableResultStore.RESULTS, mark), adminSocket -> {
                 Found[] there = new Found[1];
-                AdminSocket.ask(
+                AdminSocket.sendRequest(
                         adminSocket,
                         List.of(
                                 "get",
                                 DurableResultStore.RESULTS,
                                 HexFormat.of().formatHex(mark)),
-                        line -> there[0] = AdminCommands.record(line),
+                        line -> there[0] = AdminCommands.parseRecord(line),
                         n -> {});
                 return there[0];
             });
-            ResultStore.Kept k = f == null ? null : DurableResultStore.of(f);
+            ResultStore.StoredResult k = f == null ? null : DurableResultStore.decode(f);
             if (k == null) {
                 spec.commandLine().getErr().println("tallyweir: nothing is kept of " + key);
                 return 1;
@@ -138,12 +138,12 @@
         }
     }
 
-    private static Map<String, Object> fields(ResultStore.Kept k) {
+    private static Map<String, Object> fields(ResultStore.StoredResult k) {
         Map<String, Object> all = new LinkedHashMap<>();
         all.put("outcome", kind(k));
         all.put("request", k.job().value());
-        all.put("written", at(k.written()));
-        all.put("until", at(k.until()));
+        all.put("written", at(k.writtenAt()));
+        all.put("until", at(k.expiresAt()));
         all.put("result_bytes", k.result() == null ? 0 : k.result().length);
         return all;
     }
@@ -162,10 +162,10 @@
                     return null;
                 },
                 adminSocket -> {
-                    AdminSocket.ask(
+                    AdminSocket.sendRequest(
                             adminSocket,
                             List.of("list", namespace, "-", "-", "-", "-", "-"),
-                            line -> to.accept(AdminCommands.record(line)),
+                            line -> to.accept(AdminCommands.parseRecord(line)),
                             n -> {});
                     return null;
                 });
@@ -194,11 +194,11 @@
                 }
             }
             each(store, DurableResultStore.RESULTS, f -> {
-                ResultStore.Kept k = DurableResultStore.of(f);
+                ResultStore.StoredResult k = DurableResultStore.decode(f);
                 if (k != null && (outcomes.isEmpty() || outcomes.contains(kind(k)))) {
                     Map<String, Object> all = new LinkedHashMap<>();
-                    all.put("workload", k.mark().workload().value());
-                    all.put("mark", k.mark().stamp().value());
+                    all.put("workload", k.key().workload().value());
+                    all.put("mark", k.key().stamp().value());
                     all.putAll(fields(k));
                     if (k.result() != null) {
                         all.put("result_hex", HexFormat.of().formatHex(k.result()));
@@ -233,9 +233,9 @@
         int settle(Settling.As as, byte[] result) throws IOException {
             store.change(
                     List.of(DurableResultStore.RESULTS, Settling.AUDIT),
-                    (d, c) -> Settling.settle(d, c, DurableResultStore.mark(workload, key), as, result, by, why),
+                    (d, c) -> Settling.settle(d, c, DurableResultStore.idempotencyKey(workload, key), as, result, by, why),
                     adminSocket -> {
-                        AdminSocket.ask(
+                        AdminSocket.sendRequest(
                                 adminSocket,
                                 List.of(
                                         "settle",
@@ -319,12 +319,12 @@
                 Settling.Change c = Settling.change(f);
                 if (c != null) {
                     Map<String, Object> all = new LinkedHashMap<>();
-                    all.put("at", at(c.at()));
-                    all.put("workload", c.mark().workload().value());
-                    all.put("mark", c.mark().stamp().value());
+                    all.put("at", at(c.changedAt()));
+                    all.put("workload", c.key().workload().value());
+                    all.put("mark", c.key().stamp().value());
                     all.put("as", c.as().toLowerCase());
-                    all.put("by", c.by());
-                    all.put("why", c.why());
+                    all.put("by", c.operator());
+                    all.put("why", c.reason());
                     spec.commandLine()
                             .getOut()
                             .println(
@@ -400,15 +400,15 @@
             }
             Set<Marks.Guard> off = EnumSet.noneOf(Marks.Guard.class);
             off.addAll(Set.of(without));
-            Search.Seen seen = Explorer.explore(copies, off, 3_000_000);
-            seen.wrong().stream()
+            Search.SearchResult seen = Explorer.explore(copies, off, 3_000_000);
+            seen.violations().stream()
                     .limit(5)
                     .forEach(w -> spec.commandLine().getOut().println("wrong: " + w));
             spec.commandLine()
                     .getOut()
                     .println("results explore: states " + seen.states() + ", steps " + seen.steps() + ", ends "
-                            + seen.ends() + ", wrong " + seen.wrong().size());
-            return seen.wrong().isEmpty() ? 0 : 1;
+                            + seen.quiescentStates() + ", wrong " + seen.violations().size());
+            return seen.violations().isEmpty() ? 0 : 1;
         }
     }
 }
--- a/tool/src/main/java/tallyweir/tool/ResultsDrill.java
+++ b/tool/src/main/java/tallyweir/tool/ResultsDrill.java
@@ -119,8 +119,8 @@
         SplittableRandom chance = new SplittableRandom(seed);
         try (StandKernel kernel = new StandKernel(history, CORES, chance.nextLong());
                 StandKernel other = new StandKernel(history, CORES, chance.nextLong())) {
-            kernel.resultsUpTo(RESULT_BYTES);
-            other.resultsUpTo(RESULT_BYTES);
+            kernel.setMaxExtraResultBytes(RESULT_BYTES);
+            other.setMaxExtraResultBytes(RESULT_BYTES);
             kernels[0] = kernel;
             kernels[1] = other;
             Files.writeString(
@@ -194,9 +194,9 @@
 
     private void play(Event e, SplittableRandom chance) throws IOException, InterruptedException {
         switch (e) {
-            case KERNEL_KILLED -> kernels[at].kill();
+            case KERNEL_KILLED -> kernels[at].killAndRestart();
             case KILLED -> restart(() -> {});
-            case BOTH_KILLED -> restart(() -> kernels[at].kill());
+            case BOTH_KILLED -> restart(() -> kernels[at].killAndRestart());
             case DAMAGED -> restart(() -> damage(chance));
             case TOLD_TO_LEAVE -> {
                 program.leave(STOP_MS + 50);
@@ -271,18 +271,18 @@
             try (Durable d = new Durable(
                             new FileDisk(dir.resolve("store/first")),
                             new FileDisk(dir.resolve("store/second")),
-                            Both.IN_TURN,
+                            Both.SEQUENTIAL,
                             1 << 20,
                             4_096,
                             0.5,
                             0,
                             List.of(),
                             seed,
-                            FileStore::clock,
+                            FileStore::currentTime,
                             Runnable::run,
                             Set.of());
                     View view = d.view()) {
-                filled = view.bytes(DurableResultStore.RESULTS) / (double) ((long) BOUND_MB << 20);
+                filled = view.usedBytes(DurableResultStore.RESULTS) / (double) ((long) BOUND_MB << 20);
                 over = filled > 1 ? 1 : 0;
             }
         }
@@ -333,20 +333,20 @@
         String mark = "m" + (again ? known - 1 - chance.nextInt(recent) : marks.getAndIncrement());
         String job = String.format("%08x%08x", chance.nextInt(), requests.incrementAndGet());
         Map<String, String> of = Program.parameters(mark, job, PATIENCE);
-        history.add(History.What.ASKED, mark, job, "");
+        history.add(History.EventType.REQUESTED, mark, job, "");
         long asked = System.nanoTime();
-        StandSidecar.Answer a = s.ask(of, mark + " body", PATIENCE + SLACK);
+        StandSidecar.Answer a = s.exchange(of, mark + " body", PATIENCE + SLACK);
         boolean wasUp = p.listening();
-        History.What what = switch (a.status()) {
-            case 200 -> History.What.HANDLED;
-            case 429, 503 -> History.What.DEFERRED;
-            case 0 -> History.What.BROKEN;
-            case -1 -> wasUp ? History.What.NOTHING : History.What.BROKEN;
-            default -> History.What.ERRORED;
+        History.EventType what = switch (a.status()) {
+            case 200 -> History.EventType.HANDLED;
+            case 429, 503 -> History.EventType.DEFERRED;
+            case 0 -> History.EventType.DISCONNECTED;
+            case -1 -> wasUp ? History.EventType.NO_ANSWER : History.EventType.DISCONNECTED;
+            default -> History.EventType.ERRORED;
         };
         boolean atOnce = System.nanoTime() - asked < PATIENCE / 2 * 1_000_000L;
-        history.add(what, mark, job, what == History.What.ERRORED ? atOnce ? "at once" : "late" : a.body());
-        if (what == History.What.DEFERRED) {
+        history.add(what, mark, job, what == History.EventType.ERRORED ? atOnce ? "at once" : "late" : a.body());
+        if (what == History.EventType.DEFERRED) {
             pause(20);
         }
         return a.status() > 0;
--- a/tool/src/main/java/tallyweir/tool/RevisionFollower.java
+++ b/tool/src/main/java/tallyweir/tool/RevisionFollower.java
@@ -33,7 +33,7 @@
             FleetAudit audit = client.audit();
             FleetAudit.RevisionAudit revision = AuditReader.revision(audit, id);
             if (revision.fate() == Revision.Fate.TURNED_DOWN) {
-                throw new Fault.CannotTake(id.value(), revision.reasons()).thrown();
+                throw new Fault.CannotTake(id.value(), revision.reasons()).toException();
             }
             boolean open = revision.fate() == Revision.Fate.PROPOSED;
             Progress progress = Progress.of(audit, id);
@@ -67,7 +67,7 @@
                     shutOut++;
                 } else if (server.silent() || server.odd()) {
                     unknown++;
-                } else if (server.acting().before(id)) {
+                } else if (server.acting().isBefore(id)) {
                     behind++;
                 } else {
                     acted++;
--- a/tool/src/main/java/tallyweir/tool/StoreOptions.java
+++ b/tool/src/main/java/tallyweir/tool/StoreOptions.java
@@ -53,12 +53,12 @@
     }
 
     private Path first(Operators o) {
-        return o != null ? o.first() : which.directories.dir.resolve("first");
+        return o != null ? o.firstCopyDir() : which.directories.dir.resolve("first");
     }
 
     private Path second(Operators o) {
         return o != null
-                ? o.second()
+                ? o.secondCopyDir()
                 : which.directories.second != null ? which.directories.second : which.directories.dir.resolve("second");
     }
 
@@ -78,7 +78,7 @@
             return here.with(d);
         } catch (Refused r) {
             Operators o = which.settings == null ? null : Operators.read(which.settings);
-            if (r.why() != Refused.Cause.IN_USE || !AdminSocket.answers(adminSocket(o))) {
+            if (r.reason() != Refused.Cause.IN_USE || !AdminSocket.isListening(adminSocket(o))) {
                 throw r;
             }
             return there.at(adminSocket(o));
@@ -107,7 +107,7 @@
                 Committer c = new Committer(d, 64 << 20, 0, 1)) {
             here.with(d, c);
         } catch (Refused r) {
-            if (r.why() != Refused.Cause.IN_USE || !AdminSocket.answers(adminSocket(o))) {
+            if (r.reason() != Refused.Cause.IN_USE || !AdminSocket.isListening(adminSocket(o))) {
                 throw r;
             }
             there.at(adminSocket(o));
@@ -134,7 +134,7 @@
 
     private Durable open(boolean look, List<Namespace> spaces) throws IOException {
         Operators o = which.settings == null ? null : Operators.read(which.settings);
-        if (o != null && !o.hasDurable()) {
+        if (o != null && !o.hasDurableStore()) {
             throw new IOException(which.settings + " has no durable part: the store is off there");
         }
         Path first = first(o);
@@ -147,14 +147,14 @@
         return new Durable(
                 look ? new ReadOnly(one) : one,
                 look ? new ReadOnly(other) : other,
-                Both.IN_TURN,
+                Both.SEQUENTIAL,
                 o == null ? 64 << 20 : o.segmentBytes(),
-                o == null ? which.directories.sector : o.sector(),
+                o == null ? which.directories.sector : o.sectorBytes(),
                 o == null ? 0.5 : o.deadShare(),
                 0,
                 spaces != null ? spaces : o == null ? List.of() : o.namespaces(),
                 ThreadLocalRandom.current().nextLong(),
-                FileStore::clock,
+                FileStore::currentTime,
                 Runnable::run,
                 Set.of());
     }
--- a/tool/src/main/java/tallyweir/tool/bench/BareResponder.java
+++ b/tool/src/main/java/tallyweir/tool/bench/BareResponder.java
@@ -74,12 +74,12 @@
         }
 
         @Override
-        public boolean begun(RequestId id) {
+        public boolean onBegin(RequestId id) {
             return true;
         }
 
         @Override
-        public void request(RequestId id, Fields fields, byte[] body, boolean keepConnection) {
+        public void onRequest(RequestId id, Fields fields, byte[] body, boolean keepConnection) {
             runPart(id, RUN_PARTS);
         }
 
@@ -89,7 +89,7 @@
         }
 
         private synchronized void answer(RequestId id) {
-            reader.done(id);
+            reader.release(id);
             write(Records.answer(id, 200, "", RESULT));
         }
 
@@ -102,24 +102,24 @@
         }
 
         @Override
-        public void refused(RequestId id, Reader.Refusal why, boolean keepConnection) {
-            reader.done(id);
+        public void onRefused(RequestId id, Reader.Refusal why, boolean keepConnection) {
+            reader.release(id);
             write(Records.overloaded(id));
         }
 
         @Override
-        public void aborted(RequestId id) {
-            reader.done(id);
-            write(Records.ended(id));
+        public void onAbort(RequestId id) {
+            reader.release(id);
+            write(Records.endWithoutAnswer(id));
         }
 
         @Override
-        public void reply(byte[] record) {
+        public void onManagementReply(byte[] record) {
             write(record);
         }
 
         @Override
-        public void bad(String why) {
+        public void onInvalidStream(String why) {
             reader.stop();
         }
     }
--- a/tool/src/main/java/tallyweir/tool/bench/ConnectionBench.java
+++ b/tool/src/main/java/tallyweir/tool/bench/ConnectionBench.java
@@ -100,7 +100,7 @@
 
     /** Callers' connections that a server holds before it closes others for a new one. */
     static int places(int sockets) {
-        int accepted = Backend.callersMost(sockets);
+        int accepted = Backend.maxCallerConnections(sockets);
         return accepted - accepted / PLACES_APART;
     }
 
--- a/tool/src/main/java/tallyweir/tool/bench/ServerProcess.java
+++ b/tool/src/main/java/tallyweir/tool/bench/ServerProcess.java
@@ -63,7 +63,7 @@
             try (StandSidecar sidecar = new StandSidecar(port())) {
                 Arrival arrival = new Arrival(0, 0, probe);
                 StandSidecar.Answer answer =
-                        sidecar.ask(SidecarTarget.parameters(arrival, 0), "probe " + probe, PROBE_MILLIS);
+                        sidecar.exchange(SidecarTarget.parameters(arrival, 0), "probe " + probe, PROBE_MILLIS);
                 if (QueryOutcome.of(answer.status()) == QueryOutcome.HANDLED) {
                     return;
                 }
@@ -78,7 +78,7 @@
         Map<String, Long> counters = new LinkedHashMap<>();
         try (StandSidecar sidecar = new StandSidecar(port())) {
             Map<String, String> request = Map.of("REQUEST_METHOD", "GET", "SCRIPT_NAME", "/counters");
-            String text = sidecar.ask(request, "", PROBE_MILLIS).body();
+            String text = sidecar.exchange(request, "", PROBE_MILLIS).body();
             for (String line : text.split("\n")) {
                 String[] words = line.strip().split(" ");
                 if (words.length == 2) {
--- a/tool/src/main/java/tallyweir/tool/bench/SidecarTarget.java
+++ b/tool/src/main/java/tallyweir/tool/bench/SidecarTarget.java
@@ -29,11 +29,11 @@
         parameters.put(Fields.METHOD, "POST");
         parameters.put(Fields.PATH, "/do/" + ServerConfig.QUERY_WORKLOAD);
         parameters.put(Fields.ID, String.format("%016x", arrival.requestId()));
-        parameters.put(Fields.RECEIVED, Long.toString(System.currentTimeMillis()));
+        parameters.put(Fields.RECEIVED_AT, Long.toString(System.currentTimeMillis()));
         parameters.put(Fields.CALLER, Integer.toString(sidecar));
         parameters.put(Fields.TENANT, ServerConfig.tenant(arrival.tenant()));
-        parameters.put(Fields.PATIENCE, Integer.toString(PATIENCE_MILLIS));
-        parameters.put(Fields.SIZE, "4");
+        parameters.put(Fields.TIMEOUT_MS, Integer.toString(PATIENCE_MILLIS));
+        parameters.put(Fields.SIZE_KB, "4");
         parameters.put(Fields.RANK, "0.5");
         return parameters;
     }
@@ -44,7 +44,7 @@
         next = (next + 1) % connections.size();
         connections
                 .get(sidecar)
-                .ask(parameters(arrival, sidecar), BODY, answer -> whenEnded.accept(QueryOutcome.of(answer.status())));
+                .send(parameters(arrival, sidecar), BODY, answer -> whenEnded.accept(QueryOutcome.of(answer.status())));
     }
 
     @Override
--- a/tool/src/main/java/tallyweir/tool/bench/StandInPeers.java
+++ b/tool/src/main/java/tallyweir/tool/bench/StandInPeers.java
@@ -28,7 +28,7 @@
 
     StandInPeers(long seed) throws IOException {
         kernel = new StandKernel(null, ServerConfig.CORES, seed, random -> RUN_PART_MICROS);
-        kernel.runsCall(CALLS_PER_RUN);
+        kernel.setCallsPerRun(CALLS_PER_RUN);
         for (int i = 0; i < STORES; i++) {
             stores.add(new StandStore());
         }
--- a/tool/src/main/java/tallyweir/tool/scale/DrawnLoad.java
+++ b/tool/src/main/java/tallyweir/tool/scale/DrawnLoad.java
@@ -50,14 +50,14 @@
     private void enter() {
         ConnectionId connection = new ConnectionId(connections++);
         TenantId tenant = active.get(random.nextInt(active.size()));
-        if (gate.enter(connection, tenant)) {
+        if (gate.admit(connection, tenant)) {
             held.add(new Held(connection, tenant));
         }
     }
 
     private void leave() {
         Held gone = held.remove(random.nextInt(held.size()));
-        gate.over(gone.connection, gone.tenant);
-        gate.closed(gone.connection);
+        gate.onQueryEnd(gone.connection, gone.tenant);
+        gate.onConnectionClosed(gone.connection);
     }
 }
--- a/tool/src/main/java/tallyweir/tool/scale/EntryOperator.java
+++ b/tool/src/main/java/tallyweir/tool/scale/EntryOperator.java
@@ -31,7 +31,7 @@
 
     @Override
     public Command found() {
-        return new Command.Found(ScaleSettings.FLEET, ScaleSettings.fleet(size.servers()));
+        return new Command.CreateFleet(ScaleSettings.FLEET, ScaleSettings.fleet(size.servers()));
     }
 
     @Override
--- a/tool/src/main/java/tallyweir/tool/scale/HollowServer.java
+++ b/tool/src/main/java/tallyweir/tool/scale/HollowServer.java
@@ -73,7 +73,7 @@
 
     @Override
     public long next() {
-        return Math.min(member.next(), gate.next());
+        return Math.min(member.nextDeadline(), gate.nextReleaseAt());
     }
 
     @Override
@@ -83,7 +83,7 @@
 
     @Override
     public long acting() {
-        return member.acting().value();
+        return member.applied().value();
     }
 
     @Override
@@ -93,7 +93,7 @@
 
     @Override
     public int connections(TenantId tenant) {
-        return gate.used(tenant);
+        return gate.usedConnections(tenant);
     }
 
     @Override
@@ -104,8 +104,8 @@
     // ---- what the member asks for
 
     @Override
-    public Ended ended() {
-        return new Ended(0, 0);
+    public QueryCounts endedQueries() {
+        return new QueryCounts(0, 0);
     }
 
     @Override
@@ -119,14 +119,14 @@
     }
 
     private void send(Command command) {
-        client.send(command, deciding, this::hear, member::failed);
+        client.send(command, deciding, this::hear, member::requestFailed);
     }
 
     private void hear(Answer answer) {
         if (answer instanceof Answer.Done || answer instanceof Answer.Waiting) {
-            member.failed(); // no answer to what a server asks
+            member.requestFailed(); // no answer to what a server asks
         } else {
-            member.hear(answer);
+            member.onAnswer(answer);
         }
     }
 
@@ -136,7 +136,7 @@
     }
 
     @Override
-    public void act(RevisionRoot revision) {
+    public void apply(RevisionRoot revision) {
         if (fetched.root().equals(revision.root())) {
             take(revision);
             return;
@@ -145,7 +145,7 @@
             if (reason.isEmpty()) {
                 take(revision);
             } else {
-                member.cannotAct(revision.id());
+                member.applyFailed(revision.id());
             }
         });
     }
@@ -159,18 +159,18 @@
                     fetched = table;
                     then.accept("");
                 },
-                fault -> then.accept(fault.what()));
+                fault -> then.accept(fault.description()));
     }
 
     private void take(RevisionRoot revision) {
         Table table = fetched;
         gate.caps(new TableCaps(table));
         Digest root = table.root();
-        deciding.execute(() -> member.acting(revision.id(), root, 0));
+        deciding.execute(() -> member.applied(revision.id(), root, 0));
     }
 
     @Override
-    public void standBack(boolean back) {
+    public void setWithdrawn(boolean back) {
         standsBack = back;
     }
 }
--- a/tool/src/main/java/tallyweir/tool/scale/LiveOperator.java
+++ b/tool/src/main/java/tallyweir/tool/scale/LiveOperator.java
@@ -26,7 +26,7 @@
 
     /** Asks for a change that brings the first revision into force; true once it is. */
     boolean publish(OperatorUnderTest.Change first) {
-        return first.hear(client.ask(first.command())) == OperatorUnderTest.Outcome.TAKEN;
+        return first.hear(client.request(first.command())) == OperatorUnderTest.Outcome.TAKEN;
     }
 
     /** Asks for changes from now on until then. */
@@ -42,7 +42,7 @@
 
     /** An answer that did not come is as good as one that says to wait: the same command again tells. */
     private void ask(OperatorUnderTest.Change change, long askedAt) {
-        if (change.hear(client.ask(change.command())) == OperatorUnderTest.Outcome.TAKEN) {
+        if (change.hear(client.request(change.command())) == OperatorUnderTest.Outcome.TAKEN) {
             waiting.remove(Long.valueOf(askedAt));
             taken.add(new Taken(askedAt, change.revision()));
             lastRevision = Math.max(lastRevision, change.revision());
--- a/tool/src/main/java/tallyweir/tool/scale/ReplicaVoter.java
+++ b/tool/src/main/java/tallyweir/tool/scale/ReplicaVoter.java
@@ -24,12 +24,12 @@
 
     @Override
     public byte[] read(byte[] question) throws IOException {
-        return replica.reply(question);
+        return replica.read(question);
     }
 
     @Override
     public long nextDue() {
-        return replica.state().nextDue();
+        return replica.state().nextDeadline();
     }
 
     @Override
--- a/tool/src/main/java/tallyweir/tool/scale/StateFleet.java
+++ b/tool/src/main/java/tallyweir/tool/scale/StateFleet.java
@@ -83,7 +83,7 @@
     }
 
     private void foundWithFirstRevision() {
-        apply(new Command.Found(ScaleSettings.FLEET, ScaleSettings.fleet(size.servers())));
+        apply(new Command.CreateFleet(ScaleSettings.FLEET, ScaleSettings.fleet(size.servers())));
         List<Change> first = RevisionEntries.first(size);
         done(apply(new Command.Publish(next(), RevisionId.NONE, first, BY, "the first revision", true)));
     }
@@ -134,7 +134,7 @@
         if (!(timed.answer instanceof Answer.Joined joined)) {
             throw new IllegalStateException("a server could not join: " + timed.answer);
         }
-        incarnations.put(server, joined.as());
+        incarnations.put(server, joined.incarnation());
         numbers.put(server, 0L);
         return timed.cost;
     }
@@ -150,7 +150,7 @@
     }
 
     private static Cost told(Timed timed) {
-        if (!(timed.answer instanceof Answer.Told)) {
+        if (!(timed.answer instanceof Answer.ReportAccepted)) {
             throw new IllegalStateException("a report was turned down: " + timed.answer);
         }
         return timed.cost;
@@ -252,7 +252,7 @@
         foundWithFirstRevision();
         heapBefore = Heap.used();
         gate = new Gate(ScaleSettings.LINGER);
-        Table table = messages.fetch(Table.EMPTY, inForce(), replica::reply);
+        Table table = messages.fetch(Table.EMPTY, inForce(), replica::read);
         acting = Routes.of(table, WORKLOADS);
         gate.caps(new TableCaps(table));
     }
@@ -271,7 +271,7 @@
         long began = System.nanoTime();
         Table table = messages.fetch(acting.table(), wanted, question -> {
             long asked = System.nanoTime();
-            byte[] reply = replica.reply(question);
+            byte[] reply = replica.read(question);
             voterNanoseconds[0] += System.nanoTime() - asked;
             bytes[0] += question.length + reply.length;
             return reply;
@@ -279,8 +279,8 @@
         acting = acting.with(table, acting.table().differenceTo(table));
         gate.caps(new TableCaps(table));
         long took = System.nanoTime() - began - voterNanoseconds[0];
-        if (!acting.cannot().isEmpty()) {
-            throw new IllegalStateException("a server could not act on a revision: " + acting.cannot());
+        if (!acting.unusableReason().isEmpty()) {
+            throw new IllegalStateException("a server could not act on a revision: " + acting.unusableReason());
         }
         return new Cost(took, bytes[0]);
     }
--- a/tool/src/main/java/tallyweir/tool/scale/VoterProcess.java
+++ b/tool/src/main/java/tallyweir/tool/scale/VoterProcess.java
@@ -31,7 +31,7 @@
                         System::currentTimeMillis);
                 BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8))) {
             while (in.readLine() != null) {
-                answers.println((voter.leads() ? 1 : 0) + " " + ProcessUse.processorNanoseconds() + " "
+                answers.println((voter.isLeader() ? 1 : 0) + " " + ProcessUse.processorNanoseconds() + " "
                         + ProcessUse.residentBytes());
             }
         }
--- a/tool/src/main/java/tallyweir/tool/soak/SoakBackend.java
+++ b/tool/src/main/java/tallyweir/tool/soak/SoakBackend.java
@@ -60,10 +60,10 @@
         kernel = new StandKernel(history, CORES, seed, chance -> chance.nextInt(1, RUN_MOST_MS) * 1_000);
         for (int i = 0; i < 2; i++) {
             InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), freePort());
-            relays.add(new StandRelay(at, SteadyCaller.at(kernel.port())));
+            relays.add(new StandRelay(at, SteadyCaller.loopback(kernel.port())));
             relayPorts.add(at.getPort());
         }
-        calls = FailingCalls.in(directory);
+        calls = FailingCalls.create(directory);
         writeConfig();
         Files.writeString(
                 directory.resolve("operators.json"),
@@ -92,18 +92,18 @@
 
     /** Callers of every manner within the bounds of the protocol, and silent clients. */
     void beginCallers() {
-        InetSocketAddress at = SteadyCaller.at(program.port());
-        steady(at, 8, READS, new SteadyCaller.Manner("new connections", true, 1, 0, 10));
-        steady(at, 8, READS, new SteadyCaller.Manner("kept connections", false, 1, 0, 25));
-        steady(at, 4, READS, new SteadyCaller.Manner("in pieces", false, 4, 4, 25));
-        steady(at, 4, KEYED, new SteadyCaller.Manner("keyed", false, 1, 0, 25));
+        InetSocketAddress at = SteadyCaller.loopback(program.port());
+        steady(at, 8, READS, new SteadyCaller.Profile("new connections", true, 1, 0, 10));
+        steady(at, 8, READS, new SteadyCaller.Profile("kept connections", false, 1, 0, 25));
+        steady(at, 4, READS, new SteadyCaller.Profile("in pieces", false, 4, 4, 25));
+        steady(at, 4, KEYED, new SteadyCaller.Profile("keyed", false, 1, 0, 25));
         for (int i = 0; i < 2; i++) {
-            callers.add(new PipelinedCaller(at, new PipelinedCaller.Manner("pipelined", 8, 5, 0), READS, log));
+            callers.add(new PipelinedCaller(at, new PipelinedCaller.Profile("pipelined", 8, 5, 0), READS, log));
         }
         callers.add(new SilentClient(at, 10));
     }
 
-    private void steady(InetSocketAddress at, int number, LoadSettings settings, SteadyCaller.Manner manner) {
+    private void steady(InetSocketAddress at, int number, LoadSettings settings, SteadyCaller.Profile manner) {
         for (int i = 0; i < number; i++) {
             callers.add(new SteadyCaller(at, manner, settings, log));
         }
@@ -120,13 +120,13 @@
             case RELOAD -> reload();
             case KERNEL_BREAK -> breakLink();
             case KERNEL_HOLD -> holdLink(step.amount());
-            case WALL_STEP -> calls.stepWall(step.amount());
+            case WALL_STEP -> calls.setWallClockOffset(step.amount());
             case FOLDER_REFUSES -> refuseFolder(step.amount());
         }
     }
 
     private void fail(SoakStep step) {
-        calls.mendAll();
+        calls.restoreAll();
         begin(step.call(), step.oneIn());
     }
 
@@ -158,8 +158,8 @@
     }
 
     private void startAgain() throws IOException, InterruptedException {
-        calls.mendAll();
-        calls.stepWall(0);
+        calls.restoreAll();
+        calls.setWallClockOffset(0);
         program.start();
     }
 
@@ -178,32 +178,32 @@
     }
 
     private void breakLink() {
-        relays.forEach(StandRelay::cut);
-        relays.forEach(StandRelay::mend);
+        relays.forEach(StandRelay::resetAll);
+        relays.forEach(StandRelay::endFaults);
     }
 
     private void holdLink(int milliseconds) throws InterruptedException {
-        relays.forEach(of -> of.hold(true, true));
+        relays.forEach(of -> of.stall(true, true));
         TimeUnit.MILLISECONDS.sleep(milliseconds);
-        relays.forEach(StandRelay::mend);
+        relays.forEach(StandRelay::endFaults);
     }
 
     private void refuseFolder(int milliseconds) throws InterruptedException {
         begin(Call.FILE_WRITE, 1);
         begin(Call.FILE_SYNC, 1);
         TimeUnit.MILLISECONDS.sleep(milliseconds);
-        calls.mend(Call.FILE_WRITE);
-        calls.mend(Call.FILE_SYNC);
+        calls.restore(Call.FILE_WRITE);
+        calls.restore(Call.FILE_SYNC);
     }
 
     /** Callers stop, and what they have sent has ended. */
     SoakVerdict verdict() throws Exception {
-        calls.mendAll();
+        calls.restoreAll();
         for (AutoCloseable caller : callers) {
             caller.close();
         }
         callers.clear();
-        return new SoakJudge(log, history, life, GRACE_MS).verdict(calls.failures(), otherFaults);
+        return new SoakJudge(log, history, life, GRACE_MS).verdict(calls.failureCount(), otherFaults);
     }
 
     @Override
--- a/tool/src/main/java/tallyweir/tool/soak/SoakCommand.java
+++ b/tool/src/main/java/tallyweir/tool/soak/SoakCommand.java
@@ -94,7 +94,7 @@
 
     private static void describe(PrintWriter out, String what, List<RequestFate> fates) {
         if (!fates.isEmpty()) {
-            long last = fates.stream().mapToLong(RequestFate::ended).max().orElse(0);
+            long last = fates.stream().mapToLong(RequestFate::endedAt).max().orElse(0);
             out.println(what + RequestLog.describe(fates, last));
         }
     }
--- a/tool/src/main/java/tallyweir/tool/soak/SoakJudge.java
+++ b/tool/src/main/java/tallyweir/tool/soak/SoakJudge.java
@@ -24,7 +24,7 @@
     }
 
     SoakVerdict verdict(long failedCalls, long otherFaults) {
-        List<RequestFate> all = log.all();
+        List<RequestFate> all = log.allOutcomes();
         Map<String, Integer> runs = kernel.runsByJob();
         return new SoakVerdict(
                 all.size(),
@@ -34,7 +34,7 @@
                 failedCalls,
                 otherFaults,
                 all.stream().filter(this::isLost).toList(),
-                log.answeredTwice() + runs.values().stream().filter(n -> n > 1).count(),
+                log.countAnsweredTwice() + runs.values().stream().filter(n -> n > 1).count(),
                 all.stream().filter(this::isLate).toList(),
                 all.stream().filter(fate -> ranAfterGrace(fate, runs)).count());
     }
@@ -48,21 +48,21 @@
         if (isAnswered(fate)) {
             return false;
         }
-        if (life.wasKilledWithoutNotice(fate.connected(), fate.ended())) {
+        if (life.wasKilledWithoutNotice(fate.connectedAt(), fate.endedAt())) {
             return false;
         }
-        return fate.isLost() || life.wasKilledAfterNotice(fate.written(), fate.ended());
+        return fate.isLost() || life.wasKilledAfterNotice(fate.writtenAt(), fate.endedAt());
     }
 
     private boolean isLate(RequestFate fate) {
-        return fate.end() == RequestFate.End.ANSWERED_LATE && !life.stoodDuring(fate.written(), fate.ended());
+        return fate.end() == RequestFate.End.ANSWERED_LATE && !life.stoodDuring(fate.writtenAt(), fate.endedAt());
     }
 
     private boolean ranAfterGrace(RequestFate fate, Map<String, Integer> runs) {
-        long notice = life.noticeAt(fate.written());
+        long notice = life.noticeAt(fate.writtenAt());
         return notice != 0
                 && runs.containsKey(fate.id())
-                && fate.written() - notice > TimeUnit.MILLISECONDS.toNanos(graceMs + SLACK_MS)
-                && !life.stoodDuring(notice, fate.written());
+                && fate.writtenAt() - notice > TimeUnit.MILLISECONDS.toNanos(graceMs + SLACK_MS)
+                && !life.stoodDuring(notice, fate.writtenAt());
     }
 }
--- a/tool/src/test/java/tallyweir/tool/FleetOperatorsTest.java
+++ b/tool/src/test/java/tallyweir/tool/FleetOperatorsTest.java
@@ -59,13 +59,13 @@
         assertEquals(new Value.Cap(5), capOf("a"));
         assertEquals(new Value.Cap(5), capOf("b"));
 
-        Answer first = link.ask(cap("first", "c", 1, 2));
-        Answer second = link.ask(cap("second", "c", 1, 3));
+        Answer first = link.request(cap("first", "c", 1, 2));
+        Answer second = link.request(cap("second", "c", 1, 3));
         assertFalse(first instanceof Answer.Refused, first.toString());
-        Fault why = ((Answer.Refused) second).why();
-        assertTrue(why instanceof Fault.KeyConflict conflict && conflict.by().equals("first"), why.what());
+        Fault why = ((Answer.Refused) second).fault();
+        assertTrue(why instanceof Fault.KeyConflict conflict && conflict.author().equals("first"), why.description());
         until("the first is in force", () -> new Value.Cap(2).equals(capOf("c")));
-        assertEquals(new Answer.Done(new RevisionId(revisionOf("first"))), link.ask(cap("first", "c", 1, 2)));
+        assertEquals(new Answer.Done(new RevisionId(revisionOf("first"))), link.request(cap("first", "c", 1, 2)));
 
         Path move = stage.change(1, "a", 6);
         StringWriter said = new StringWriter();
--- a/tool/src/test/java/tallyweir/tool/FleetTest.java
+++ b/tool/src/test/java/tallyweir/tool/FleetTest.java
@@ -192,15 +192,15 @@
         int alone = stage.leader();
         stage.around(alone).forEach(r -> {
             if (inSilence) {
-                r.hold(true, true);
+                r.stall(true, true);
             } else {
-                r.cut();
+                r.resetAll();
             }
         });
         TimeUnit.MILLISECONDS.sleep(2_500); // its lease is over by its own clock
         assertTrue(taken(alone, "ten", 8) <= 2, "no more than its floor");
         assertEquals(8, taken(alone, "free", 8), "whoever has no cap goes on");
-        try (RatisFleetClient rest = new RatisFleetClient(link.name(), others(alone), 10_000)) {
+        try (RatisFleetClient rest = new RatisFleetClient(link.fleetName(), others(alone), 10_000)) {
             link.close();
             link = rest;
             publishTo(1, alone);
@@ -209,7 +209,7 @@
                 assertEquals(i == alone ? 0 : 1, storeOf(i));
             }
         }
-        stage.around(alone).forEach(StandRelay::mend);
+        stage.around(alone).forEach(StandRelay::endFaults);
         Operators o = Operators.read(operators);
         link = new RatisFleetClient(o.fleetName(), o.voters(), 10_000);
         until("it is brought up", () -> acting(2, SERVERS));
@@ -237,14 +237,14 @@
     @Test
     void withoutAnyMajorityEveryServerGoesOnAndNothingIsAcknowledged() throws Exception {
         assertEquals(0, publish(0, ""));
-        stage.all().forEach(StandRelay::cut);
+        stage.all().forEach(StandRelay::resetAll);
         TimeUnit.MILLISECONDS.sleep(3_000);
         for (int i = 0; i < SERVERS; i++) {
             assertEquals(4, taken(i, "free", 4), "server " + i);
             assertEquals(0, storeOf(i));
         }
         assertEquals(10, publish(1, ""), "nobody leads");
-        stage.all().forEach(StandRelay::mend);
+        stage.all().forEach(StandRelay::endFaults);
         until("somebody leads again", () -> acting(1, SERVERS));
         assertEquals(0, publish(1, ""));
         for (int i = 0; i < SERVERS; i++) {
--- a/tool/src/test/java/tallyweir/tool/FleetTransferTest.java
+++ b/tool/src/test/java/tallyweir/tool/FleetTransferTest.java
@@ -35,14 +35,14 @@
     /** Ends a server that does not vote and starts it again behind a slow network: it fetches the whole table anew. */
     private long restartSlowly(int server) throws Exception {
         stage.servers.get(server).kill();
-        stage.from(server).forEach(relay -> relay.delay(SLOW_MS));
+        stage.from(server).forEach(relay -> relay.setDelayMs(SLOW_MS));
         long before = replied(server);
         stage.servers.get(server).start();
         return before;
     }
 
     private long replied(int server) {
-        return stage.from(server).stream().mapToLong(StandRelay::replied).sum();
+        return stage.from(server).stream().mapToLong(StandRelay::repliedBytes).sum();
     }
 
     private void untilMidway(int server, long before) throws Exception {
@@ -60,11 +60,11 @@
         stage.servers.get(3).kill();
         before = restartSlowly(4);
         untilMidway(4, before);
-        stage.from(4).forEach(StandRelay::cut);
+        stage.from(4).forEach(StandRelay::resetAll);
         command("publish", stage.largeRevision(1, CAPS).toString(), "--why", "second", "--follow-s", "5");
         until("the second is in force", () -> acting(2) >= 3);
-        stage.from(3).forEach(StandRelay::mend);
-        stage.from(4).forEach(StandRelay::mend);
+        stage.from(3).forEach(StandRelay::endFaults);
+        stage.from(4).forEach(StandRelay::endFaults);
         stage.servers.get(3).start();
         until("all act on the second", () -> acting(2) == 5);
         for (int i = 0; i < 5; i++) {
@@ -90,19 +90,19 @@
         RouteWatcher watcher = watch(3);
         Map<Integer, Long> earlier = new HashMap<>();
         for (int voter = 0; voter < 3; voter++) {
-            earlier.put(voter, stage.relay(3, voter).replied());
+            earlier.put(voter, stage.relay(3, voter).repliedBytes());
         }
         long before = restartSlowly(3);
         untilMidway(3, before);
         int serving = Collections.max(
                 List.of(0, 1, 2),
                 (a, b) -> Long.compare(
-                        stage.relay(3, a).replied() - earlier.get(a),
-                        stage.relay(3, b).replied() - earlier.get(b)));
+                        stage.relay(3, a).repliedBytes() - earlier.get(a),
+                        stage.relay(3, b).repliedBytes() - earlier.get(b)));
         stage.servers.get(serving).kill();
         until("it has all pieces", () -> timesActing(3) == 2);
         stage.servers.get(serving).start();
-        stage.from(3).forEach(StandRelay::mend);
+        stage.from(3).forEach(StandRelay::endFaults);
         until("all act on it", () -> acting(1) == 4);
         watcher.assertStores(List.of(0));
     }
@@ -114,10 +114,10 @@
         List<RouteWatcher> watchers = watchAll(4);
         stage.from(3).forEach(relay -> relay.damageReplies(1_000));
         assertEquals(0, publish(stage.largeRevision(1, 3_000)), "one of four cannot have it, and is shut out");
-        assertTrue(stage.from(3).stream().mapToInt(StandRelay::damaged).sum() > 0, "nothing was damaged");
+        assertTrue(stage.from(3).stream().mapToInt(StandRelay::damagedChunks).sum() > 0, "nothing was damaged");
         assertEquals(0, storeOf(3), "it goes on under the one before");
         assertEquals(1, timesActing(3));
-        stage.from(3).forEach(StandRelay::mend);
+        stage.from(3).forEach(StandRelay::endFaults);
         until("it has it at last", () -> acting(2) == 4);
         for (RouteWatcher watcher : watchers) {
             watcher.assertStores(List.of(0, 1));
@@ -138,11 +138,11 @@
         long last = link.audit().inForce().value();
         until("all act on the last", () -> acting(last) == 3);
         int aside = 2;
-        stage.around(aside).forEach(StandRelay::cut);
+        stage.around(aside).forEach(StandRelay::resetAll);
         until("it is silent", () -> acting(last) == 2);
         assertEquals(0, command("rollback", "--to", "1", "--why", "worse"));
         assertEquals(1, storeOf(aside), "it cannot know yet");
-        stage.around(aside).forEach(StandRelay::mend);
+        stage.around(aside).forEach(StandRelay::endFaults);
         until("all act as on the first", () -> acting(last + 1) == 3);
         assertEquals(root(1), root(last + 1));
         assertNotEquals(root(1), root(last));
@@ -156,9 +156,9 @@
     }
 
     private void ask(Command.ChangeEntries change) throws Exception {
-        Answer answer = link.ask(change);
-        if (answer instanceof Answer.Refused refused && refused.why() instanceof Fault.QueueFull) {
-            until("there is room in the queue", () -> !(link.ask(change) instanceof Answer.Refused));
+        Answer answer = link.request(change);
+        if (answer instanceof Answer.Refused refused && refused.fault() instanceof Fault.QueueFull) {
+            until("there is room in the queue", () -> !(link.request(change) instanceof Answer.Refused));
         } else {
             assertTrue(answer instanceof Answer.Done || answer instanceof Answer.Waiting, answer.toString());
         }
--- a/tool/src/test/java/tallyweir/tool/LostAtTheStopTest.java
+++ b/tool/src/test/java/tallyweir/tool/LostAtTheStopTest.java
@@ -18,11 +18,11 @@
 /** Requests that were with a stopping server must have an answer before its process is killed, whatever system calls fail. */
 @Timeout(60)
 class LostAtTheStopTest {
-    private static final SteadyCaller.Manner NEW_CONNECTIONS =
-            new SteadyCaller.Manner("new connections", true, 1, 0, 5);
-    private static final SteadyCaller.Manner KEPT_CONNECTIONS =
-            new SteadyCaller.Manner("kept connections", false, 1, 0, 20);
-    private static final SteadyCaller.Manner IN_PIECES = new SteadyCaller.Manner("in pieces", false, 4, 5, 20);
+    private static final SteadyCaller.Profile NEW_CONNECTIONS =
+            new SteadyCaller.Profile("new connections", true, 1, 0, 5);
+    private static final SteadyCaller.Profile KEPT_CONNECTIONS =
+            new SteadyCaller.Profile("kept connections", false, 1, 0, 20);
+    private static final SteadyCaller.Profile IN_PIECES = new SteadyCaller.Profile("in pieces", false, 4, 5, 20);
     private static final int RUN_MS = 1_500;
     private static final int LISTENER_CLOSES_MS = StoppingServer.EARLIEST_STOP_MS - 2 * 60 - 500; // after the notice
 
@@ -37,7 +37,7 @@
         TimeUnit.MILLISECONDS.sleep(RUN_MS);
         server.stopAndKill();
         assertEquals(List.of(), server.lost(), server::report);
-        assertTrue(failing == null || server.calls().failures(failing) > 0, "a run without a failure shows nothing");
+        assertTrue(failing == null || server.calls().failureCount(failing) > 0, "a run without a failure shows nothing");
     }
 
     /** One failed accept left everybody who connected in the next second unanswered. */
@@ -62,10 +62,10 @@
             server.awaitSinceNotice(LISTENER_CLOSES_MS - 60);
             server.calls().fail(Call.ACCEPT, 1, seed, Errno.ENFILE);
             server.awaitSinceNotice(LISTENER_CLOSES_MS + 100);
-            server.calls().mend(Call.ACCEPT);
+            server.calls().restore(Call.ACCEPT);
             server.killAtTheStop();
             assertEquals(List.of(), server.lost(), server::report);
-            assertTrue(server.calls().failures(Call.ACCEPT) > 0, "a run without a failure shows nothing");
+            assertTrue(server.calls().failureCount(Call.ACCEPT) > 0, "a run without a failure shows nothing");
         }
     }
 
@@ -113,7 +113,7 @@
             server.calls().fail(Call.READ, 20, seed, Errno.EINTR);
             server.calls().fail(Call.WRITE, 20, seed, Errno.EINTR);
             server.callers(20, KEPT_CONNECTIONS);
-            server.pipelinedCallers(5, new PipelinedCaller.Manner("pipelined", 8, 5, 0));
+            server.pipelinedCallers(5, new PipelinedCaller.Profile("pipelined", 8, 5, 0));
             stopAndCheck(server, Call.READ);
         }
     }
@@ -146,7 +146,7 @@
     @ValueSource(ints = {1, 2, 3})
     void connectionsAreNeverAtRestWhileAServerStops(int seed) throws Exception {
         try (StoppingServer server = server(seed, StoppingServer.SOCKETS)) {
-            server.pipelinedCallers(10, new PipelinedCaller.Manner("pipelined", 8, 2, 0));
+            server.pipelinedCallers(10, new PipelinedCaller.Profile("pipelined", 8, 2, 0));
             server.callers(10, KEPT_CONNECTIONS);
             stopAndCheck(server, null);
         }
--- a/tool/src/test/java/tallyweir/tool/LostReportsTest.java
+++ b/tool/src/test/java/tallyweir/tool/LostReportsTest.java
@@ -29,7 +29,7 @@
     @Test
     @Timeout(60)
     void connectIsInterruptedForTheFirstReport() throws Exception {
-        FailingCalls calls = FailingCalls.in(directory);
+        FailingCalls calls = FailingCalls.create(directory);
         try (StandKernel kernel = new StandKernel(null, CORES, 1);
                 DatagramSocket announce = new DatagramSocket(0, InetAddress.getLoopbackAddress());
                 Program program = new Program(directory, false, List.of())) {
@@ -44,7 +44,7 @@
             program.start();
             announce.setSoTimeout(LISTED_MS);
             announce.receive(new DatagramPacket(new byte[64], 64));
-            assertTrue(calls.failures(Call.CONNECT) == 2, "both have failed");
+            assertTrue(calls.failureCount(Call.CONNECT) == 2, "both have failed");
         }
     }
 }
--- a/tool/src/test/java/tallyweir/tool/MainTest.java
+++ b/tool/src/test/java/tallyweir/tool/MainTest.java
@@ -41,14 +41,14 @@
         try (Durable d = new Durable(
                 new FileDisk(dir.resolve("first")),
                 new FileDisk(dir.resolve("second")),
-                Both.IN_TURN,
+                Both.SEQUENTIAL,
                 64 << 10,
                 4_096,
                 0.5,
                 0,
                 List.of(new Namespace("a", 1 << 20, false)),
                 1,
-                FileStore::clock,
+                FileStore::currentTime,
                 Runnable::run,
                 Set.of())) {
             for (int i = 0; i < 30; i++) {
@@ -252,12 +252,12 @@
                 Batch b = new Batch();
                 DurableResultStore.put(
                         b,
-                        DurableResultStore.mark("reset", "m" + i),
+                        DurableResultStore.idempotencyKey("reset", "m" + i),
                         new JobId("j"),
                         1,
                         i == 3 ? Known.GOOD : Known.UNKNOWN,
                         i == 3 ? new byte[] {1} : null,
-                        FileStore.clock() + 36_000_000);
+                        FileStore.currentTime() + 36_000_000);
                 s.committer().write(b);
             }
             java.util.Map<String, tallyweir.durable.AdminSocket.Command> verbs =
--- a/tool/src/test/java/tallyweir/tool/StoppingServer.java
+++ b/tool/src/test/java/tallyweir/tool/StoppingServer.java
@@ -42,7 +42,7 @@
         this.stopMs = stopMs;
         log = new RequestLog(seed);
         kernel = new StandKernel(null, CORES, seed, chance -> chance.nextInt(1, 40) * 1_000);
-        calls = FailingCalls.in(directory);
+        calls = FailingCalls.create(directory);
         Files.writeString(
                 directory.resolve("config.json"),
                 Program.config(kernel.port(), seed, CORES, 3_600_000_000L, sockets, stopMs));
@@ -60,16 +60,16 @@
     }
 
     private InetSocketAddress address() {
-        return SteadyCaller.at(program.port());
+        return SteadyCaller.loopback(program.port());
     }
 
-    void callers(int number, SteadyCaller.Manner manner) {
+    void callers(int number, SteadyCaller.Profile manner) {
         for (int i = 0; i < number; i++) {
             callers.add(new SteadyCaller(address(), manner, READS, log));
         }
     }
 
-    void pipelinedCallers(int number, PipelinedCaller.Manner manner) {
+    void pipelinedCallers(int number, PipelinedCaller.Profile manner) {
         for (int i = 0; i < number; i++) {
             callers.add(new PipelinedCaller(address(), manner, READS, log));
         }
@@ -112,7 +112,7 @@
 
     /** The requests lost and the server's own log, for a failed check. */
     String report() {
-        String counts = log.byEnd() + ", calls failed " + calls.failures();
+        String counts = log.countByEnd() + ", calls failed " + calls.failureCount();
         try {
             return counts + RequestLog.describe(lost(), killed) + "\n"
                     + Files.readString(directory.resolve("program.log"));
