--- a/consensus/src/main/java/tallyweir/fleet/ratis/AuditJson.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/AuditJson.java
@@ -8,7 +8,7 @@
 import com.fasterxml.jackson.datatype.jdk8.Jdk8Module;
 import tallyweir.fleet.Digest;
 import tallyweir.fleet.Incarnation;
-import tallyweir.fleet.OperatorCommand;
+import tallyweir.fleet.OperatorCommandId;
 import tallyweir.fleet.RevisionId;
 import tallyweir.fleet.ServerId;
 import tallyweir.ids.TenantId;
@@ -20,7 +20,7 @@
             .addMixIn(Digest.class, TextValue.class)
             .addMixIn(ServerId.class, TextValue.class)
             .addMixIn(TenantId.class, TextValue.class)
-            .addMixIn(OperatorCommand.class, TextValue.class)
+            .addMixIn(OperatorCommandId.class, TextValue.class)
             .addMixIn(RevisionId.class, NumberValue.class)
             .addMixIn(Incarnation.class, NumberValue.class)
             .addModule(new Jdk8Module())
--- a/consensus/src/main/java/tallyweir/fleet/ratis/EncodedMessages.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/EncodedMessages.java
@@ -13,8 +13,8 @@
 
     private final CommandCodec commands = new CommandCodec();
     private final AnswerCodec answers = new AnswerCodec();
-    private final QuestionCodec requests = new QuestionCodec();
-    private final ReplyCodec responses = new ReplyCodec();
+    private final ReadRequestCodec requests = new ReadRequestCodec();
+    private final ReadResponseCodec responses = new ReadResponseCodec();
 
     /** Answers encoded read requests. */
     public interface Source {
--- a/consensus/src/main/java/tallyweir/fleet/ratis/FleetAudit.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/FleetAudit.java
@@ -6,7 +6,7 @@
 import tallyweir.fleet.ChangeRecord;
 import tallyweir.fleet.Digest;
 import tallyweir.fleet.Incarnation;
-import tallyweir.fleet.OperatorCommand;
+import tallyweir.fleet.OperatorCommandId;
 import tallyweir.fleet.Revision;
 import tallyweir.fleet.RevisionId;
 import tallyweir.fleet.ServerId;
@@ -82,7 +82,7 @@
      * @param keys the first of them, at most {@link #MAX_KEYS}
      */
     public record ChangeAudit(
-            OperatorCommand command,
+            OperatorCommandId command,
             ChangeRecord.Kind kind,
             String by,
             String why,
--- a/consensus/src/main/java/tallyweir/fleet/ratis/FleetMapper.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/FleetMapper.java
@@ -24,7 +24,7 @@
 import tallyweir.fleet.Digest;
 import tallyweir.fleet.Fault;
 import tallyweir.fleet.Incarnation;
-import tallyweir.fleet.OperatorCommand;
+import tallyweir.fleet.OperatorCommandId;
 import tallyweir.fleet.RevisionId;
 import tallyweir.fleet.ServerId;
 import tallyweir.fleet.table.Path;
@@ -36,7 +36,7 @@
  * wrongly typed components are errors.
  */
 final class FleetMapper {
-    private static final Set<Class<?>> TEXT_IDS = Set.of(ServerId.class, TenantId.class, OperatorCommand.class);
+    private static final Set<Class<?>> TEXT_IDS = Set.of(ServerId.class, TenantId.class, OperatorCommandId.class);
     private static final Set<Class<?>> NUMBER_IDS = Set.of(RevisionId.class, Incarnation.class);
 
     private FleetMapper() {}
--- a/consensus/src/main/java/tallyweir/fleet/ratis/Machine.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/FleetStateMachine.java
@@ -39,18 +39,18 @@
  * <p>One thread of Ratis applies commands and takes snapshots; read requests arrive on other threads. The lock is held while one
  * command is applied or a table is looked up; tables are immutable, so differences and chunks are computed without it.
  */
-final class Machine extends BaseStateMachine {
-    private static final Logger LOG = LoggerFactory.getLogger(Machine.class);
+final class FleetStateMachine extends BaseStateMachine {
+    private static final Logger LOG = LoggerFactory.getLogger(FleetStateMachine.class);
     private static final int STAMP_BYTES = 2 * Long.BYTES;
     private static final Message NO_ANSWER = Message.EMPTY;
 
     private final SimpleStateMachineStorage storage = new SimpleStateMachineStorage();
     private final CommandCodec commands = new CommandCodec();
     private final AnswerCodec answers = new AnswerCodec();
-    private final QuestionCodec requests = new QuestionCodec();
-    private final ReplyCodec responses = new ReplyCodec();
+    private final ReadRequestCodec requests = new ReadRequestCodec();
+    private final ReadResponseCodec responses = new ReadResponseCodec();
     private final Auditor auditor = new Auditor(this);
-    private final TableReplies tableReader = new TableReplies(this::table);
+    private final TableReader tableReader = new TableReader(this::table);
     private final LongSupplier clock; // tenths of a millisecond; monotonic
     private final LongSupplier wallClock; // ms since 1970
     private SnapshotStore snapshots;
@@ -60,7 +60,7 @@
     private long clockAtElection; // this voter's clock at the election
     private Throwable logFailure;
 
-    Machine(LongSupplier clock, LongSupplier wall) {
+    FleetStateMachine(LongSupplier clock, LongSupplier wall) {
         this.clock = clock;
         this.wallClock = wall;
     }
@@ -206,18 +206,18 @@
     @Override
     public CompletableFuture<Message> query(Message message) {
         try {
-            Question request = requests.decode(message.getContent().toByteArray());
+            ReadRequest request = requests.decode(message.getContent().toByteArray());
             return CompletableFuture.completedFuture(message(responses.encode(read(request))));
         } catch (IOException | RuntimeException e) {
             return CompletableFuture.failedFuture(e);
         }
     }
 
-    private Reply read(Question request) {
-        if (request instanceof Question.Audit) {
-            return new Reply.Audit(auditor.audit(currentState()));
+    private ReadResponse read(ReadRequest request) {
+        if (request instanceof ReadRequest.Audit) {
+            return new ReadResponse.Audit(auditor.audit(currentState()));
         }
-        if (request instanceof Question.Values values) {
+        if (request instanceof ReadRequest.Values values) {
             return values(values.keys());
         }
         return tableReader.read(request);
@@ -227,7 +227,7 @@
         return state;
     }
 
-    private Reply values(List<Key> keys) {
+    private ReadResponse values(List<Key> keys) {
         RevisionRoot revision;
         Table table;
         synchronized (this) {
@@ -238,7 +238,7 @@
         List<Entry> entries = keys.stream()
                 .flatMap(key -> table.get(key).map(value -> new Entry(key, value)).stream())
                 .toList();
-        return new Reply.Values(revision, entries);
+        return new ReadResponse.Values(revision, entries);
     }
 
     private synchronized Optional<Table> table(Digest root) {
--- a/consensus/src/main/java/tallyweir/fleet/ratis/LocalReplica.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/LocalReplica.java
@@ -11,10 +11,10 @@
 public final class LocalReplica {
     private final CommandCodec commands = new CommandCodec();
     private final AnswerCodec answers = new AnswerCodec();
-    private final QuestionCodec requests = new QuestionCodec();
-    private final ReplyCodec responses = new ReplyCodec();
+    private final ReadRequestCodec requests = new ReadRequestCodec();
+    private final ReadResponseCodec responses = new ReadResponseCodec();
     private final State state;
-    private final TableReplies tableReader;
+    private final TableReader tableReader;
 
     /** Creates a replica with an empty state. */
     public LocalReplica() {
@@ -23,7 +23,7 @@
 
     private LocalReplica(State state) {
         this.state = state;
-        tableReader = new TableReplies(state::table);
+        tableReader = new TableReader(state::table);
     }
 
     /** Creates a replica from a snapshot written by {@link #save}. */
--- a/consensus/src/main/java/tallyweir/fleet/ratis/RatisFleetClient.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/RatisFleetClient.java
@@ -128,7 +128,7 @@
         if (verifiesRoots) {
             onTable.accept(tableFetch.fetch(have, wanted));
         } else {
-            new UncheckedFetch(connection::readFromLeader).fetch(have, wanted, onTable);
+            new UnverifiedFetch(connection::readFromLeader).fetch(have, wanted, onTable);
         }
     }
 
@@ -201,7 +201,7 @@
 
     /** Returns the values of entries in the revision in force; a key without an entry has no value. */
     public EntryValues values(List<Key> keys) {
-        Reply.Values response = request(new Question.Values(new ArrayList<>(keys)), Reply.Values.class);
+        ReadResponse.Values response = request(new ReadRequest.Values(new ArrayList<>(keys)), ReadResponse.Values.class);
         Map<Key, Value> values = new LinkedHashMap<>();
         response.entries().forEach(entry -> values.put(entry.key(), entry.value()));
         return new EntryValues(response.revision(), values);
@@ -209,10 +209,10 @@
 
     /** Returns all that the replicated state knows about revisions, servers and caps. */
     public FleetAudit audit() {
-        return request(new Question.Audit(), Reply.Audit.class).audit();
+        return request(new ReadRequest.Audit(), ReadResponse.Audit.class).audit();
     }
 
-    private <T extends Reply> T request(Question request, Class<T> expected) {
+    private <T extends ReadResponse> T request(ReadRequest request, Class<T> expected) {
         try {
             return expected.cast(connection.readFromLeader(request));
         } catch (IOException | RuntimeException e) {
--- a/consensus/src/main/java/tallyweir/fleet/ratis/TableFetch.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/TableFetch.java
@@ -65,12 +65,12 @@
 
     /** Empty if the difference is too large or the source does not know the caller's table. */
     private Optional<Table> fetchByDifference(Table have, RevisionRoot wanted) {
-        Question request = new Question.Difference(have.root(), wanted, MAX_CHANGES);
+        ReadRequest request = new ReadRequest.Difference(have.root(), wanted, MAX_CHANGES);
         return tryEachSource(request, response -> {
-            if (response instanceof Reply.Difference difference) {
+            if (response instanceof ReadResponse.Difference difference) {
                 return Optional.of(verified(have.apply(difference.changes()), wanted.root()));
             }
-            requireType(Reply.DifferenceTooLarge.class, response);
+            requireType(ReadResponse.DifferenceTooLarge.class, response);
             return Optional.empty();
         });
     }
@@ -95,24 +95,24 @@
     }
 
     private void fetchChunk(TableTransfer chunks, Digest wanted, Path path) {
-        tryEachSource(new Question.Chunk(wanted, path), response -> {
-            chunks.accept(path, requireType(Reply.Chunk.class, response).bytes());
+        tryEachSource(new ReadRequest.Chunk(wanted, path), response -> {
+            chunks.accept(path, requireType(ReadResponse.Chunk.class, response).bytes());
             return path;
         });
     }
 
     /** Uses a response; throws if it is unusable. */
     private interface ResponseHandler<T> {
-        T handle(Reply response) throws IOException;
+        T handle(ReadResponse response) throws IOException;
     }
 
     /** Tries each source in turn, starting with the one that responded last, until one gives a usable response. */
-    private <T> T tryEachSource(Question request, ResponseHandler<T> use) {
+    private <T> T tryEachSource(ReadRequest request, ResponseHandler<T> use) {
         Optional<Fault> worstFault = Optional.empty();
         for (int tried = 0; tried < sources.size(); tried++) {
             try {
-                Reply response = sources.get(nextSource).read(request);
-                if (!(response instanceof Reply.UnknownRoot)) {
+                ReadResponse response = sources.get(nextSource).read(request);
+                if (!(response instanceof ReadResponse.UnknownRoot)) {
                     return use.handle(response);
                 }
                 worstFault = worstFault.or(() -> Optional.of(new Fault.UnknownRoot(requestedRoot(request))));
@@ -134,14 +134,14 @@
         }
     }
 
-    private static String requestedRoot(Question request) {
-        if (request instanceof Question.Difference difference) {
+    private static String requestedRoot(ReadRequest request) {
+        if (request instanceof ReadRequest.Difference difference) {
             return difference.to().root().value();
         }
-        return ((Question.Chunk) request).root().value();
+        return ((ReadRequest.Chunk) request).root().value();
     }
 
-    private static <T extends Reply> T requireType(Class<T> type, Reply response) throws MalformedMessageException {
+    private static <T extends ReadResponse> T requireType(Class<T> type, ReadResponse response) throws MalformedMessageException {
         if (!type.isInstance(response)) {
             throw new MalformedMessageException(
                     response.getClass().getSimpleName() + " is not a response to this request");
--- a/consensus/src/main/java/tallyweir/fleet/ratis/Voter.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/Voter.java
@@ -42,7 +42,7 @@
     private final CommandCodec commands = new CommandCodec();
     private final String fleet;
     private final RaftServer server;
-    private final Machine machine;
+    private final FleetStateMachine machine;
     private final RaftClient client;
     private final Thread leaderThread;
     private final FleetSettings settings;
@@ -63,7 +63,7 @@
             throws IOException {
         this.fleet = fleet;
         this.settings = settings;
-        machine = new Machine(clock, wall);
+        machine = new FleetStateMachine(clock, wall);
         RaftProperties properties = new RaftProperties();
         RaftServerConfigKeys.setStorageDir(properties, List.of(dir.toFile()));
         RaftServerConfigKeys.Rpc.setTimeoutMin(properties, TimeDuration.valueOf(MIN_ELECTION_TIMEOUT_MS, TimeUnit.MILLISECONDS));
@@ -88,15 +88,15 @@
         GrpcConfigKeys.Server.setHost(properties, address.substring(0, colon));
         GrpcConfigKeys.Server.setPort(properties, Integer.parseInt(address.substring(colon + 1)));
         boolean existing = Files.isDirectory(
-                dir.resolve(Voters.groupId(fleet).getUuid().toString()).resolve("current"));
+                dir.resolve(VoterGroup.groupId(fleet).getUuid().toString()).resolve("current"));
         server = RaftServer.newBuilder()
                 .setServerId(RaftPeerId.valueOf(self))
-                .setGroup(Voters.group(fleet, voters))
+                .setGroup(VoterGroup.group(fleet, voters))
                 .setProperties(properties)
                 .setStateMachine(machine)
                 .setOption(existing ? RaftStorage.StartupOption.RECOVER : RaftStorage.StartupOption.FORMAT)
                 .build();
-        client = Voters.client(fleet, Map.of(self, address), 1_000);
+        client = VoterGroup.client(fleet, Map.of(self, address), 1_000);
         leaderThread = new Thread(this::runLeaderWork, "fleet clock");
         leaderThread.setDaemon(true);
     }
--- a/consensus/src/main/java/tallyweir/fleet/ratis/VoterConnection.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/VoterConnection.java
@@ -16,8 +16,8 @@
 final class VoterConnection implements AutoCloseable {
     private final CommandCodec commands = new CommandCodec();
     private final AnswerCodec answers = new AnswerCodec();
-    private final QuestionCodec requests = new QuestionCodec();
-    private final ReplyCodec responses = new ReplyCodec();
+    private final ReadRequestCodec requests = new ReadRequestCodec();
+    private final ReadResponseCodec responses = new ReadResponseCodec();
     private final List<String> voterNames;
     private final RaftClient leaderClient;
     private final RaftClient singleAttemptClient;
@@ -25,8 +25,8 @@
     /** @param timeoutMs about how long an answer is waited for, in ms */
     VoterConnection(String fleet, Map<String, String> voters, long timeoutMs) {
         voterNames = List.copyOf(voters.keySet());
-        leaderClient = Voters.client(fleet, voters, timeoutMs);
-        singleAttemptClient = Voters.clientWithoutRetry(fleet, voters, timeoutMs);
+        leaderClient = VoterGroup.client(fleet, voters, timeoutMs);
+        singleAttemptClient = VoterGroup.clientWithoutRetry(fleet, voters, timeoutMs);
     }
 
     /** Returns the names of all voters. */
@@ -41,13 +41,13 @@
     }
 
     /** Linearizable read from the leader: the response includes everything acknowledged before. */
-    Reply readFromLeader(Question request) throws IOException {
+    ReadResponse readFromLeader(ReadRequest request) throws IOException {
         RaftClientReply response = leaderClient.io().sendReadOnly(message(requests.encode(request)));
         return responses.decode(content(response));
     }
 
     /** Stale read from one voter, leader or follower, without retries; the response may lag behind the leader. */
-    Reply readFromVoter(String voter, Question request) throws IOException {
+    ReadResponse readFromVoter(String voter, ReadRequest request) throws IOException {
         RaftClientReply response =
                 singleAttemptClient.io().sendStaleRead(message(requests.encode(request)), 0, RaftPeerId.valueOf(voter));
         return responses.decode(content(response));
--- a/consensus/src/main/java/tallyweir/fleet/ratis/Voters.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/VoterGroup.java
@@ -19,13 +19,13 @@
  * The Raft group of a fleet, and clients of that group. The group has the voters by name and address; its id is derived from the
  * fleet's name.
  */
-final class Voters {
+final class VoterGroup {
     private static final long MIN_RETRY_DELAY_MS = 50;
     private static final long MAX_RETRY_DELAY_MS = 400;
     private static final long MIN_REQUEST_TIMEOUT_MS = 100;
     private static final int REQUESTS_PER_TIMEOUT = 3;
 
-    private Voters() {}
+    private VoterGroup() {}
 
     static RaftGroupId groupId(String fleet) {
         return RaftGroupId.valueOf(
--- a/consensus/src/test/java/tallyweir/fleet/ratis/CodecTest.java
+++ b/consensus/src/test/java/tallyweir/fleet/ratis/CodecTest.java
@@ -23,7 +23,7 @@
 import tallyweir.fleet.Digest;
 import tallyweir.fleet.Fault;
 import tallyweir.fleet.Incarnation;
-import tallyweir.fleet.OperatorCommand;
+import tallyweir.fleet.OperatorCommandId;
 import tallyweir.fleet.RevisionId;
 import tallyweir.fleet.ServerId;
 import tallyweir.fleet.SnapshotPart;
@@ -38,8 +38,8 @@
 
     private final CommandCodec commands = new CommandCodec();
     private final AnswerCodec answers = new AnswerCodec();
-    private final QuestionCodec requests = new QuestionCodec();
-    private final ReplyCodec responses = new ReplyCodec();
+    private final ReadRequestCodec requests = new ReadRequestCodec();
+    private final ReadResponseCodec responses = new ReadResponseCodec();
     private final SnapshotPartCodec parts = new SnapshotPartCodec();
 
     @Provide
@@ -53,13 +53,13 @@
     }
 
     @Provide
-    Arbitrary<Question> anyQuestion() {
-        return RecordArbitraries.of(Question.class);
+    Arbitrary<ReadRequest> anyQuestion() {
+        return RecordArbitraries.of(ReadRequest.class);
     }
 
     @Provide
-    Arbitrary<Reply> anyReply() {
-        return RecordArbitraries.of(Reply.class);
+    Arbitrary<ReadResponse> anyReply() {
+        return RecordArbitraries.of(ReadResponse.class);
     }
 
     @Provide
@@ -85,7 +85,7 @@
     /** Compares responses by their encoding, since records with a byte array are equal only if the array is the same object. */
     @Property(tries = 300, seed = "23")
     void everyQuestionAndReplyIsTheSameOnceDecoded(
-            @ForAll("anyQuestion") Question request, @ForAll("anyReply") Reply response)
+            @ForAll("anyQuestion") ReadRequest request, @ForAll("anyReply") ReadResponse response)
             throws MalformedMessageException {
         assertEquals(request, requests.decode(requests.encode(request)));
         byte[] bytes = responses.encode(response);
@@ -244,7 +244,7 @@
                     Optional.of(new Value.Cap(10)),
                     Optional.of(new Value.Cap(20))));
         }
-        Command command = new Command.ChangeEntries(new OperatorCommand("c"), changes, "ann", "more", false);
+        Command command = new Command.ChangeEntries(new OperatorCommandId("c"), changes, "ann", "more", false);
         assertTrue(commands.encode(command).length < 30 * changes.size());
     }
 }
--- a/consensus/src/test/java/tallyweir/fleet/ratis/SnapshotStoreTest.java
+++ b/consensus/src/test/java/tallyweir/fleet/ratis/SnapshotStoreTest.java
@@ -19,7 +19,7 @@
 import tallyweir.fleet.Answer;
 import tallyweir.fleet.Command;
 import tallyweir.fleet.FleetSettings;
-import tallyweir.fleet.OperatorCommand;
+import tallyweir.fleet.OperatorCommandId;
 import tallyweir.fleet.RevisionId;
 import tallyweir.fleet.ServerId;
 import tallyweir.fleet.SnapshotPart;
@@ -53,7 +53,7 @@
             assertDone(
                     ++revision,
                     state.apply(new Command.Publish(
-                            new OperatorCommand("base" + from),
+                            new OperatorCommandId("base" + from),
                             new RevisionId(revision - 1),
                             some,
                             "ann",
@@ -68,7 +68,7 @@
             assertDone(
                     ++revision,
                     state.apply(new Command.ChangeEntries(
-                            new OperatorCommand("change" + i), one, "bob", "tenant asked for it", false)));
+                            new OperatorCommandId("change" + i), one, "bob", "tenant asked for it", false)));
         }
         state.apply(new Command.Join("f", new ServerId("s"), "127.0.0.1:1", 1));
         return state;
--- a/consensus/src/test/java/tallyweir/fleet/ratis/TableFetchTest.java
+++ b/consensus/src/test/java/tallyweir/fleet/ratis/TableFetchTest.java
@@ -33,8 +33,8 @@
     /** Answers like a voter that has these tables. */
     private static final class TestSource implements TableSource {
         private final List<Table> tables;
-        private final List<Question> requests = new ArrayList<>();
-        private Function<Reply, Reply> tamper = Function.identity();
+        private final List<ReadRequest> requests = new ArrayList<>();
+        private Function<ReadResponse, ReadResponse> tamper = Function.identity();
         private int responsesLeft = Integer.MAX_VALUE;
 
         TestSource(Table... tables) {
@@ -42,7 +42,7 @@
         }
 
         @Override
-        public Reply read(Question request) throws IOException {
+        public ReadResponse read(ReadRequest request) throws IOException {
             requests.add(request);
             if (responsesLeft == 0) {
                 throw new IOException("cut");
@@ -51,21 +51,21 @@
             return tamper.apply(response(request));
         }
 
-        private Reply response(Question request) {
-            if (request instanceof Question.Difference difference) {
+        private ReadResponse response(ReadRequest request) {
+            if (request instanceof ReadRequest.Difference difference) {
                 Optional<Table> to = table(difference.to().root());
                 if (to.isEmpty()) {
-                    return new Reply.UnknownRoot();
+                    return new ReadResponse.UnknownRoot();
                 }
                 return table(difference.from())
                         .flatMap(from -> from.differenceTo(to.get(), difference.maxChanges()))
-                        .<Reply>map(Reply.Difference::new)
-                        .orElseGet(Reply.DifferenceTooLarge::new);
+                        .<ReadResponse>map(ReadResponse.Difference::new)
+                        .orElseGet(ReadResponse.DifferenceTooLarge::new);
             }
-            Question.Chunk chunk = (Question.Chunk) request;
+            ReadRequest.Chunk chunk = (ReadRequest.Chunk) request;
             return table(chunk.root())
-                    .<Reply>map(table -> new Reply.Chunk(table.chunk(chunk.path())))
-                    .orElseGet(Reply.UnknownRoot::new);
+                    .<ReadResponse>map(table -> new ReadResponse.Chunk(table.chunk(chunk.path())))
+                    .orElseGet(ReadResponse.UnknownRoot::new);
         }
 
         private Optional<Table> table(Digest root) {
@@ -74,8 +74,8 @@
 
         private List<Path> requestedChunks() {
             return requests.stream()
-                    .filter(Question.Chunk.class::isInstance)
-                    .map(request -> ((Question.Chunk) request).path())
+                    .filter(ReadRequest.Chunk.class::isInstance)
+                    .map(request -> ((ReadRequest.Chunk) request).path())
                     .toList();
         }
     }
@@ -180,11 +180,11 @@
         assertEquals(FAR, fetchFrom(damaged, other).fetch(Table.EMPTY, wanted(FAR)), "the other source is tried");
     }
 
-    private static Reply damage(Reply response) {
-        if (response instanceof Reply.Chunk chunk) {
+    private static ReadResponse damage(ReadResponse response) {
+        if (response instanceof ReadResponse.Chunk chunk) {
             byte[] bytes = chunk.bytes().clone();
             bytes[bytes.length / 2] ^= 1;
-            return new Reply.Chunk(bytes);
+            return new ReadResponse.Chunk(bytes);
         }
         return response;
     }
@@ -192,7 +192,7 @@
     @Test
     void aDifferenceToAnotherTableIsRejected() {
         TestSource source = new TestSource(BASE, NEAR);
-        source.tamper = response -> new Reply.Difference(
+        source.tamper = response -> new ReadResponse.Difference(
                 List.<Change>of(VoterCluster.cap("tenant1", 1, 2), VoterCluster.cap("tenant2", 1, 900)));
         assertInstanceOf(Fault.DigestMismatch.class, failure(fetchFrom(source), BASE, NEAR));
     }
@@ -200,7 +200,7 @@
     @Test
     void aResponseOfTheWrongTypeIsRejected() {
         TestSource source = new TestSource(BASE, NEAR);
-        source.tamper = response -> new Reply.Chunk(new byte[] {1});
+        source.tamper = response -> new ReadResponse.Chunk(new byte[] {1});
         assertInstanceOf(Fault.NoLeader.class, failure(fetchFrom(source), BASE, NEAR));
     }
 
@@ -208,7 +208,7 @@
     @Test
     void withoutTheGuardAMixedTableIsUsed() throws Exception {
         List<Table> used = new ArrayList<>();
-        new UncheckedFetch(new TestSource(BASE, NEAR)).fetch(BASE, wanted(NEAR), used::add);
+        new UnverifiedFetch(new TestSource(BASE, NEAR)).fetch(BASE, wanted(NEAR), used::add);
         assertEquals(2, used.size());
         assertNotEquals(NEAR, used.get(0));
         assertNotEquals(BASE, used.get(0));
--- a/consensus/src/test/java/tallyweir/fleet/ratis/TransfersTest.java
+++ b/consensus/src/test/java/tallyweir/fleet/ratis/TransfersTest.java
@@ -71,12 +71,12 @@
     @Test
     void anotherVoterIsUsedIfOneStopsBetweenTwoChunks() throws Exception {
         RevisionRoot wanted = cluster.revision(1);
-        List<Question> answeredRequests = new ArrayList<>();
+        List<ReadRequest> answeredRequests = new ArrayList<>();
         List<String> answeringVoters = new ArrayList<>();
         try (VoterConnection connection = new VoterConnection(VoterCluster.FLEET, cluster.addresses(), 1_000)) {
             List<TableSource> sources = connection.voterNames().stream()
                     .<TableSource>map(voter -> request -> {
-                        Reply response = connection.readFromVoter(voter, request);
+                        ReadResponse response = connection.readFromVoter(voter, request);
                         answeredRequests.add(request);
                         answeringVoters.add(voter);
                         if (answeredRequests.size() == 5) {
--- a/consensus/src/test/java/tallyweir/fleet/ratis/VoterCluster.java
+++ b/consensus/src/test/java/tallyweir/fleet/ratis/VoterCluster.java
@@ -20,7 +20,7 @@
 import tallyweir.fleet.FleetSettings;
 import tallyweir.fleet.Incarnation;
 import tallyweir.fleet.Need;
-import tallyweir.fleet.OperatorCommand;
+import tallyweir.fleet.OperatorCommandId;
 import tallyweir.fleet.RevisionId;
 import tallyweir.fleet.RevisionRoot;
 import tallyweir.fleet.ServerId;
@@ -148,11 +148,11 @@
 
     Answer publish(String command, long expected, List<Change> changes) {
         return client.request(new Command.Publish(
-                new OperatorCommand(command), new RevisionId(expected), changes, "ann", "because", false));
+                new OperatorCommandId(command), new RevisionId(expected), changes, "ann", "because", false));
     }
 
     Answer change(String command, List<Change> changes) {
-        return client.request(new Command.ChangeEntries(new OperatorCommand(command), changes, "bob", "more", false));
+        return client.request(new Command.ChangeEntries(new OperatorCommandId(command), changes, "bob", "more", false));
     }
 
     /** Returns a revision of the audit with the root of its table. */
@@ -167,11 +167,11 @@
 
     /** Waits until a voter, leader or follower, has a revision. */
     void awaitRevision(String voter, RevisionRoot revision) throws IOException {
-        Question request = new Question.Difference(revision.root(), revision, 0);
+        ReadRequest request = new ReadRequest.Difference(revision.root(), revision, 0);
         try (VoterConnection connection = new VoterConnection(FLEET, addresses, CLIENT_TIMEOUT_MS)) {
             await().atMost(TIMEOUT)
                     .ignoreExceptions()
-                    .until(() -> connection.readFromVoter(voter, request) instanceof Reply.Difference);
+                    .until(() -> connection.readFromVoter(voter, request) instanceof ReadResponse.Difference);
         }
     }
 
--- a/consensus/src/test/java/tallyweir/fleet/ratis/VotersTest.java
+++ b/consensus/src/test/java/tallyweir/fleet/ratis/VotersTest.java
@@ -28,7 +28,7 @@
 import tallyweir.fleet.FleetException;
 import tallyweir.fleet.Incarnation;
 import tallyweir.fleet.Need;
-import tallyweir.fleet.OperatorCommand;
+import tallyweir.fleet.OperatorCommandId;
 import tallyweir.fleet.RevisionId;
 import tallyweir.fleet.RevisionRoot;
 import tallyweir.fleet.table.Change;
@@ -148,7 +148,7 @@
             FleetException e = assertThrows(FleetException.class, withoutMajority::audit);
             assertEquals(10, e.fault().exitCode());
             Command rollback = new Command.Rollback(
-                    new OperatorCommand("c"), RevisionId.NONE, new RevisionId(1), "ann", "", false);
+                    new OperatorCommandId("c"), RevisionId.NONE, new RevisionId(1), "ann", "", false);
             assertEquals(
                     "c",
                     refused(Fault.OutcomeUnknown.class, withoutMajority.request(rollback)).command());
@@ -174,7 +174,7 @@
     @Test
     void malformedCommandsAndRequestsAreRejected() throws Exception {
         Message garbage = Message.valueOf("garbage");
-        try (RaftClient raw = Voters.client(VoterCluster.FLEET, cluster.addresses(), 2_000)) {
+        try (RaftClient raw = VoterGroup.client(VoterCluster.FLEET, cluster.addresses(), 2_000)) {
             assertThrows(IOException.class, () -> succeeded(raw.io().send(garbage)));
             assertThrows(IOException.class, () -> succeeded(raw.io().sendReadOnly(garbage)));
         }
--- a/core/src/main/java/tallyweir/Calls.java
+++ b/core/src/main/java/tallyweir/CallBudget.java
@@ -1,18 +1,18 @@
 package tallyweir;
 
-import tallyweir.ring.Ring;
+import tallyweir.ring.SlidingWindow;
 
 /**
  * Accounts for the time that calls to the store have taken in a sliding window, their linger included, and for the
  * time reserved by the calls in flight. Times are tenths of a millisecond. Not thread-safe.
  */
-final class Calls {
-    final Ring recentDurations;
+final class CallBudget {
+    final SlidingWindow recentDurations;
     // The same over a longer window, so that a server that makes few calls has enough samples.
-    final Ring usualDurations;
+    final SlidingWindow usualDurations;
     final long linger;
     int inFlight;
-    private final Ring endedCallTime;
+    private final SlidingWindow endedCallTime;
     private double reservedTime;
 
     /**
@@ -22,11 +22,11 @@
      * @param buckets into which each window is divided
      * @param linger time for which an abandoned call still occupies the store
      */
-    Calls(long window, long shortWindow, long longWindow, int buckets, long linger) {
+    CallBudget(long window, long shortWindow, long longWindow, int buckets, long linger) {
         this.linger = linger;
-        endedCallTime = new Ring(window + linger, buckets);
-        recentDurations = new Ring(shortWindow, buckets);
-        usualDurations = new Ring(longWindow, buckets);
+        endedCallTime = new SlidingWindow(window + linger, buckets);
+        recentDurations = new SlidingWindow(shortWindow, buckets);
+        usualDurations = new SlidingWindow(longWindow, buckets);
     }
 
     /** Call time used in the window plus the time reserved by calls in flight. */
--- a/core/src/main/java/tallyweir/Choice.java
+++ b/core/src/main/java/tallyweir/Choice.java
@@ -4,8 +4,8 @@
 
 import java.util.*;
 import tallyweir.ids.*;
-import tallyweir.ring.Ring;
-import tallyweir.rules.Rules;
+import tallyweir.ring.SlidingWindow;
+import tallyweir.rules.RuleList;
 
 /**
  * Makes the admission and scheduling decisions of one server. The front end creates one Choice per process, passes it
@@ -97,18 +97,18 @@
     private final PriorityQueue<Query> callQueue = new PriorityQueue<>(BY_REVENUE_THEN_ORDER);
     private final ArrayDeque<Query> callRetries = new ArrayDeque<>();
     private final ArrayDeque<Query> replayQueue = new ArrayDeque<>();
-    private final PriorityQueue<Due> deadlines = new PriorityQueue<>();
+    private final PriorityQueue<QueryDeadline> deadlines = new PriorityQueue<>();
     // 1 for each run past its expected time, else 0.
-    private final Ring lateRuns = new Ring(MEASUREMENT_WINDOW_TENTHS_MS, WINDOW_BUCKETS);
+    private final SlidingWindow lateRuns = new SlidingWindow(MEASUREMENT_WINDOW_TENTHS_MS, WINDOW_BUCKETS);
     // The same, of runs that called the store.
-    private final Ring lateCallingRuns = new Ring(MEASUREMENT_WINDOW_TENTHS_MS, WINDOW_BUCKETS);
-    private final Ring runDurations = new Ring(MEASUREMENT_WINDOW_TENTHS_MS, WINDOW_BUCKETS);
+    private final SlidingWindow lateCallingRuns = new SlidingWindow(MEASUREMENT_WINDOW_TENTHS_MS, WINDOW_BUCKETS);
+    private final SlidingWindow runDurations = new SlidingWindow(MEASUREMENT_WINDOW_TENTHS_MS, WINDOW_BUCKETS);
     // Times that queries waited to be read.
-    private final Ring unreadTimes = new Ring(MEASUREMENT_WINDOW_TENTHS_MS, WINDOW_BUCKETS);
-    private final Ring refusals = new Ring(MEASUREMENT_WINDOW_TENTHS_MS, WINDOW_BUCKETS);
+    private final SlidingWindow unreadTimes = new SlidingWindow(MEASUREMENT_WINDOW_TENTHS_MS, WINDOW_BUCKETS);
+    private final SlidingWindow refusals = new SlidingWindow(MEASUREMENT_WINDOW_TENTHS_MS, WINDOW_BUCKETS);
     // Its count is the number of queries read, its sum the number of retries among them.
-    private final Ring readsAndRetries = new Ring(MEASUREMENT_WINDOW_TENTHS_MS, WINDOW_BUCKETS);
-    private Returns idleTimeouts;
+    private final SlidingWindow readsAndRetries = new SlidingWindow(MEASUREMENT_WINDOW_TENTHS_MS, WINDOW_BUCKETS);
+    private IdleTimeoutChooser idleTimeouts;
     private long maxIdle;
     private long idleTimeout;
     private Query incoming;
@@ -120,9 +120,9 @@
     private boolean gaugesPending;
     private double coresBusy;
     private double runQueue;
-    private final Crowd concurrency = new Crowd();
-    private Memory memoryUse;
-    private Calls callBudget;
+    private final Concurrency concurrency = new Concurrency();
+    private MemoryUse memoryUse;
+    private CallBudget callBudget;
     private int cores;
     // Concurrent runs that are allowed on the cores.
     private double runLimit;
@@ -142,8 +142,8 @@
     private double callTimeShare;
     // Part of that time that is reserved for one call that may be repeated.
     private double callReservation;
-    private Halt cancellation = Halt.OFF;
-    private Said loadAdvice = Said.OFF;
+    private CancellationMode cancellation = CancellationMode.OFF;
+    private LoadAdvice loadAdvice = LoadAdvice.OFF;
     private double lastAdvertisedLoad;
     // Shortest expected time of all workloads.
     private long minExpectedTime = Long.MAX_VALUE;
@@ -155,7 +155,7 @@
     // Negative while the server is not draining.
     private long drainStartedAt = -1;
     private long stopDeadline = Long.MAX_VALUE;
-    private final Rules rules = new Rules();
+    private final RuleList rules = new RuleList();
 
     /**
      * @param seed of the random draws, so that decisions can be reproduced
@@ -207,7 +207,7 @@
             boolean cold,
             double coldStartShare,
             long coldDuration,
-            Halt cancellation) {
+            CancellationMode cancellation) {
         this.cores = cores;
         this.cold = cold;
         this.cancellation = cancellation;
@@ -230,7 +230,7 @@
      * @param entryKb memory of one retained result
      */
     public void configureMemory(double limitKb, double runMemoryFactor, double entryKb) {
-        memoryUse = new Memory(limitKb, runMemoryFactor, entryKb);
+        memoryUse = new MemoryUse(limitKb, runMemoryFactor, entryKb);
     }
 
     /**
@@ -241,7 +241,7 @@
      * @param linger time for which an abandoned call still occupies the store
      */
     public void configureCalls(double maxCallsInFlight, long shareWindow, long linger) {
-        callBudget = new Calls(shareWindow, SECOND_TENTHS_MS, MEASUREMENT_WINDOW_TENTHS_MS, WINDOW_BUCKETS, linger);
+        callBudget = new CallBudget(shareWindow, SECOND_TENTHS_MS, MEASUREMENT_WINDOW_TENTHS_MS, WINDOW_BUCKETS, linger);
         callShare = maxCallsInFlight <= 0 ? Double.MAX_VALUE : maxCallsInFlight;
         callLimit = callShare;
         callWindow = shareWindow;
@@ -279,7 +279,7 @@
 
     /** Adds a tenant whose quota is divided evenly among this many servers. */
     public void addTenant(TenantId id, double quotaPerSecond, int servers) {
-        tenants.put(id, new Tenant(quotaPerSecond / Math.max(1, servers), new Ring(MEASUREMENT_WINDOW_TENTHS_MS, WINDOW_BUCKETS)));
+        tenants.put(id, new Tenant(quotaPerSecond / Math.max(1, servers), new SlidingWindow(MEASUREMENT_WINDOW_TENTHS_MS, WINDOW_BUCKETS)));
     }
 
     /**
@@ -301,7 +301,7 @@
      * @param resultShareDuration time for which the result of a harmless query may be shared; 0 for never
      * @param maxRetryAfter longest time that a caller may be advised to wait; 0 for no advice
      */
-    public void configureCallers(Said loadAdvice, long resultShareDuration, long maxRetryAfter) {
+    public void configureCallers(LoadAdvice loadAdvice, long resultShareDuration, long maxRetryAfter) {
         this.loadAdvice = loadAdvice;
         this.resultShareDuration = resultShareDuration;
         this.maxRetryAfter = maxRetryAfter;
@@ -314,7 +314,7 @@
         for (int i = 0; i < IDLE_TIMEOUT_COUNT; i++) {
             timeouts[i] = Math.min(this.maxIdle, Math.max(100, (long) (maxIdleTime / Math.pow(IDLE_TIMEOUT_RATIO, i))));
         }
-        idleTimeouts = new Returns(now, timeouts, maxIdleTime / 2, WINDOW_BUCKETS);
+        idleTimeouts = new IdleTimeoutChooser(now, timeouts, maxIdleTime / 2, WINDOW_BUCKETS);
         idleTimeout = this.maxIdle;
     }
 
@@ -419,7 +419,7 @@
             end(q);
         } else {
             boolean wasAnswered = q.answered;
-            boolean suspended = cancellation == Halt.SUSPEND && outcome == Outcome.RECALLED && !wasAnswered && q.isHarmless();
+            boolean suspended = cancellation == CancellationMode.SUSPEND && outcome == Outcome.RECALLED && !wasAnswered && q.isHarmless();
             endRun(q, outcome, suspended);
             if (suspended) {
                 nextSuspendAt = now;
@@ -483,7 +483,7 @@
         if (q == null) {
             return;
         }
-        boolean cancel = q.state == RUNNING && q.isHarmless() && cancellation != Halt.OFF && !q.answered;
+        boolean cancel = q.state == RUNNING && q.isHarmless() && cancellation != CancellationMode.OFF && !q.answered;
         q.answered = true;
         if (q.state == HELD || q.state == FOLLOWING || q.state == REPLAYING) {
             end(q);
@@ -642,7 +642,7 @@
     /** Advertises overload to callers, so that they don't send queries that would be refused. */
     private void updateAdvertisedLoad() {
         double meanRunTime = meanRunDuration();
-        if (loadAdvice == Said.OFF || meanRunTime <= 0) {
+        if (loadAdvice == LoadAdvice.OFF || meanRunTime <= 0) {
             return;
         }
         double spare = Math.max(1, minExpectedTime - meanRunTime);
@@ -754,7 +754,7 @@
         for (Workload w : workloads.values()) {
             active += w.revenue >= revenue ? w.startedRuns : 0;
         }
-        boolean startsAtOnce = cancellation == Halt.SUSPEND && ahead + active <= runLimit; // the others can be suspended
+        boolean startsAtOnce = cancellation == CancellationMode.SUSPEND && ahead + active <= runLimit; // the others can be suspended
         return startsAtOnce ? 0 : (long) (ahead * meanRunDuration() / Math.max(concurrency.running, runLimit));
     }
 
@@ -774,7 +774,7 @@
     // ---- answers
 
     private void addDeadline(Query q, long time) {
-        deadlines.add(new Due(time, nextSequence++, q));
+        deadlines.add(new QueryDeadline(time, nextSequence++, q));
     }
 
     private boolean isDeadlineDue() {
@@ -788,7 +788,7 @@
             return;
         }
         boolean finalDeadline = q.answerDeadline <= now;
-        boolean canCancel = q.state == BLOCKED_ON_CALL || q.isHarmless() && (q.state != RUNNING || cancellation != Halt.OFF);
+        boolean canCancel = q.state == BLOCKED_ON_CALL || q.isHarmless() && (q.state != RUNNING || cancellation != CancellationMode.OFF);
         if (finalDeadline || canCancel || !q.hasRun) {
             giveUp(q);
         } else {
@@ -807,7 +807,7 @@
         } else {
             defer(q, 0, true);
         }
-        if (previous == RUNNING && q.isHarmless() && cancellation != Halt.OFF) {
+        if (previous == RUNNING && q.isHarmless() && cancellation != CancellationMode.OFF) {
             out.cancel(q.id);
         }
     }
@@ -892,7 +892,7 @@
     }
 
     private boolean maySuspend() {
-        return cancellation == Halt.SUSPEND && now >= nextSuspendAt && !hasFreeCore() && fitsMemoryToRun(waitingQueue.peek());
+        return cancellation == CancellationMode.SUSPEND && now >= nextSuspendAt && !hasFreeCore() && fitsMemoryToRun(waitingQueue.peek());
     }
 
     /** The latest run of the lowest revenue, if below that of the first waiting query; else null. */
--- a/core/src/main/java/tallyweir/Crowd.java
+++ b/core/src/main/java/tallyweir/Concurrency.java
@@ -3,7 +3,7 @@
 /**
  * Counts the queries that were started and have not ended, and of these the ones on the cores, with their age there.
  */
-final class Crowd {
+final class Concurrency {
     int started; // started and not ended, including those blocked on a call
     int running; // of these, running on the cores
     private double startTimeSum;
--- a/core/src/main/java/tallyweir/Returns.java
+++ b/core/src/main/java/tallyweir/IdleTimeoutChooser.java
@@ -4,29 +4,29 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import tallyweir.ids.CallerId;
-import tallyweir.ring.Ring;
+import tallyweir.ring.SlidingWindow;
 
 /**
  * Compares a few idle timeouts: for each, the connection openings it would have saved, less the cost of the time that
  * connections would have stayed open idle. Times are tenths of a millisecond.
  */
-final class Returns {
+final class IdleTimeoutChooser {
     private final Map<CallerId, Long> lastReadAt = new LinkedHashMap<>(); // time of the last query; least recent first
     private final long startedAt;
     private final long[] timeouts;
-    private final Ring[] gains;
+    private final SlidingWindow[] gains;
 
     /**
      * @param startedAt time at which the server started
      * @param timeouts candidates, the longest first
      * @param window over which the gains are summed
      */
-    Returns(long startedAt, long[] timeouts, long window, int buckets) {
+    IdleTimeoutChooser(long startedAt, long[] timeouts, long window, int buckets) {
         this.startedAt = startedAt;
         this.timeouts = timeouts;
-        gains = new Ring[timeouts.length];
+        gains = new SlidingWindow[timeouts.length];
         for (int i = 0; i < timeouts.length; i++) {
-            gains[i] = new Ring(window, buckets);
+            gains[i] = new SlidingWindow(window, buckets);
         }
     }
 
--- a/core/src/main/java/tallyweir/Said.java
+++ b/core/src/main/java/tallyweir/LoadAdvice.java
@@ -1,7 +1,7 @@
 package tallyweir;
 
 /** What is advertised to callers about the load: nothing, or a threshold below which they should send nothing. */
-public enum Said {
+public enum LoadAdvice {
     OFF,
     THRESHOLD
 }
--- a/core/src/main/java/tallyweir/Memory.java
+++ b/core/src/main/java/tallyweir/MemoryUse.java
@@ -3,7 +3,7 @@
 import java.util.PriorityQueue;
 
 /** Counts the memory, in kilobytes, of held queries, runs and retained results. */
-final class Memory {
+final class MemoryUse {
     final double limitKb;
     final double runMemoryFactor; // memory of a run over the size of its query
     final double entryKb; // memory of one retained result
@@ -11,7 +11,7 @@
     double runningKb;
     private final PriorityQueue<Long> retainedUntil = new PriorityQueue<>(); // times at which retained results expire
 
-    Memory(double limitKb, double runMemoryFactor, double entryKb) {
+    MemoryUse(double limitKb, double runMemoryFactor, double entryKb) {
         this.limitKb = limitKb;
         this.runMemoryFactor = runMemoryFactor;
         this.entryKb = entryKb;
--- a/core/src/main/java/tallyweir/Outgoing.java
+++ b/core/src/main/java/tallyweir/Outgoing.java
@@ -29,7 +29,7 @@
     /** Answers that the query ended in an error and may have had an effect. */
     void fail(QueryId query);
 
-    /** Cancels or suspends a run, as {@link Halt} allows. */
+    /** Cancels or suspends a run, as {@link CancellationMode} allows. */
     void cancel(QueryId query);
 
     /** Makes the query's call to the store, with this timeout. */
--- a/core/src/main/java/tallyweir/Due.java
+++ b/core/src/main/java/tallyweir/QueryDeadline.java
@@ -1,9 +1,9 @@
 package tallyweir;
 
 /** A time, in tenths of a millisecond, at which a query must be checked; equal times are ordered by sequence. */
-record Due(long dueAt, long sequence, Query query) implements Comparable<Due> {
+record QueryDeadline(long dueAt, long sequence, Query query) implements Comparable<QueryDeadline> {
     @Override
-    public int compareTo(Due other) {
+    public int compareTo(QueryDeadline other) {
         return dueAt != other.dueAt ? Long.compare(dueAt, other.dueAt) : Long.compare(sequence, other.sequence);
     }
 }
--- a/core/src/main/java/tallyweir/Workload.java
+++ b/core/src/main/java/tallyweir/Workload.java
@@ -1,6 +1,6 @@
 package tallyweir;
 
-import tallyweir.ring.Ring;
+import tallyweir.ring.SlidingWindow;
 
 /** The settings and measurements of one workload. Times are tenths of a millisecond. */
 final class Workload {
@@ -12,8 +12,8 @@
     final long repeatWindow; // in which a repeat of a stamped query must not run again
     final boolean callsStore;
     final double degradedValue; // part of the revenue that a degraded answer earns; 0 if there is none
-    Ring runDurations;
-    Ring predictedRunTimes;
+    SlidingWindow runDurations;
+    SlidingWindow predictedRunTimes;
     int startedRuns;
 
     Workload(
@@ -37,7 +37,7 @@
 
     /** Sets the window over which the durations of runs are averaged, both measured and predicted. */
     void setMeasurementWindow(long measurementWindow, int buckets) {
-        runDurations = new Ring(measurementWindow, buckets);
-        predictedRunTimes = new Ring(measurementWindow, buckets);
+        runDurations = new SlidingWindow(measurementWindow, buckets);
+        predictedRunTimes = new SlidingWindow(measurementWindow, buckets);
     }
 }
--- a/core/src/main/java/tallyweir/ring/Ring.java
+++ b/core/src/main/java/tallyweir/ring/SlidingWindow.java
@@ -1,7 +1,7 @@
 package tallyweir.ring;
 
 /** Count and sum of values over a sliding time window, kept in a fixed number of reused buckets. Not thread-safe. */
-public final class Ring {
+public final class SlidingWindow {
     private final long bucketWidth;
     private final long[] counts;
     private final double[] sums;
@@ -13,7 +13,7 @@
      * @param window length of the window, in the unit of the times passed to the other methods
      * @param buckets into which the window is divided, its resolution
      */
-    public Ring(long window, int buckets) {
+    public SlidingWindow(long window, int buckets) {
         bucketWidth = Math.max(1, (window + buckets - 1) / buckets);
         counts = new long[buckets + 1];
         sums = new double[buckets + 1];
--- a/core/src/main/java/tallyweir/rules/Rules.java
+++ b/core/src/main/java/tallyweir/rules/RuleList.java
@@ -5,7 +5,7 @@
 import java.util.function.BooleanSupplier;
 
 /** An ordered list of rules, each a condition and an action. */
-public final class Rules {
+public final class RuleList {
     private record Rule(BooleanSupplier condition, Runnable action) {}
 
     private final List<Rule> rules = new ArrayList<>();
--- a/core/src/main/java/tallyweir/search/Search.java
+++ b/core/src/main/java/tallyweir/search/ExhaustiveSearch.java
@@ -12,7 +12,7 @@
  * checks the rules in each state. Each state is reached by replaying its events from the start, so no state has to be
  * copied; states with equal descriptions are expanded once.
  */
-public final class Search {
+public final class ExhaustiveSearch {
     /**
      * The result of a search.
      *
@@ -23,7 +23,7 @@
      */
     public record SearchResult(long states, long steps, long quiescentStates, List<String> violations) {}
 
-    private Search() {}
+    private ExhaustiveSearch() {}
 
     /**
      * Explores all states breadth first, until the first state with a violation has been expanded.
@@ -31,7 +31,7 @@
      * @param initial creates the system in its initial state
      * @param maxStates after which the search ends with a violation that says so
      */
-    public static SearchResult explore(Supplier<? extends World> initial, long maxStates) {
+    public static SearchResult explore(Supplier<? extends SearchableSystem> initial, long maxStates) {
         Set<String> visited = new HashSet<>();
         ArrayDeque<List<String>> frontier = new ArrayDeque<>();
         List<String> violations = new ArrayList<>();
@@ -41,7 +41,7 @@
         long quiescentStates = 0;
         while (!frontier.isEmpty() && violations.isEmpty()) {
             List<String> path = frontier.poll();
-            World before = replay(initial, path);
+            SearchableSystem before = replay(initial, path);
             List<String> enabled = before.enabledActions();
             if (before.isQuiescent(enabled)) {
                 quiescentStates++;
@@ -51,7 +51,7 @@
                 }
             }
             for (String action : enabled) {
-                World after = replay(initial, path);
+                SearchableSystem after = replay(initial, path);
                 after.perform(action);
                 steps++;
                 List<String> extended = new ArrayList<>(path);
@@ -68,8 +68,8 @@
         return new SearchResult(visited.size(), steps, quiescentStates, violations);
     }
 
-    private static World replay(Supplier<? extends World> initial, List<String> path) {
-        World system = initial.get();
+    private static SearchableSystem replay(Supplier<? extends SearchableSystem> initial, List<String> path) {
+        SearchableSystem system = initial.get();
         path.forEach(system::perform);
         return system;
     }
--- a/core/src/main/java/tallyweir/search/World.java
+++ b/core/src/main/java/tallyweir/search/SearchableSystem.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** The system under search, made of real components and a simulated environment, in one state of a search. */
-public interface World {
+public interface SearchableSystem {
     /** Describes everything that affects future behaviour; states with equal descriptions are treated as one. */
     String describe();
 
--- a/core/src/test/java/tallyweir/ColdFleetTest.java
+++ b/core/src/test/java/tallyweir/ColdFleetTest.java
@@ -70,12 +70,12 @@
             startedAt = cold ? now : now - 600_000;
             choice = new Choice(this, random.nextLong(), startedAt);
             choice.setTime(now);
-            choice.configureMachine(CORES, COLLAPSE_MULTIPLE, cold, COLD_START_SHARE, COLD_DURATION_TENTHS_MS, Halt.ABORT);
+            choice.configureMachine(CORES, COLLAPSE_MULTIPLE, cold, COLD_START_SHARE, COLD_DURATION_TENTHS_MS, CancellationMode.ABORT);
             choice.configureMemory(1e6, 4, 30);
             choice.configureCalls(maxCallsInFlight, WINDOW_TENTHS_MS, LINGER_TENTHS_MS);
             choice.addWorkload(CALLS, Effect.HARMLESS, 18_000, 46_000, 1, 0, 0, true, 0);
             choice.configureAnswers(50, 10_000, 1);
-            choice.configureCallers(Said.OFF, 0, 10_000);
+            choice.configureCallers(LoadAdvice.OFF, 0, 10_000);
             choice.configureConnections(300_000);
             choice.start();
         }
--- a/core/src/test/java/tallyweir/FailuresTest.java
+++ b/core/src/test/java/tallyweir/FailuresTest.java
@@ -10,7 +10,7 @@
 
 /** Regression tests: one for each fault found in simulations or by the generated tests. */
 class FailuresTest {
-    private Model model = new Model(7, false, Halt.ABORT, Said.OFF, 6, 10_000);
+    private Model model = new Model(7, false, CancellationMode.ABORT, LoadAdvice.OFF, 6, 10_000);
 
     private long count(String action) {
         return model.log.stream().filter(a -> a.startsWith(action)).count();
@@ -173,7 +173,7 @@
         assertEquals(
                 List.of("idleTimeout 100"),
                 model.log.stream().filter(a -> a.startsWith("idleTimeout")).toList());
-        Model few = new Model(7, false, Halt.ABORT, Said.OFF, 6, 0);
+        Model few = new Model(7, false, CancellationMode.ABORT, LoadAdvice.OFF, 6, 0);
         for (int i = 0; i < 40; i++) {
             few.caller = i % 4;
             few.read(3, 0, 40_000, 10, false, null);
@@ -187,7 +187,7 @@
     void manyRetriesAreRankedLast() {
         List<Integer> admitted = new ArrayList<>();
         for (boolean retry : new boolean[] {false, true}) {
-            Model many = new Model(7, false, Halt.ABORT, Said.OFF, 6, 0);
+            Model many = new Model(7, false, CancellationMode.ABORT, LoadAdvice.OFF, 6, 0);
             for (int i = 0; i < 60; i++) {
                 many.read(0, 0, 40_000, 10, true, null);
             }
@@ -219,14 +219,14 @@
     @Test
     void forgettingAbsentCallersKeepsIdleTimeout() {
         long[] spans = {1_000, 200, 40};
-        Returns timeouts = new Returns(0, spans, 4_000, 12);
+        IdleTimeoutChooser timeouts = new IdleTimeoutChooser(0, spans, 4_000, 12);
         readFromManyCallers(timeouts, 1_000, 0);
         readFromManyCallers(timeouts, 3_000, 10_000);
         assertEquals(1_002, timeouts.rememberedCallers(), "the callers within the longest timeout, and the one that returns");
         assertEquals(200, timeouts.bestTimeout(13_000), "decided by the caller that returns after 100");
     }
 
-    private static void readFromManyCallers(Returns of, int reads, long from) {
+    private static void readFromManyCallers(IdleTimeoutChooser of, int reads, long from) {
         for (int i = 0; i < reads; i++) {
             of.onRead(from + i, new tallyweir.ids.CallerId(from + i), 0);
             if (i % 100 == 0) {
@@ -298,7 +298,7 @@
     @Test
     void zeroSettingsAndUnknownTenantsAreAccepted() {
         model.choice.addTenant(new tallyweir.ids.TenantId("a"), 0, 0);
-        model.choice.configureCallers(Said.THRESHOLD, 0, 10_000);
+        model.choice.configureCallers(LoadAdvice.THRESHOLD, 0, 10_000);
         model.choice.configureConnections(0);
         model.choice.configureCalls(0, 50_000, 2_000);
         ModelQuery q = model.read(0, 0, 40_000, 10, false, null);
@@ -389,7 +389,7 @@
     /** A query of the highest revenue waited behind runs of the lowest that could have been suspended. */
     @Test
     void runIsSuspendedForHigherRevenueAndResumed() {
-        model = new Model(7, false, Halt.SUSPEND, Said.OFF, 6, 0);
+        model = new Model(7, false, CancellationMode.SUSPEND, LoadAdvice.OFF, 6, 0);
         List<ModelQuery> first = reads(Model.CORES, 0);
         model.pass(4_000, 1, Model.CORES);
         first.forEach(q -> model.runEnded(q, Outcome.COMPLETED));
--- a/core/src/test/java/tallyweir/Model.java
+++ b/core/src/test/java/tallyweir/Model.java
@@ -58,8 +58,8 @@
     final List<long[]> calls = new ArrayList<>();
     final Choice choice;
     final boolean cold;
-    final Halt cancellation;
-    final Said loadAdvice;
+    final CancellationMode cancellation;
+    final LoadAdvice loadAdvice;
     final double maxCallsInFlight;
     long now = 1_000_000;
     long startedAt = now;
@@ -70,7 +70,7 @@
     boolean lastFinalRefusal;
     long caller = 1;
 
-    Model(long seed, boolean cold, Halt cancellation, Said loadAdvice, double maxCallsInFlight, long resultShareDuration) {
+    Model(long seed, boolean cold, CancellationMode cancellation, LoadAdvice loadAdvice, double maxCallsInFlight, long resultShareDuration) {
         this.cold = cold;
         this.cancellation = cancellation;
         this.loadAdvice = loadAdvice;
@@ -129,7 +129,7 @@
 
     void runEnded(ModelQuery q, Outcome outcome) {
         endCall(q, true);
-        q.suspended = outcome == Outcome.RECALLED && !q.answered && cancellation == Halt.SUSPEND;
+        q.suspended = outcome == Outcome.RECALLED && !q.answered && cancellation == CancellationMode.SUSPEND;
         q.state = outcome == Outcome.RECALLED && !q.answered ? "held" : "over";
         q.answered |= outcome != Outcome.RECALLED;
         choice.onRunEnded(new QueryId(q.id), outcome);
@@ -288,7 +288,7 @@
     @Override
     public void cancel(QueryId id) {
         ModelQuery q = logAction(id, "cancel");
-        deny(cancellation == Halt.OFF, "cancellation on a machine without it");
+        deny(cancellation == CancellationMode.OFF, "cancellation on a machine without it");
         deny(!isHarmless(q), "cancellation of a query with an effect " + q.id);
     }
 
@@ -340,7 +340,7 @@
     @Override
     public void advertiseLoad(double load) {
         log.add("load " + load);
-        deny(load < 0 || loadAdvice == Said.OFF, "advertised " + load);
+        deny(load < 0 || loadAdvice == LoadAdvice.OFF, "advertised " + load);
     }
 
     @Override
--- a/core/src/test/java/tallyweir/RulesTest.java
+++ b/core/src/test/java/tallyweir/RulesTest.java
@@ -34,8 +34,8 @@
     void keepsTheRules(
             @ForAll("steps") List<Step> steps,
             @ForAll boolean cold,
-            @ForAll Halt cancellation,
-            @ForAll Said loadAdvice,
+            @ForAll CancellationMode cancellation,
+            @ForAll LoadAdvice loadAdvice,
             @ForAll boolean smallCallShare,
             @ForAll boolean sharesResults,
             @ForAll long seed) {
@@ -73,7 +73,7 @@
                     .ifPresent(m::disconnect);
         } else if (s.kind < 80) {
             pick(m.inState("running"), s)
-                    .filter(q -> m.cancellation != Halt.OFF && (q.answered || m.isHarmless(q)))
+                    .filter(q -> m.cancellation != CancellationMode.OFF && (q.answered || m.isHarmless(q)))
                     .ifPresent(q -> m.runEnded(q, Outcome.RECALLED));
         } else if (s.kind == 80 && s.index < 100 && m.drainStartedAt < 0) {
             m.drain(30_000 + s.duration);
--- a/daemon/src/main/java/tallyweir/backend/Connections.java
+++ b/daemon/src/main/java/tallyweir/backend/Connections.java
@@ -12,8 +12,8 @@
 import tallyweir.Effect;
 import tallyweir.backend.Counters.Count;
 import tallyweir.config.Settings;
-import tallyweir.fastcgi.Fields;
-import tallyweir.fastcgi.Reader;
+import tallyweir.fastcgi.RequestFields;
+import tallyweir.fastcgi.FastCgiReader;
 import tallyweir.fastcgi.Records;
 import tallyweir.ids.CallerId;
 import tallyweir.ids.ConnectionId;
@@ -255,8 +255,8 @@
         return dropped;
     }
 
-    private final class Connection implements Reader.Sink {
-        private final Reader reader = new Reader(this);
+    private final class Connection implements FastCgiReader.Sink {
+        private final FastCgiReader reader = new FastCgiReader(this);
         private final Map<RequestId, Responder> pendingAnswers = new HashMap<>();
         private final Map<RequestId, Deadlines.Deadline> halfReadDeadlines = new HashMap<>();
         private Deadlines.Deadline idleDeadline;
@@ -463,10 +463,10 @@
         }
 
         @Override
-        public void onRequest(RequestId id, Fields fields, byte[] body, boolean keep) {
+        public void onRequest(RequestId id, RequestFields fields, byte[] body, boolean keep) {
             cancelHalfReadDeadline(id);
             receivedRequest = true;
-            String path = fields.string(Fields.PATH);
+            String path = fields.string(RequestFields.PATH);
             if (CHECK_PATH.equals(path)) {
                 counters.add(Count.CHECKS);
                 write(id, Records.answer(id, healthy && !withdrawn && !queries.isDraining() ? 200 : 503, "", EMPTY_BODY), keep);
@@ -479,13 +479,13 @@
         }
 
         /** Turns a valid request for a known workload into a query; any other request is answered at once and nothing runs. */
-        private void handleQuery(RequestId id, Fields fields, String path, byte[] body, boolean keep) {
+        private void handleQuery(RequestId id, RequestFields fields, String path, byte[] body, boolean keep) {
             WorkloadId workload = new WorkloadId(path.startsWith(RUN_PATH) ? path.substring(RUN_PATH.length()) : "");
             if (!queries.isKnownWorkload(workload)) {
                 rejectMalformed(id, 404, "no workload at '" + path + "'", keep);
                 return;
             }
-            if (!"POST".equals(fields.string(Fields.METHOD))) {
+            if (!"POST".equals(fields.string(RequestFields.METHOD))) {
                 rejectMalformed(id, 405, "the method is not POST", keep);
                 return;
             }
@@ -500,21 +500,21 @@
             long timeout;
             CallerId caller;
             try {
-                job = new JobId(fields.string(fields.requirePresent(Fields.ID)));
-                tenant = !tenants.isEmpty() ? fields.string(fields.requirePresent(Fields.TENANT)) : null;
-                subject = fields.string(Fields.SUBJECT);
-                key = effect == Effect.STAMPED ? fields.string(fields.requirePresent(Fields.IDEMPOTENCY_KEY)) : subject;
-                size = fields.number(Fields.SIZE_KB);
-                rank = fields.number(Fields.RANK);
-                receivedAt = fields.integer(Fields.RECEIVED_AT) * 10;
-                timeout = callersPassTimeout ? fields.integer(Fields.TIMEOUT_MS) * 10 : -1;
-                caller = new CallerId(fields.integer(Fields.CALLER));
-                requireInRange(Fields.ID, job.value().matches("[0-9a-fA-F]{16}"));
-                requireInRange(Fields.SIZE_KB, size > 0 && size < MAX_SIZE_KB);
-                requireInRange(Fields.RANK, rank < 1);
-                requireInRange(Fields.TIMEOUT_MS, timeout <= maxHardLimit);
-                requireInRange(Fields.RECEIVED_AT, !queries.isFarAhead(receivedAt));
-                requireInRange(Fields.TENANT, tenant == null || tenants.contains(tenant));
+                job = new JobId(fields.string(fields.requirePresent(RequestFields.ID)));
+                tenant = !tenants.isEmpty() ? fields.string(fields.requirePresent(RequestFields.TENANT)) : null;
+                subject = fields.string(RequestFields.SUBJECT);
+                key = effect == Effect.STAMPED ? fields.string(fields.requirePresent(RequestFields.IDEMPOTENCY_KEY)) : subject;
+                size = fields.number(RequestFields.SIZE_KB);
+                rank = fields.number(RequestFields.RANK);
+                receivedAt = fields.integer(RequestFields.RECEIVED_AT) * 10;
+                timeout = callersPassTimeout ? fields.integer(RequestFields.TIMEOUT_MS) * 10 : -1;
+                caller = new CallerId(fields.integer(RequestFields.CALLER));
+                requireInRange(RequestFields.ID, job.value().matches("[0-9a-fA-F]{16}"));
+                requireInRange(RequestFields.SIZE_KB, size > 0 && size < MAX_SIZE_KB);
+                requireInRange(RequestFields.RANK, rank < 1);
+                requireInRange(RequestFields.TIMEOUT_MS, timeout <= maxHardLimit);
+                requireInRange(RequestFields.RECEIVED_AT, !queries.isFarAhead(receivedAt));
+                requireInRange(RequestFields.TENANT, tenant == null || tenants.contains(tenant));
             } catch (IllegalArgumentException e) {
                 rejectMalformed(id, 400, e.getMessage(), keep);
                 return;
@@ -550,7 +550,7 @@
                     size,
                     rank,
                     timeout,
-                    "1".equals(fields.string(Fields.RETRY)),
+                    "1".equals(fields.string(RequestFields.RETRY)),
                     isLast);
         }
 
@@ -567,7 +567,7 @@
         }
 
         @Override
-        public void onRefused(RequestId id, Reader.Refusal reason, boolean keep) {
+        public void onRefused(RequestId id, FastCgiReader.Refusal reason, boolean keep) {
             cancelHalfReadDeadline(id);
             switch (reason) {
                 case OVERLOADED -> write(id, Records.overloaded(id), keep);
@@ -603,7 +603,7 @@
     }
 
     /** Sends the one answer to a request of a connection. */
-    private final class Responder implements Answer {
+    private final class Responder implements QueryResponder {
         private final Connection connection;
         private final RequestId id;
         private final boolean keep;
--- a/daemon/src/main/java/tallyweir/backend/FleetMembership.java
+++ b/daemon/src/main/java/tallyweir/backend/FleetMembership.java
@@ -18,7 +18,7 @@
 import tallyweir.fleet.ServerId;
 import tallyweir.ids.ConnectionId;
 import tallyweir.ids.TenantId;
-import tallyweir.ring.Ring;
+import tallyweir.ring.SlidingWindow;
 
 /**
  * This server's membership in its fleet. Connects the member's state machine with the fleet client and with the parts that
@@ -45,7 +45,7 @@
     private final String serverName;
     private final RevisionPreparer preparer;
     private final RevisionParts parts;
-    private final Ring queriesRead = new Ring(QUERIES_READ_WINDOW_TENTHS_MS, QUERIES_READ_BUCKETS);
+    private final SlidingWindow queriesRead = new SlidingWindow(QUERIES_READ_WINDOW_TENTHS_MS, QUERIES_READ_BUCKETS);
     private final long processStartedAt; // by the wall clock, so that it is higher for each later process of this server
     private final boolean pinsRoutes;
     private RevisionId proposedRevision = RevisionId.NONE; // the proposed revision that is being checked
--- a/daemon/src/main/java/tallyweir/backend/InFlight.java
+++ b/daemon/src/main/java/tallyweir/backend/InFlight.java
@@ -9,14 +9,14 @@
 import tallyweir.ids.LinkId;
 import tallyweir.ids.QueryId;
 import tallyweir.ids.WorkloadId;
-import tallyweir.results.Mark;
+import tallyweir.results.IdempotencyKey;
 
 /** One query from when it is read until it is answered and no run of it is left. Times are in tenths of a millisecond. */
 final class InFlight {
     final JobId job; // its id on the links, as the caller sent it
     final WorkloadId workload;
     final byte[] body; // as the caller sent it
-    final Answer responder;
+    final QueryResponder responder;
     QueryId id;
     int slot;
     boolean answered; // answered here, or its caller has disconnected
@@ -34,10 +34,10 @@
     long expectedDeadline; // end of its expected time; counted as late after that. Set only in a fleet
     InetSocketAddress storeAddress; // where it calls, by the revision it was read under; null for the configured address
     Repeats.Entry repeatEntry; // shared by all queries with the same key; null for none
-    Mark resultKey; // key of its retained result; null if none is retained
+    IdempotencyKey resultKey; // key of its retained result; null if none is retained
     boolean recordingResult; // its run has ended and its answer waits until the result is on the disk
 
-    InFlight(JobId job, WorkloadId workload, byte[] body, Answer responder) {
+    InFlight(JobId job, WorkloadId workload, byte[] body, QueryResponder responder) {
         this.job = job;
         this.workload = workload;
         this.body = body;
--- a/daemon/src/main/java/tallyweir/backend/Kernel.java
+++ b/daemon/src/main/java/tallyweir/backend/Kernel.java
@@ -9,13 +9,13 @@
 import tallyweir.ids.JobId;
 import tallyweir.ids.LinkId;
 import tallyweir.kernel.Commands;
-import tallyweir.kernel.Notices;
+import tallyweir.kernel.NoticeReader;
 
 /**
  * The link to the kernel. Checks the numbers of notices, holds commands until a link is up and reconnects after a
  * break. Runs on the backend's thread; times are in tenths of a millisecond.
  */
-final class Kernel implements Notices.Sink {
+final class Kernel implements NoticeReader.Sink {
     private static final Logger LOG = LoggerFactory.getLogger(Kernel.class);
     private static final int MAX_WAITING_COMMANDS = 4_000;
     private static final long RECONNECT_DELAY_TENTHS_MS = 1_000; // a tenth of a second
@@ -35,7 +35,7 @@
     private final ArrayDeque<byte[]> waitingCommands = new ArrayDeque<>();
     private final RateLimitedLog warnings;
     private final PeerMonitor monitor;
-    private Notices notices;
+    private NoticeReader notices;
     private LinkId link; // the link that is up, or null
     private LinkId openingLink; // the link that is to replace it, or null
     private boolean booted; // whether the kernel has reported its boot on the link that is up
@@ -86,7 +86,7 @@
         linkGeneration++;
         unansweredGaugeRequests = 0;
         booted = false;
-        notices = new Notices(this);
+        notices = new NoticeReader(this);
         monitor.reachable(queries.now());
         counters.add(Count.KERNEL_LINKS);
         links.sendToPeer(link, Commands.open(lastNoticeNumber));
--- a/daemon/src/main/java/tallyweir/backend/Queries.java
+++ b/daemon/src/main/java/tallyweir/backend/Queries.java
@@ -46,7 +46,7 @@
     private final Kernel kernel;
     private final Store store;
     private final Connections connections;
-    private final KeptResults retainedResults; // null if results are not retained over restarts
+    private final RetainedResults retainedResults; // null if results are not retained over restarts
     private final long seed;
     private final int coreUseGaugeIndex;
     private final int runQueueGaugeIndex;
@@ -54,7 +54,7 @@
     private final Slots<InFlight> slots = new Slots<>();
     private final Map<JobId, InFlight> queriesByJob = new HashMap<>();
     // Null until the kernel first reports that it has booted.
-    private Watch choice;
+    private ShadowedChoice choice;
     // Shadow settings, compared beside those in force; null for none.
     private Settings shadowSettings;
     private long lastSerial;
@@ -95,7 +95,7 @@
         kernel = new Kernel(links, linkNumbers, deadlines, counters, this);
         store = new Store(links, linkNumbers, deadlines, counters, this, storeLinks);
         connections = new Connections(links, deadlines, counters, this, settings, connectionLimits);
-        retainedResults = resultStore == null ? null : new KeptResults(this, resultStore);
+        retainedResults = resultStore == null ? null : new RetainedResults(this, resultStore);
         if (retainedResults != null) {
             counters.addGauge("unsettled", retainedResults::unsettledCount);
             counters.addGauge("results_refused_by_disk", retainedResults::unwrittenCount);
@@ -213,7 +213,7 @@
      * @return the query, or null if it was answered at once
      */
     InFlight accept(
-            Answer responder,
+            QueryResponder responder,
             JobId job,
             WorkloadId workload,
             byte[] body,
@@ -322,7 +322,7 @@
         if (choice != null) {
             return;
         }
-        choice = new Watch(this, seed, now - before);
+        choice = new ShadowedChoice(this, seed, now - before);
         choice.setTime(now);
         settings.start(choice, fresh, false, false, false);
         choice.setShadow(shadowSettings, seed, now - before, fresh);
--- a/daemon/src/main/java/tallyweir/backend/Answer.java
+++ b/daemon/src/main/java/tallyweir/backend/QueryResponder.java
@@ -1,7 +1,7 @@
 package tallyweir.backend;
 
 /** Sends the answer to the caller of one query. Exactly one of its methods is called, once. */
-interface Answer {
+interface QueryResponder {
     void handled(byte[] result);
 
     /**
--- a/daemon/src/main/java/tallyweir/backend/KeptResults.java
+++ b/daemon/src/main/java/tallyweir/backend/RetainedResults.java
@@ -7,25 +7,25 @@
 import tallyweir.ids.JobId;
 import tallyweir.ids.QueryId;
 import tallyweir.ids.SubjectId;
-import tallyweir.results.Keeping;
+import tallyweir.results.IdempotencyActions;
 import tallyweir.results.Known;
-import tallyweir.results.Mark;
-import tallyweir.results.Marks;
+import tallyweir.results.IdempotencyKey;
+import tallyweir.results.IdempotencyTracker;
 import tallyweir.results.ResultStore;
 import tallyweir.results.RunId;
 import tallyweir.results.Verdict;
 
 /**
  * Results of queries with an effect, retained over restarts. Connects the queries, the rules that decide what is
- * recorded and who gets it ({@link Marks}), and the result store. Not created where an installation retains none.
+ * recorded and who gets it ({@link IdempotencyTracker}), and the result store. Not created where an installation retains none.
  * Runs on the backend's thread; wall-clock times are tenths of a millisecond since 1970.
  */
-final class KeptResults implements Keeping {
+final class RetainedResults implements IdempotencyActions {
     private static final int MAX_KEYS = 1 << 16;
 
     private final Queries queries;
     private final ResultStore resultStore;
-    private final Marks keys;
+    private final IdempotencyTracker keys;
     // Job ids of the runs in progress.
     private final Map<RunId, JobId> jobsByRun = new HashMap<>();
     // Runs of the previous process, until they are settled.
@@ -34,10 +34,10 @@
     private final Set<RunId> admitted = new HashSet<>();
     private boolean retryScheduled; // whether a retry of refused writes is scheduled
 
-    KeptResults(Queries queries, ResultStore resultStore) {
+    RetainedResults(Queries queries, ResultStore resultStore) {
         this.queries = queries;
         this.resultStore = resultStore;
-        keys = new Marks(this, MAX_KEYS, resultStore.disabledGuards());
+        keys = new IdempotencyTracker(this, MAX_KEYS, resultStore.disabledGuards());
         long number = 0;
         for (ResultStore.StoredResult k : resultStore.intentsAtStart()) {
             RunId run = new RunId(--number);
@@ -74,7 +74,7 @@
 
     /** Looks up the key of an incoming query: whether it is new, a repeat, or in conflict with an earlier body. */
     Verdict lookUp(InFlight inFlight, SubjectId key) {
-        inFlight.resultKey = new Mark(inFlight.workload, key);
+        inFlight.resultKey = new IdempotencyKey(inFlight.workload, key);
         Verdict verdict =
                 keys.onCopyRead(runId(inFlight), inFlight.resultKey, inFlight.bodyDigest(), resultStore.contains(inFlight.resultKey));
         return verdict == Verdict.NEW && !resultStore.hasRoom(jobsByRun.size()) ? Verdict.NO_ROOM : verdict;
@@ -148,14 +148,14 @@
     // ---- requests of the key rules
 
     @Override
-    public void recordIntent(RunId run, Mark mark, long body, long until) {
+    public void recordIntent(RunId run, IdempotencyKey mark, long body, long until) {
         resultStore.recordIntent(mark, jobsByRun.get(run), body, until, good -> {
             keys.onIntentRecorded(run, good);
         });
     }
 
     @Override
-    public void record(RunId run, Mark mark, long body, Known known, byte[] result, long until) {
+    public void record(RunId run, IdempotencyKey mark, long body, Known known, byte[] result, long until) {
         resultStore.record(mark, jobsByRun.get(run), body, known, result, until, good -> {
             keys.onOutcomeRecorded(run, good);
             if (!good && !retryScheduled) {
@@ -166,14 +166,14 @@
     }
 
     @Override
-    public void deleteIntent(RunId run, Mark mark) {
+    public void deleteIntent(RunId run, IdempotencyKey mark) {
         resultStore.deleteIntent(mark, good -> {
             keys.onIntentDeleted(run);
         });
     }
 
     @Override
-    public void readRecord(Mark mark) {
+    public void readRecord(IdempotencyKey mark) {
         resultStore.read(mark, kept -> {
             if (kept == null) {
                 keys.onReadFailed(mark);
--- a/daemon/src/main/java/tallyweir/backend/Watch.java
+++ b/daemon/src/main/java/tallyweir/backend/ShadowedChoice.java
@@ -31,8 +31,8 @@
  * settings in force, and differences are counted by kind. Once one of the two has answered a query, the query is over for
  * both. Called on the deciding thread; times are tenths of a millisecond.
  */
-final class Watch extends Choice {
-    private static final Logger LOG = LoggerFactory.getLogger(Watch.class);
+final class ShadowedChoice extends Choice {
+    private static final Logger LOG = LoggerFactory.getLogger(ShadowedChoice.class);
 
     /**
      * Kinds of differences; the counters show their names. Unless said otherwise, a kind counts actions that only one of the
@@ -111,11 +111,11 @@
     private long now;
     private int depth;
 
-    Watch(Outgoing out, long seed, long now) {
+    ShadowedChoice(Outgoing out, long seed, long now) {
         this(new Recorder(out), seed, now);
     }
 
-    private Watch(Recorder recorder, long seed, long now) {
+    private ShadowedChoice(Recorder recorder, long seed, long now) {
         super(recorder, seed, now);
         inForceRecorder = recorder;
         this.now = now;
--- a/daemon/src/main/java/tallyweir/backend/Store.java
+++ b/daemon/src/main/java/tallyweir/backend/Store.java
@@ -14,7 +14,7 @@
 import tallyweir.ids.JobId;
 import tallyweir.ids.LinkId;
 import tallyweir.store.Calls;
-import tallyweir.store.Replies;
+import tallyweir.store.ReplyReader;
 
 /**
  * Calls to the store. Each is sent at most once, ends once and is timed here. A link carries one call at a time and is reused
@@ -193,9 +193,9 @@
     }
 
     /** One link to a store; it leaves the tables only in release. */
-    private final class StoreLink implements Replies.Sink {
+    private final class StoreLink implements ReplyReader.Sink {
         private final LinkId id = new LinkId(linkIds.getAsLong());
-        private final Replies replies = new Replies(this);
+        private final ReplyReader replies = new ReplyReader(this);
         private final InetSocketAddress address; // from a revision of the fleet, null for the configured address
         private Call call;
         private boolean retired;
--- a/daemon/src/main/java/tallyweir/backend/Rehearsal.java
+++ b/daemon/src/main/java/tallyweir/backend/WarmUp.java
@@ -19,7 +19,7 @@
  * of a core, code that isn't compiled yet costs the first seconds of service: queries stay unread for longer than they
  * may take. The classes loaded here are also those that the class-data archive contains.
  */
-public final class Rehearsal implements Links {
+public final class WarmUp implements Links {
     private static final int QUERY_COUNT = 1_500;
     private static final long QUERY_INTERVAL_TENTHS_MS = 100; // a hundredth of a second on the simulated clock
     private static final long MAX_DURATION_NANOS = 3_000_000_000L;
@@ -32,7 +32,7 @@
     private long now;
     private long noticeNumber;
 
-    private Rehearsal(Config config) {
+    private WarmUp(Config config) {
         backend = new Backend(this, config, now, 0);
         workloads = config.settings.effects().keySet().stream()
                 .map(w -> w.value())
@@ -47,7 +47,7 @@
         Logger log = Logger.getLogger("tallyweir.backend");
         Level before = log.getLevel();
         log.setLevel(Level.OFF);
-        Rehearsal warmUp = new Rehearsal(config);
+        WarmUp warmUp = new WarmUp(config);
         warmUp.run(System.nanoTime() + MAX_DURATION_NANOS);
         log.setLevel(before);
         return warmUp.backend.counters().all();
--- a/daemon/src/main/java/tallyweir/cli/Reload.java
+++ b/daemon/src/main/java/tallyweir/cli/ConfigReloader.java
@@ -9,9 +9,9 @@
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tallyweir.config.BadSetting;
+import tallyweir.config.InvalidSettingException;
 import tallyweir.config.Config;
-import tallyweir.config.Operators;
+import tallyweir.config.OperatorSettings;
 import tallyweir.config.Settings;
 import tallyweir.net.Server;
 
@@ -21,8 +21,8 @@
  * thread. The file is read by that thread only, so that the newer of two versions is applied last. A faulty
  * configuration changes nothing and is read again later.
  */
-final class Reload {
-    private static final Logger LOG = LoggerFactory.getLogger(Reload.class);
+final class ConfigReloader {
+    private static final Logger LOG = LoggerFactory.getLogger(ConfigReloader.class);
     private static final long RETRY_INTERVAL_MS = 250; // a file that was being written is usually complete by then
     private static final int MAX_DOUBLINGS = 7; // then a retry every half minute
     private static final long POLL_INTERVAL_MS = 250;
@@ -36,7 +36,7 @@
     private int consecutiveFaults;
     private String lastFault = "";
 
-    Reload(Server server, Map<String, String> environment) {
+    ConfigReloader(Server server, Map<String, String> environment) {
         this.server = server;
         this.environment = environment;
         Thread t = new Thread(this::run, "configuration");
@@ -124,7 +124,7 @@
 
     /** Logs a fault, but not again while successive attempts fail with the same one. */
     private void logFault(Throwable e) {
-        String message = e instanceof BadSetting ? e.getMessage() : e.toString();
+        String message = e instanceof InvalidSettingException ? e.getMessage() : e.toString();
         if (consecutiveFaults++ == 0 || !message.equals(lastFault)) {
             LOG.atWarn().addKeyValue("fault", message).log("the configuration was not reloaded, the old one stays in force");
         }
@@ -134,8 +134,8 @@
     /** A fault in the operators' shadow settings must not delay new peer addresses, so it is only logged. */
     private void readShadowSettings(Settings inForce) {
         try {
-            server.compareWith(Operators.read(environment).shadowSettings(inForce));
-        } catch (BadSetting e) {
+            server.compareWith(OperatorSettings.read(environment).shadowSettings(inForce));
+        } catch (InvalidSettingException e) {
             LOG.atWarn()
                     .addKeyValue("fault", e.getMessage())
                     .log("the shadow settings were not reloaded, the old ones stay in force");
--- a/daemon/src/main/java/tallyweir/cli/Serve.java
+++ b/daemon/src/main/java/tallyweir/cli/Serve.java
@@ -12,19 +12,19 @@
 import org.slf4j.LoggerFactory;
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
-import tallyweir.backend.Rehearsal;
-import tallyweir.config.BadSetting;
+import tallyweir.backend.WarmUp;
+import tallyweir.config.InvalidSettingException;
 import tallyweir.config.Config;
-import tallyweir.config.Operators;
+import tallyweir.config.OperatorSettings;
 import tallyweir.config.Settings;
 import tallyweir.durable.FileStore;
-import tallyweir.durable.Times;
+import tallyweir.durable.StepTimes;
 import tallyweir.fleet.FleetClients;
 import tallyweir.fleet.FleetException;
 import tallyweir.fleet.Guard;
 import tallyweir.net.Server;
 import tallyweir.results.DurableResultStore;
-import tallyweir.results.Marks;
+import tallyweir.results.IdempotencyTracker;
 import tallyweir.results.Settling;
 
 /** The subcommand that starts one backend and runs it until it is told to shut down. */
@@ -42,17 +42,17 @@
     public static int serve(Map<String, String> environment, PrintStream err) {
         System.setProperty("java.util.logging.SimpleFormatter.format", "%1$tH:%1$tM:%1$tS.%1$tL %4$s %5$s%6$s%n");
         Config config;
-        Operators operators;
+        OperatorSettings operators;
         Settings shadow;
         try {
             config = Config.read(environment);
-            operators = Operators.read(environment);
+            operators = OperatorSettings.read(environment);
             shadow = operators.shadowSettings(config.settings);
-        } catch (BadSetting e) {
+        } catch (InvalidSettingException e) {
             err.println("tallyweir: " + e.getMessage());
             return 2;
         }
-        Leaving shutdownHook = new Leaving(config.shutdownTimeoutTenthsMs / 10, err);
+        ShutdownHook shutdownHook = new ShutdownHook(config.shutdownTimeoutTenthsMs / 10, err);
         Runtime.getRuntime().addShutdownHook(new Thread(shutdownHook, "leave"));
         FileStore store = null;
         try {
@@ -61,12 +61,12 @@
             err.println("tallyweir: the store cannot be opened: " + e.getMessage());
             return 1;
         }
-        Rehearsal.run(config);
+        WarmUp.run(config);
         Server server = createServer(config, operators, store);
         server.compareWith(shadow);
         if (store != null) {
             server.addCounters("durable_", store.store().figures()::toMap);
-            Times times = store.times();
+            StepTimes times = store.times();
             server.addCounters("durable_tenth_ms_", () -> times.toMap(System.nanoTime()));
         }
         try {
@@ -74,7 +74,7 @@
         } catch (FleetException e) {
             err.println("tallyweir: " + e.fault().description() + "; " + e.fault().advice());
             return 1;
-        } catch (BadSetting e) {
+        } catch (InvalidSettingException e) {
             err.println("tallyweir: " + e.getMessage());
             return 2;
         }
@@ -86,7 +86,7 @@
             err.println("tallyweir: cannot listen on " + config.listen + ": " + e.getMessage());
             return 1;
         }
-        Reload reloader = new Reload(server, environment);
+        ConfigReloader reloader = new ConfigReloader(server, environment);
         server.lookAgain(reloader::look);
         // The parent process may ignore the signal (nohup does). That is inherited and the JVM does not change it, so
         // no signal would ever arrive.
@@ -108,14 +108,14 @@
     }
 
     /** Makes the server a member of the fleet, if the operators' file configures one. */
-    private static void joinFleet(Server server, Config config, Operators operators) {
+    private static void joinFleet(Server server, Config config, OperatorSettings operators) {
         if (!operators.inFleet()) {
             return;
         }
         Set<Guard> disabledGuards = disabledGuards("tallyweir.drill.fleet.without", Guard.class);
         FleetClients clients = ServiceLoader.load(FleetClients.class)
                 .findFirst()
-                .orElseThrow(() -> new BadSetting(
+                .orElseThrow(() -> new InvalidSettingException(
                         "fleet needs the program with all its libraries: start it with bin/tallyweir serve"));
         server.joinFleet(
                 operators.openFleet(clients, config.name, config.settings.maxHardLimit(), disabledGuards),
@@ -127,7 +127,7 @@
     }
 
     /** Opens the store; null if none is configured. */
-    private static FileStore openStore(Operators operators) throws IOException {
+    private static FileStore openStore(OperatorSettings operators) throws IOException {
         if (!operators.hasDurableStore()) {
             return null;
         }
@@ -159,7 +159,7 @@
         return disabled;
     }
 
-    private static Server createServer(Config config, Operators operators, FileStore store) {
+    private static Server createServer(Config config, OperatorSettings operators, FileStore store) {
         if (store == null || !operators.retainsResults()) {
             return new Server(config);
         }
@@ -175,7 +175,7 @@
                         store.committer(),
                         deciding,
                         reads,
-                        disabledGuards("tallyweir.drill.without", Marks.Guard.class)));
+                        disabledGuards("tallyweir.drill.without", IdempotencyTracker.Guard.class)));
     }
 
     /**
--- a/daemon/src/main/java/tallyweir/cli/Leaving.java
+++ b/daemon/src/main/java/tallyweir/cli/ShutdownHook.java
@@ -13,7 +13,7 @@
  * server exists, or at the moment it begins to listen. In either case the server does not listen at all, or every
  * caller that could connect is answered.
  */
-final class Leaving implements Runnable {
+final class ShutdownHook implements Runnable {
     private static final long FINAL_COUNTERS_MS = 100; // before the stop; long enough to print the counters
     private static final long MAX_WAIT_AFTER_STOP_MS = 2_000; // after the stop; then the process ends without a kill
 
@@ -26,7 +26,7 @@
     private FileStore store; // null for none
 
     /** @param stopAfterMs milliseconds between the notice to shut down and the kill */
-    Leaving(long stopAfterMs, PrintStream err) {
+    ShutdownHook(long stopAfterMs, PrintStream err) {
         this.stopAfterMs = stopAfterMs;
         this.err = err;
     }
--- a/daemon/src/main/java/tallyweir/config/ChangeFile.java
+++ b/daemon/src/main/java/tallyweir/config/ChangeFile.java
@@ -31,7 +31,7 @@
      *     {@link Fault.BodyFaulty} if the file is not a JSON object
      */
     public static ChangeFile parse(byte[] json) {
-        Tree tree = RevisionFile.parseObject(json);
+        SettingsObject tree = RevisionFile.parseObject(json);
         FaultList faults = new FaultList();
         faults.collectUnknownKeys(tree, PUT, REMOVE);
         EntryReader entriesToPut = new EntryReader(faults);
@@ -55,7 +55,7 @@
         return new ChangeFile(newValues);
     }
 
-    private static void readRemovals(FaultList faults, Tree tree, Set<Key> removed) {
+    private static void readRemovals(FaultList faults, SettingsObject tree, Set<Key> removed) {
         faults.collectUnknownKeys(
                 tree,
                 EntryReader.STORES,
@@ -82,7 +82,7 @@
         }
     }
 
-    private static void readNameRemovals(FaultList faults, Tree tree, String section, Kind kind, Set<Key> removed) {
+    private static void readNameRemovals(FaultList faults, SettingsObject tree, String section, Kind kind, Set<Key> removed) {
         faults.collect(section, () -> {
             for (String name : tree.strings(section)) {
                 faults.collect(REMOVE + "." + section + "." + name, () -> removed.add(new Key(kind, name)));
--- a/daemon/src/main/java/tallyweir/config/Config.java
+++ b/daemon/src/main/java/tallyweir/config/Config.java
@@ -30,10 +30,10 @@
 
     public final Settings settings;
 
-    private Config(Tree root, Map<String, String> environment) {
+    private Config(SettingsObject root, Map<String, String> environment) {
         name = root.string("name", environment.getOrDefault("EDGE_NAME", ""));
         if (!name.matches("[!-~]{1,64}")) {
-            throw new BadSetting(
+            throw new InvalidSettingException(
                     "name is '" + name + "': 1 to 64 printable ASCII characters without spaces are needed");
         }
         listen = parseAddress("listen", root.string("listen", environment.getOrDefault("EDGE_LISTEN", "")));
@@ -51,7 +51,7 @@
     /** Decodes all settings once, into decisions without effect, so that an invalid key is reported at the start. */
     private void validate() {
         if (settings.effects().isEmpty()) {
-            throw new BadSetting("settings.Classes is missing: a list with at least one class is needed");
+            throw new InvalidSettingException("settings.Classes is missing: a list with at least one class is needed");
         }
         settings.start(new Choice(Outgoing.ignoring(), seed, 0), false, false, false, false);
         settings.maxHardLimit();
@@ -63,17 +63,17 @@
     /**
      * Reads the file that EDGE_CONFIG names.
      *
-     * @throws BadSetting if the file cannot be read or has an invalid key
+     * @throws InvalidSettingException if the file cannot be read or has an invalid key
      */
     public static Config read(Map<String, String> environment) {
         String file = environment.get("EDGE_CONFIG");
         if (file == null || file.isEmpty()) {
-            throw new BadSetting("EDGE_CONFIG is not set: the path of the configuration file is needed");
+            throw new InvalidSettingException("EDGE_CONFIG is not set: the path of the configuration file is needed");
         }
         try {
             return parse(Files.readAllBytes(Path.of(file)), environment);
         } catch (IOException e) {
-            throw new BadSetting("EDGE_CONFIG names a file that cannot be read: " + e);
+            throw new InvalidSettingException("EDGE_CONFIG names a file that cannot be read: " + e);
         }
     }
 
@@ -81,22 +81,22 @@
      * Parses the configuration.
      *
      * @param environment supplies EDGE_NAME and EDGE_LISTEN for keys that the file lacks
-     * @throws BadSetting if it is not valid JSON or has an invalid key
+     * @throws InvalidSettingException if it is not valid JSON or has an invalid key
      */
     public static Config parse(byte[] json, Map<String, String> environment) {
         try (JsonParser in = new JsonFactory().createParser(json)) {
             in.nextToken();
-            return new Config(Tree.read(in, ""), environment);
+            return new Config(SettingsObject.read(in, ""), environment);
         } catch (JsonProcessingException e) {
-            throw new BadSetting("the configuration is not valid JSON: " + e.getOriginalMessage());
+            throw new InvalidSettingException("the configuration is not valid JSON: " + e.getOriginalMessage());
         } catch (IOException e) {
-            throw new BadSetting("the configuration cannot be read: " + e);
+            throw new InvalidSettingException("the configuration cannot be read: " + e);
         }
     }
 
     private static long parseSeed(String text) {
         if (!text.matches("[0-9a-fA-F]{1,16}")) {
-            throw new BadSetting("seed is '" + text + "': up to 16 hex digits are needed");
+            throw new InvalidSettingException("seed is '" + text + "': up to 16 hex digits are needed");
         }
         return Long.parseUnsignedLong(text, 16);
     }
@@ -107,12 +107,12 @@
         String host = colon < 0 ? "" : text.substring(0, colon);
         String port = text.substring(colon + 1);
         if (!host.matches("[0-9]{1,3}(\\.[0-9]{1,3}){3}|\\[[0-9a-fA-F:.]+\\]") || !port.matches("[0-9]{1,5}")) {
-            throw new BadSetting(key + " is '" + text + "': a numeric IP address and a port are needed");
+            throw new InvalidSettingException(key + " is '" + text + "': a numeric IP address and a port are needed");
         }
         try {
             return new InetSocketAddress(InetAddress.getByName(host), Integer.parseInt(port));
         } catch (IOException | IllegalArgumentException e) {
-            throw new BadSetting(key + " is '" + text + "': " + e.getMessage());
+            throw new InvalidSettingException(key + " is '" + text + "': " + e.getMessage());
         }
     }
 }
--- a/daemon/src/main/java/tallyweir/config/EntryReader.java
+++ b/daemon/src/main/java/tallyweir/config/EntryReader.java
@@ -35,7 +35,7 @@
     }
 
     /** Reads all sections of an object; any other key is a fault. */
-    void readSections(Tree tree) {
+    void readSections(SettingsObject tree) {
         faults.collectUnknownKeys(tree, STORES, ANNOUNCE, KERNELS, CAPS, STAND_BACK);
         faults.collect(STORES, () -> readStores(tree.children(STORES)));
         faults.collect(ANNOUNCE, () -> readAnnounce(tree));
@@ -44,10 +44,10 @@
         faults.collect(STAND_BACK, () -> readStandBack(tree.strings(STAND_BACK)));
     }
 
-    private void readStores(List<Tree> stores) {
+    private void readStores(List<SettingsObject> stores) {
         for (int i = 0; i < stores.size(); i++) {
             String key = STORES + "[" + i + "]";
-            Tree store = stores.get(i);
+            SettingsObject store = stores.get(i);
             faults.collectUnknownKeys(store, ADDRESS, WEIGHT, WORKLOADS);
             faults.collect(key, () -> store.address(ADDRESS));
             faults.collect(key, () -> readWeight(store));
@@ -56,37 +56,37 @@
         }
     }
 
-    private void readStore(String key, Tree store) {
+    private void readStore(String key, SettingsObject store) {
         Value weight = readWeight(store);
         for (StoreName name : StoreName.of(store.address(ADDRESS), readWorkloads(key, store))) {
             put(key, name.key(), weight);
         }
     }
 
-    private static Value readWeight(Tree store) {
+    private static Value readWeight(SettingsObject store) {
         return new Value.Weight(store.integer(WEIGHT, 1, MAX_WEIGHT, 1));
     }
 
-    private static List<String> readWorkloads(String key, Tree store) {
+    private static List<String> readWorkloads(String key, SettingsObject store) {
         List<String> workloads = store.strings(WORKLOADS);
         workloads.forEach(workload -> StoreName.checkWorkload(key + "." + WORKLOADS, workload));
         return workloads;
     }
 
-    private void readAnnounce(Tree tree) {
+    private void readAnnounce(SettingsObject tree) {
         if (tree.has(ANNOUNCE)) {
             put(ANNOUNCE, new Key(Kind.ANNOUNCE, ""), address(tree.address(ANNOUNCE)));
         }
     }
 
-    private void readKernels(Tree kernels) {
+    private void readKernels(SettingsObject kernels) {
         for (String server : kernels.fieldNames()) {
             String key = KERNELS + "." + server;
             faults.collect(key, () -> put(key, new Key(Kind.KERNEL, server), address(kernels.address(server))));
         }
     }
 
-    private void readCaps(Tree caps) {
+    private void readCaps(SettingsObject caps) {
         for (String tenant : caps.fieldNames()) {
             String key = CAPS + "." + tenant;
             faults.collect(
@@ -103,7 +103,7 @@
 
     private void put(String key, Key entry, Value value) {
         if (entries.put(entry, value) != null) {
-            throw new BadSetting(key + " is a duplicate: the entry " + entry.name() + " is already defined");
+            throw new InvalidSettingException(key + " is a duplicate: the entry " + entry.name() + " is already defined");
         }
     }
 
--- a/daemon/src/main/java/tallyweir/config/FaultList.java
+++ b/daemon/src/main/java/tallyweir/config/FaultList.java
@@ -16,7 +16,7 @@
     void collect(String key, Runnable read) {
         try {
             read.run();
-        } catch (BadSetting | FleetException fault) {
+        } catch (InvalidSettingException | FleetException fault) {
             add(key, fault.getMessage());
         }
     }
@@ -26,7 +26,7 @@
     }
 
     /** Records a fault for each key of an object that is not known. */
-    void collectUnknownKeys(Tree tree, String... knownKeys) {
+    void collectUnknownKeys(SettingsObject tree, String... knownKeys) {
         for (String name : tree.fieldNames()) {
             collect(name, () -> tree.rejectUnknownKey(name, knownKeys));
         }
--- a/daemon/src/main/java/tallyweir/config/BadSetting.java
+++ b/daemon/src/main/java/tallyweir/config/InvalidSettingException.java
@@ -1,10 +1,10 @@
 package tallyweir.config;
 
 /** Thrown for an invalid setting; the message names its key. */
-public final class BadSetting extends RuntimeException {
+public final class InvalidSettingException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    public BadSetting(String message) {
+    public InvalidSettingException(String message) {
         super(message);
     }
 }
--- a/daemon/src/main/java/tallyweir/config/Operators.java
+++ b/daemon/src/main/java/tallyweir/config/OperatorSettings.java
@@ -25,15 +25,15 @@
  * The operators' own settings file, which EDGE_OPERATORS names: settings that do not come from the platform. All parsing,
  * validation and defaults of the file are in this class. A feature whose part is missing is off, and without a file all are.
  */
-public final class Operators {
+public final class OperatorSettings {
     private static final int BYTES_PER_MB = 1 << 20;
 
-    private final Tree durable;
-    private final Tree results;
-    private final Tree shadow;
-    private final Tree fleet;
+    private final SettingsObject durable;
+    private final SettingsObject results;
+    private final SettingsObject shadow;
+    private final SettingsObject fleet;
 
-    private Operators(Tree root) {
+    private OperatorSettings(SettingsObject root) {
         root.rejectUnknownKeys("durable", "results", "watch", "fleet");
         durable = root.has("durable") ? root.child("durable") : null;
         results = root.has("results") ? root.child("results") : null;
@@ -46,7 +46,7 @@
             shadow.rejectUnknownKeys("settings");
         }
         if (results != null && durable == null) {
-            throw new BadSetting("results needs a durable part: the store in which results are retained");
+            throw new InvalidSettingException("results needs a durable part: the store in which results are retained");
         }
         if (durable != null) {
             validateDurable();
@@ -56,9 +56,9 @@
     /**
      * Reads the file that EDGE_OPERATORS names; if the variable is unset, every feature is off.
      *
-     * @throws BadSetting if the file cannot be read or has an invalid key
+     * @throws InvalidSettingException if the file cannot be read or has an invalid key
      */
-    public static Operators read(Map<String, String> environment) {
+    public static OperatorSettings read(Map<String, String> environment) {
         String file = environment.get("EDGE_OPERATORS");
         if (file == null || file.isEmpty()) {
             return parse(new byte[] {'{', '}'});
@@ -66,22 +66,22 @@
         return read(Path.of(file));
     }
 
-    public static Operators read(Path file) {
+    public static OperatorSettings read(Path file) {
         try {
             return parse(Files.readAllBytes(file));
         } catch (IOException e) {
-            throw new BadSetting("the operators' file cannot be read: " + e);
+            throw new InvalidSettingException("the operators' file cannot be read: " + e);
         }
     }
 
-    public static Operators parse(byte[] json) {
+    public static OperatorSettings parse(byte[] json) {
         try (JsonParser in = new JsonFactory().createParser(json)) {
             in.nextToken();
-            return new Operators(Tree.read(in, ""));
+            return new OperatorSettings(SettingsObject.read(in, ""));
         } catch (JsonProcessingException e) {
-            throw new BadSetting("the operators' file is not valid JSON: " + e.getOriginalMessage());
+            throw new InvalidSettingException("the operators' file is not valid JSON: " + e.getOriginalMessage());
         } catch (IOException e) {
-            throw new BadSetting("the operators' file cannot be read: " + e);
+            throw new InvalidSettingException("the operators' file cannot be read: " + e);
         }
     }
 
@@ -106,7 +106,7 @@
 
     /** The voters that replicate the fleet's log: {@code host:port} by name, in the order of the file. */
     public Map<String, String> voters() {
-        Tree voters = fleet.child("voters");
+        SettingsObject voters = fleet.child("voters");
         Map<String, String> addresses = new LinkedHashMap<>();
         voters.fieldNames().forEach(name -> addresses.put(name, voters.string(name)));
         return addresses;
@@ -163,7 +163,7 @@
     private double readFraction(String key, double max, double defaultValue) {
         double is = fleet.number(key, defaultValue);
         if (!(is >= 0 && is <= max)) {
-            throw new BadSetting("fleet." + key + " is " + is + ": 0 to " + max + " is needed");
+            throw new InvalidSettingException("fleet." + key + " is " + is + ": 0 to " + max + " is needed");
         }
         return is;
     }
@@ -190,12 +190,12 @@
         fleet.requireOneOf("when_out", "serve", "stand_back");
         fleetName();
         if (voters().size() != 1 && voters().size() != 3 && voters().size() != 5) {
-            throw new BadSetting(
+            throw new InvalidSettingException(
                     "fleet.voters has " + voters().size() + " entries: 3 or 5 are needed, 1 to try it out");
         }
         voters().forEach((name, address) -> {
             if (!address.matches("[^ :]+:[0-9]{1,5}")) {
-                throw new BadSetting(
+                throw new InvalidSettingException(
                         "fleet.voters." + name + " is '" + address + "': a name or address and a port are needed");
             }
         });
@@ -255,7 +255,7 @@
     public int sectorBytes() {
         int sector = durable.integer("sector_bytes", 512, 65_536, 4_096);
         if (Integer.bitCount(sector) != 1) {
-            throw new BadSetting("durable.sector_bytes is " + sector + ": a power of two is needed");
+            throw new InvalidSettingException("durable.sector_bytes is " + sector + ": a power of two is needed");
         }
         return sector;
     }
@@ -264,7 +264,7 @@
     public double deadShare() {
         double share = durable.number("dead_share", 0.5);
         if (!(share >= 0.1 && share <= 0.9)) {
-            throw new BadSetting("durable.dead_share is " + share + ": 0.1 to 0.9 is needed");
+            throw new InvalidSettingException("durable.dead_share is " + share + ": 0.1 to 0.9 is needed");
         }
         return share;
     }
@@ -274,12 +274,12 @@
         List<Namespace> namespaces = new ArrayList<>();
         Set<String> names = new HashSet<>();
         int i = 0;
-        for (Tree namespace : durable.children("namespaces")) {
+        for (SettingsObject namespace : durable.children("namespaces")) {
             String path = "durable.namespaces[" + i++ + "]";
             namespace.rejectUnknownKeys("name", "bound_mb", "at_bound");
             String whenFull = namespace.string("at_bound", "refuse");
             if (!whenFull.equals("refuse") && !whenFull.equals("drop_oldest")) {
-                throw new BadSetting(path + ".at_bound is '" + whenFull + "': refuse or drop_oldest is needed");
+                throw new InvalidSettingException(path + ".at_bound is '" + whenFull + "': refuse or drop_oldest is needed");
             }
             try {
                 namespaces.add(new Namespace(
@@ -287,17 +287,17 @@
                         namespace.integer("bound_mb", 1, 1 << 20) * (long) BYTES_PER_MB,
                         whenFull.equals("drop_oldest")));
             } catch (IllegalArgumentException e) {
-                throw new BadSetting(path + ".name: " + e.getMessage());
+                throw new InvalidSettingException(path + ".name: " + e.getMessage());
             }
             if (results != null
                     && (namespace.string("name").equals(DurableResultStore.RESULTS)
                             || namespace.string("name").equals(DurableResultStore.INTENTS)
                             || namespace.string("name").equals(Settling.AUDIT))) {
-                throw new BadSetting(
+                throw new InvalidSettingException(
                         path + ".name is '" + namespace.string("name") + "', which belongs to the results part");
             }
             if (!names.add(namespace.string("name"))) {
-                throw new BadSetting(path + ".name is '" + namespace.string("name") + "', which is already defined");
+                throw new InvalidSettingException(path + ".name is '" + namespace.string("name") + "', which is already defined");
             }
         }
         if (results != null) {
@@ -310,7 +310,7 @@
             namespaces.add(new Namespace(Settling.AUDIT, Long.MAX_VALUE, false));
         }
         if (namespaces.size() > Namespace.MAX_NAMESPACES) {
-            throw new BadSetting(
+            throw new InvalidSettingException(
                     "durable.namespaces has " + namespaces.size() + " entries, the maximum is " + Namespace.MAX_NAMESPACES);
         }
         return namespaces;
@@ -332,7 +332,7 @@
                 "upkeep_mb_per_s",
                 "namespaces");
         if (firstCopyDir().equals(secondCopyDir())) {
-            throw new BadSetting("durable.second_dir is where the first copy is: another directory is needed");
+            throw new InvalidSettingException("durable.second_dir is where the first copy is: another directory is needed");
         }
         segmentBytes();
         sectorBytes();
--- a/daemon/src/main/java/tallyweir/config/RevisionFile.java
+++ b/daemon/src/main/java/tallyweir/config/RevisionFile.java
@@ -37,15 +37,15 @@
      *
      * @throws tallyweir.fleet.FleetException with {@link Fault.BodyFaulty} if it is not one
      */
-    static Tree parseObject(byte[] json) {
+    static SettingsObject parseObject(byte[] json) {
         try (JsonParser in = new JsonFactory().createParser(json)) {
             in.nextToken();
-            return Tree.read(in, "");
+            return SettingsObject.read(in, "");
         } catch (JsonProcessingException e) {
             throw new Fault.BodyFaulty("it is not valid JSON: " + e.getOriginalMessage()).toException();
         } catch (IOException e) {
             throw new Fault.BodyFaulty("it cannot be read: " + e).toException();
-        } catch (BadSetting e) {
+        } catch (InvalidSettingException e) {
             // The path of the root is empty, so the message begins with " is".
             throw new Fault.BodyFaulty("it" + e.getMessage()).toException();
         }
--- a/daemon/src/main/java/tallyweir/config/Settings.java
+++ b/daemon/src/main/java/tallyweir/config/Settings.java
@@ -8,9 +8,9 @@
 import java.util.stream.IntStream;
 import tallyweir.Choice;
 import tallyweir.Effect;
-import tallyweir.Halt;
+import tallyweir.CancellationMode;
 import tallyweir.Outgoing;
-import tallyweir.Said;
+import tallyweir.LoadAdvice;
 import tallyweir.ids.TenantId;
 import tallyweir.ids.WorkloadId;
 
@@ -19,19 +19,19 @@
  * methods of {@link Choice} that configure its parts. All times are in tenths of a millisecond.
  */
 public final class Settings {
-    private final Tree root;
-    private final Tree info;
-    private final Tree rules;
+    private final SettingsObject root;
+    private final SettingsObject info;
+    private final SettingsObject rules;
     private final boolean canSuspend;
     private final boolean canDegrade;
     private final boolean canAdvertise;
 
     /** Settings in force: the flags that only shadow settings use are off. */
-    public Settings(Tree root) {
+    public Settings(SettingsObject root) {
         this(root, false, false, false);
     }
 
-    private Settings(Tree root, boolean canSuspend, boolean canDegrade, boolean canAdvertise) {
+    private Settings(SettingsObject root, boolean canSuspend, boolean canDegrade, boolean canAdvertise) {
         this.root = root;
         info = root.child("FamilyInfo");
         rules = root.child("Rules");
@@ -45,9 +45,9 @@
      * feature for which the server's protocol has no message stays off as it is here, unless the given settings change it:
      * the comparison is then meant to show what it would do.
      *
-     * @throws BadSetting if a key is unknown or has an invalid value, or if a class in force is missing
+     * @throws InvalidSettingException if a key is unknown or has an invalid value, or if a class in force is missing
      */
-    Settings withOverrides(Tree overrides) {
+    Settings withOverrides(SettingsObject overrides) {
         overrides.rejectUnknownKeys(
                 "Callers",
                 "Classes",
@@ -58,8 +58,8 @@
                 "RoundUs",
                 "Rules",
                 "Servers");
-        Tree merged = root.overriddenBy(overrides);
-        Tree family = merged.child("FamilyInfo");
+        SettingsObject merged = root.overriddenBy(overrides);
+        SettingsObject family = merged.child("FamilyInfo");
         overrides
                 .child("FamilyInfo")
                 .rejectUnknownKeys(
@@ -103,7 +103,7 @@
         merged.child("Rules").requireAtLeast("FallMultiple", 1);
         merged.child("Rules").requireAtLeast("DrainGraceUs", 0);
         merged.child("Permissions").requireAtLeast("MaxRetryAfterUs", 0);
-        for (Tree c : merged.children("Classes")) {
+        for (SettingsObject c : merged.children("Classes")) {
             c.string("Name");
             c.requireOneOf("Effect", "safe", "keyed", "unsafe");
             c.requireAtLeast("TargetUs", 0);
@@ -114,7 +114,7 @@
                 merged, !family.hasSameValue("Halt", info), !family.hasSameValue("ClassSkipWorth", info), !family.hasSameValue("Signal", info));
         for (WorkloadId id : effects().keySet()) {
             if (!shadow.effects().containsKey(id)) {
-                throw new BadSetting("watch.settings.Classes lacks the class " + id.value() + " that is in force");
+                throw new InvalidSettingException("watch.settings.Classes lacks the class " + id.value() + " that is in force");
             }
         }
         shadow.startShadow(new Choice(Outgoing.ignoring(), 0, 0), false);
@@ -136,7 +136,7 @@
 
     /** Whether the shadow decisions see that a query is a retry; true if the setting is absent. */
     public boolean marksRetries() {
-        Tree callers = root.child("Callers");
+        SettingsObject callers = root.child("Callers");
         return !callers.has("MarksRetry") || callers.isTrue("MarksRetry");
     }
 
@@ -154,19 +154,19 @@
      * @param canAdvertise whether load can be advertised to callers
      */
     public void start(Choice choice, boolean cold, boolean canSuspend, boolean canDegrade, boolean canAdvertise) {
-        Halt mode = cancellationMode();
+        CancellationMode mode = cancellationMode();
         choice.configureMachine(
                 info.integer("Cpus", 1, 1 << 16),
                 rules.number("FallMultiple", 1),
                 cold,
                 rules.number("ColdFrom", 1),
                 rules.timeTenthsMs("ColdUs"),
-                mode == Halt.SUSPEND && !canSuspend ? Halt.OFF : mode);
+                mode == CancellationMode.SUSPEND && !canSuspend ? CancellationMode.OFF : mode);
         choice.configureMemory(info.number("MemLimitKb"), info.number("RunMemFactor", 1), info.number("EntryKb", 0));
         choice.configureCalls(info.number("CallsOut", 0), info.timeTenthsMs("ShareSpanUs"), info.timeTenthsMs("LingerUs") + 1);
-        List<Tree> classes = root.children("Classes");
+        List<SettingsObject> classes = root.children("Classes");
         for (int i = 0; i < classes.size(); i++) {
-            Tree c = classes.get(i);
+            SettingsObject c = classes.get(i);
             choice.addWorkload(
                     new WorkloadId(c.string("Name", "")),
                     effect(c),
@@ -178,16 +178,16 @@
                     info.isTrueAt("ClassCalls", i),
                     canDegrade ? info.numberAt("ClassSkipWorth", i) : 0);
         }
-        for (Tree t : root.children("Projects")) {
+        for (SettingsObject t : root.children("Projects")) {
             choice.addTenant(new TenantId(t.string("Name", "")), t.number("QuotaPerS", 0), (int) root.number("Servers", 1));
         }
         choice.configureAnswers(
                 (long) Math.ceil(root.number("RoundUs", 0) / 100),
                 rules.timeTenthsMs("DrainGraceUs"),
                 root.number("OverShareWorth", 1));
-        Tree permissions = root.child("Permissions");
+        SettingsObject permissions = root.child("Permissions");
         choice.configureCallers(
-                canAdvertise ? loadAdvice() : Said.OFF,
+                canAdvertise ? loadAdvice() : LoadAdvice.OFF,
                 resultCacheDuration(),
                 permissions.isTrue("RetryAfter") ? permissions.timeTenthsMs("MaxRetryAfterUs") : 0);
         choice.configureConnections(maxIdleDuration());
@@ -245,7 +245,7 @@
 
     /** The maximum delay that a caller may be advised to wait before a retry, 0 if it may not be advised. */
     public long maxRetryAfter() {
-        Tree permissions = root.child("Permissions");
+        SettingsObject permissions = root.child("Permissions");
         return permissions.isTrue("RetryAfter") ? permissions.timeTenthsMs("MaxRetryAfterUs") : 0;
     }
 
@@ -262,7 +262,7 @@
         return info.strings("Gauges").indexOf(name);
     }
 
-    private static Effect effect(Tree workload) {
+    private static Effect effect(SettingsObject workload) {
         return switch (workload.string("Effect", "")) {
             case "safe" -> Effect.HARMLESS;
             case "keyed" -> Effect.STAMPED;
@@ -270,15 +270,15 @@
         };
     }
 
-    private Halt cancellationMode() {
+    private CancellationMode cancellationMode() {
         return switch (info.string("Halt", "off")) {
-            case "abort" -> Halt.ABORT;
-            case "suspend" -> Halt.SUSPEND;
-            default -> Halt.OFF;
+            case "abort" -> CancellationMode.ABORT;
+            case "suspend" -> CancellationMode.SUSPEND;
+            default -> CancellationMode.OFF;
         };
     }
 
-    private Said loadAdvice() {
-        return info.string("Signal", "off").equals("threshold") ? Said.THRESHOLD : Said.OFF;
+    private LoadAdvice loadAdvice() {
+        return info.string("Signal", "off").equals("threshold") ? LoadAdvice.THRESHOLD : LoadAdvice.OFF;
     }
 }
--- a/daemon/src/main/java/tallyweir/config/Tree.java
+++ b/daemon/src/main/java/tallyweir/config/SettingsObject.java
@@ -13,13 +13,13 @@
 
 /**
  * A JSON object of settings, read completely into memory. An absent field and a null are the same; a value of the wrong type
- * is refused with a {@link BadSetting} that names its key.
+ * is refused with a {@link InvalidSettingException} that names its key.
  */
-public final class Tree {
+public final class SettingsObject {
     private final String path;
     private final Map<String, Object> fields;
 
-    private Tree(String path, Map<String, Object> fields) {
+    private SettingsObject(String path, Map<String, Object> fields) {
         this.path = path;
         this.fields = fields;
     }
@@ -29,11 +29,11 @@
      *
      * @param path the prefix of its keys in error messages, empty for the root
      */
-    public static Tree read(JsonParser in, String path) throws IOException {
+    public static SettingsObject read(JsonParser in, String path) throws IOException {
         if (in.currentToken() != JsonToken.START_OBJECT) {
-            throw new BadSetting(path + " is not an object");
+            throw new InvalidSettingException(path + " is not an object");
         }
-        return new Tree(path, parseObject(in));
+        return new SettingsObject(path, parseObject(in));
     }
 
     private static Map<String, Object> parseObject(JsonParser in) throws IOException {
@@ -74,7 +74,7 @@
         if (value == null || type.isInstance(value)) {
             return type.cast(value);
         }
-        throw new BadSetting(qualifiedKey(key) + " is not " + what);
+        throw new InvalidSettingException(qualifiedKey(key) + " is not " + what);
     }
 
     private String qualifiedKey(String name) {
@@ -83,26 +83,26 @@
 
     private <T> T require(T value, String what, String name) {
         if (value == null) {
-            throw new BadSetting(qualifiedKey(name) + " is missing: " + what + " is needed");
+            throw new InvalidSettingException(qualifiedKey(name) + " is missing: " + what + " is needed");
         }
         return value;
     }
 
     /** The object under a name, an empty one if it is absent. */
     @SuppressWarnings("unchecked")
-    public Tree child(String name) {
+    public SettingsObject child(String name) {
         Map<String, Object> inner = cast(Map.class, "an object", fields.get(name), name);
-        return new Tree(qualifiedKey(name), inner == null ? Map.of() : inner);
+        return new SettingsObject(qualifiedKey(name), inner == null ? Map.of() : inner);
     }
 
     /** The objects of a list, none if the list is absent. */
     @SuppressWarnings("unchecked")
-    public List<Tree> children(String name) {
-        List<Tree> children = new ArrayList<>();
+    public List<SettingsObject> children(String name) {
+        List<SettingsObject> children = new ArrayList<>();
         List<Object> list = list(name);
         for (int i = 0; i < list.size(); i++) {
             String at = name + "[" + i + "]";
-            children.add(new Tree(qualifiedKey(at), require(cast(Map.class, "an object", list.get(i), at), "an object", at)));
+            children.add(new SettingsObject(qualifiedKey(at), require(cast(Map.class, "an object", list.get(i), at), "an object", at)));
         }
         return children;
     }
@@ -151,7 +151,7 @@
     public int integer(String name, int min, int max) {
         double d = number(name);
         if (d != Math.rint(d) || d < min || d > max) {
-            throw new BadSetting(qualifiedKey(name) + " is " + d + ": an integer from " + min + " to " + max + " is needed");
+            throw new InvalidSettingException(qualifiedKey(name) + " is " + d + ": an integer from " + min + " to " + max + " is needed");
         }
         return (int) d;
     }
@@ -182,13 +182,13 @@
     /** Refuses a key that is not among the known ones. */
     void rejectUnknownKey(String name, String... names) {
         if (!List.of(names).contains(name)) {
-            throw new BadSetting(qualifiedKey(name) + " is unknown: known keys are " + String.join(", ", names));
+            throw new InvalidSettingException(qualifiedKey(name) + " is unknown: known keys are " + String.join(", ", names));
         }
     }
 
     /** A copy in which the fields of the other replace these: nested objects are merged, all other values replaced. */
-    public Tree overriddenBy(Tree other) {
-        return new Tree(other.path, merge(fields, other.fields));
+    public SettingsObject overriddenBy(SettingsObject other) {
+        return new SettingsObject(other.path, merge(fields, other.fields));
     }
 
     @SuppressWarnings("unchecked")
@@ -203,11 +203,11 @@
     }
 
     /** Whether both have an equal value under this name, or neither has one. */
-    public boolean hasSameValue(String name, Tree other) {
+    public boolean hasSameValue(String name, SettingsObject other) {
         return Objects.equals(fields.get(name), other.fields.get(name));
     }
 
-    public boolean equalTo(Tree other) {
+    public boolean equalTo(SettingsObject other) {
         return fields.equals(other.fields);
     }
 
@@ -215,7 +215,7 @@
     public void requireOneOf(String name, String... words) {
         String is = string(name, words[0]);
         if (!List.of(words).contains(is)) {
-            throw new BadSetting(qualifiedKey(name) + " is '" + is + "': one of " + String.join(", ", words) + " is needed");
+            throw new InvalidSettingException(qualifiedKey(name) + " is '" + is + "': one of " + String.join(", ", words) + " is needed");
         }
     }
 
@@ -223,7 +223,7 @@
     public void requireAtLeast(String name, double min) {
         double is = number(name, min);
         if (!(is >= min)) {
-            throw new BadSetting(qualifiedKey(name) + " is " + is + ": at least " + min + " is needed");
+            throw new InvalidSettingException(qualifiedKey(name) + " is " + is + ": at least " + min + " is needed");
         }
     }
 
--- a/daemon/src/main/java/tallyweir/config/StoreName.java
+++ b/daemon/src/main/java/tallyweir/config/StoreName.java
@@ -49,7 +49,7 @@
      * Parses the name of an entry.
      *
      * @param key the key of the file that holds the name, for error messages
-     * @throws BadSetting if the address or a workload is invalid
+     * @throws InvalidSettingException if the address or a workload is invalid
      */
     public static List<StoreName> parse(String key, String name) {
         int blank = name.indexOf(ADDRESS_SEPARATOR);
@@ -69,7 +69,7 @@
     /** Refuses workload names that would be ambiguous within the name of an entry. */
     static void checkWorkload(String key, String workload) {
         if (workload.isEmpty() || !workload.matches("[^\\s\\p{Cntrl},]+")) {
-            throw new BadSetting(key + " names the workload '" + workload
+            throw new InvalidSettingException(key + " names the workload '" + workload
                     + "': it must not be empty or contain blanks, commas or control characters");
         }
     }
--- a/daemon/src/main/java/tallyweir/fastcgi/Bytes.java
+++ b/daemon/src/main/java/tallyweir/fastcgi/BoundedBuffer.java
@@ -4,13 +4,13 @@
 import java.util.Arrays;
 
 /** A growing buffer with a maximum size; bytes that would exceed it are skipped. */
-final class Bytes {
+final class BoundedBuffer {
     private static final byte[] NONE = {};
     private final int maxBytes;
     private byte[] bytes = NONE;
     private int length;
 
-    Bytes(int maxBytes) {
+    BoundedBuffer(int maxBytes) {
         this.maxBytes = maxBytes;
     }
 
--- a/daemon/src/main/java/tallyweir/fastcgi/Reader.java
+++ b/daemon/src/main/java/tallyweir/fastcgi/FastCgiReader.java
@@ -9,7 +9,7 @@
  * An incremental parser of the FastCGI records of one connection, which assembles them to requests. The input may be split
  * at any byte. Every length is limited; a request that exceeds a limit is reported once and the rest of it is skipped.
  */
-public final class Reader {
+public final class FastCgiReader {
     /** The maximum size of the parameters of a request. */
     public static final int MAX_PARAMS_BYTES = 8 << 10;
     /** The maximum size of the body of a request. */
@@ -21,7 +21,7 @@
     /** The maximum number of consecutive bytes that are skipped, so that an endless body does not keep its connection open. */
     static final int MAX_SKIPPED_BYTES = 64 << 20;
 
-    /** Receives the events of the parser. It may call {@link Reader#done} from within. */
+    /** Receives the events of the parser. It may call {@link FastCgiReader#done} from within. */
     public interface Sink {
         /**
          * A request begins.
@@ -31,7 +31,7 @@
         boolean onBegin(RequestId id);
 
         /** A complete request. */
-        void onRequest(RequestId id, Fields fields, byte[] body, boolean keepConnection);
+        void onRequest(RequestId id, RequestFields fields, byte[] body, boolean keepConnection);
 
         /** A request that will not be run but still has to be answered. */
         void onRefused(RequestId id, Refusal reason, boolean keepConnection);
@@ -62,9 +62,9 @@
         boolean keepConnection;
         boolean passedOn; // passed to the sink, as a request or as a refusal; its answer is pending
         boolean paramsComplete;
-        final Bytes params = new Bytes(MAX_PARAMS_BYTES);
-        final Bytes body = new Bytes(MAX_BODY_BYTES);
-        Fields fields;
+        final BoundedBuffer params = new BoundedBuffer(MAX_PARAMS_BYTES);
+        final BoundedBuffer body = new BoundedBuffer(MAX_BODY_BYTES);
+        RequestFields fields;
     }
 
     private final Sink sink;
@@ -73,12 +73,12 @@
     private int headerRead;
     private int contentLeft;
     private int paddingLeft;
-    private final Bytes recordContent =
-            new Bytes(MAX_MANAGEMENT_BYTES); // the content of a record that is handled only when complete
+    private final BoundedBuffer recordContent =
+            new BoundedBuffer(MAX_MANAGEMENT_BYTES); // the content of a record that is handled only when complete
     private long skippedBytes; // consecutive bytes that belong to no request or to one already passed on
     private boolean stopped;
 
-    public Reader(Sink sink) {
+    public FastCgiReader(Sink sink) {
         this.sink = sink;
     }
 
@@ -209,7 +209,7 @@
         try {
             sink.onManagementReply(
                     type() == Records.GET_VALUES
-                            ? Records.getValuesResult(Fields.parsePairs(recordContent.copy()).keySet())
+                            ? Records.getValuesResult(RequestFields.parsePairs(recordContent.copy()).keySet())
                             : Records.unknownType(type()));
         } catch (IllegalArgumentException e) {
             invalidStream("a management record: " + e.getMessage());
@@ -236,7 +236,7 @@
     private void paramsComplete(Request request) {
         request.paramsComplete = true;
         try {
-            request.fields = new Fields(request.params.copy());
+            request.fields = new RequestFields(request.params.copy());
             request.params.clear();
         } catch (IllegalArgumentException e) {
             refuse(request, Refusal.PARAMS);
--- a/daemon/src/main/java/tallyweir/fastcgi/Fields.java
+++ b/daemon/src/main/java/tallyweir/fastcgi/RequestFields.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 
 /** The FastCGI parameters of a request that the server uses; all others are ignored. */
-public final class Fields {
+public final class RequestFields {
     public static final String ID = "HTTP_REQUEST_ID";
     /** When the query was received, in milliseconds of wall-clock time. */
     public static final String RECEIVED_AT = "HTTP_RECEIVED_AT";
@@ -36,7 +36,7 @@
 
     private final Map<String, String> values = new HashMap<>();
 
-    Fields(byte[] params) {
+    RequestFields(byte[] params) {
         parsePairs(params).forEach((name, value) -> {
             if (USED_NAMES.contains(name)) {
                 if (value.length() > MAX_VALUE_LENGTH) {
--- a/daemon/src/main/java/tallyweir/kernel/Notices.java
+++ b/daemon/src/main/java/tallyweir/kernel/NoticeReader.java
@@ -10,7 +10,7 @@
 import tallyweir.ids.JobId;
 
 /** An incremental parser of the kernel's notices, one JSON object per line. The input may be split at any byte. */
-public final class Notices {
+public final class NoticeReader {
     static final int MAX_LINE_BYTES = 64 << 10;
     private static final int MAX_GAUGES = 64;
     private static final byte[] NONE = {};
@@ -57,7 +57,7 @@
     private final ByteArrayOutputStream line = new ByteArrayOutputStream(256);
     private boolean stopped;
 
-    public Notices(Sink sink) {
+    public NoticeReader(Sink sink) {
         this.sink = sink;
     }
 
--- a/daemon/src/main/java/tallyweir/net/Arrivals.java
+++ b/daemon/src/main/java/tallyweir/net/EventQueue.java
@@ -11,7 +11,7 @@
  * each caller in turn. A connection with its maximum of chunks queued is not read until some are taken, so a flood
  * fills only its own connection. A caller that does not read its answers is not read either.
  */
-final class Arrivals {
+final class EventQueue {
     static final int MAX_CALLER_CHUNKS = 2;
     static final int MAX_PEER_CHUNKS = 64; // bounds the memory of an endless reply that is processed too slowly
     static final int MAX_CALLERS_PER_BATCH = 64; // so that events of the peers do not wait for all callers
--- a/daemon/src/main/java/tallyweir/net/Server.java
+++ b/daemon/src/main/java/tallyweir/net/Server.java
@@ -74,7 +74,7 @@
     private static final long MAX_WAIT_TENTHS_MS = 10_000; // upper bound of one wait for events
 
     private Config config;
-    private final Arrivals eventQueue = new Arrivals();
+    private final EventQueue eventQueue = new EventQueue();
     private final ArrayDeque<Runnable> ownEvents = new ArrayDeque<>(); // queued by the decision thread itself
     private final Map<ConnectionId, IoSession> callers = new HashMap<>();
     private final Map<LinkId, Long> connectingSince = new LinkedHashMap<>(); // start of each connection attempt, oldest first
@@ -125,7 +125,7 @@
         try {
             backend = new Backend(this, config, now(), startedAt, resultStoreFactory.create(this::enqueue));
             acceptor = new GatedAcceptor(
-                    new CallersProcessor(processorThreads, failures),
+                    new CallerProcessor(processorThreads, failures),
                     Backend.maxCallerConnections(config.maxSockets),
                     () -> enqueue(backend::connectionLimitReached),
                     failures);
@@ -246,12 +246,12 @@
         }
     }
 
-    static Arrivals.Inbox inbox(IoSession session) {
-        return (Arrivals.Inbox) session.getAttribute(INBOX);
+    static EventQueue.Inbox inbox(IoSession session) {
+        return (EventQueue.Inbox) session.getAttribute(INBOX);
     }
 
-    private static Arrivals.Inbox newInbox(IoSession session) {
-        Arrivals.Inbox inbox = new Arrivals.Inbox(session::suspendRead, () -> resume(session));
+    private static EventQueue.Inbox newInbox(IoSession session) {
+        EventQueue.Inbox inbox = new EventQueue.Inbox(session::suspendRead, () -> resume(session));
         session.setAttribute(INBOX, inbox);
         return inbox;
     }
@@ -383,7 +383,7 @@
                         backend.read(slot, bytes);
                     }
                 });
-                Arrivals.setReadInProgress(inbox(session), false);
+                EventQueue.setReadInProgress(inbox(session), false);
             }
 
             @Override
@@ -476,7 +476,7 @@
                 || !pendingOutput.containsKey(session)
                         && session.getScheduledWriteBytes() == 0
                         && SocketProcessor.unreadBytes((NioSession) session) == 0
-                        && Arrivals.isEmpty(inbox(session))
+                        && EventQueue.isEmpty(inbox(session))
                         && shutdownOutput(session);
     }
 
--- a/daemon/src/main/java/tallyweir/store/Replies.java
+++ b/daemon/src/main/java/tallyweir/store/ReplyReader.java
@@ -4,7 +4,7 @@
 import tallyweir.ids.JobId;
 
 /** An incremental parser of the store's replies. The input may be split at any byte. */
-public final class Replies {
+public final class ReplyReader {
     static final int MAX_LINE_BYTES = 128;
     static final int MAX_BODY_BYTES = 64 << 10;
     private static final byte[] NONE = {};
@@ -30,7 +30,7 @@
     private int bodyRead;
     private boolean stopped;
 
-    public Replies(Sink sink) {
+    public ReplyReader(Sink sink) {
         this.sink = sink;
     }
 
--- a/daemon/src/main/java/tallyweir/wirehost/News.java
+++ b/daemon/src/main/java/tallyweir/wirehost/Event.java
@@ -5,7 +5,7 @@
 import java.io.IOException;
 import tallyweir.Choice;
 import tallyweir.Outcome;
-import tallyweir.config.Tree;
+import tallyweir.config.SettingsObject;
 import tallyweir.ids.CallerId;
 import tallyweir.ids.QueryId;
 import tallyweir.ids.SubjectId;
@@ -14,7 +14,7 @@
 import tallyweir.ids.WorkloadId;
 
 /** One event of a batch: parses its fields, which may come in any order, and passes them to the decisions. */
-final class News {
+final class Event {
     private static final long ABSENT = Long.MIN_VALUE;
 
     private String name;
@@ -34,7 +34,7 @@
     private String workload;
     private String tenant;
     private String outcomeName;
-    private Tree params;
+    private SettingsObject params;
     private double coresBusy;
     private double runQueue;
 
@@ -84,7 +84,7 @@
                 case "Ctx" -> timerId = integer(in, field);
                 case "Nonce64" -> seed = integer(in, field);
                 case "Params" -> {
-                    params = Tree.read(in, "Params");
+                    params = SettingsObject.read(in, "Params");
                 }
                 case "Telemetry" -> readGauges(in);
                 default -> in.skipChildren();
@@ -94,7 +94,7 @@
 
     private void readGauges(JsonParser in) throws IOException {
         if (in.currentToken() != JsonToken.START_OBJECT) {
-            throw new BadInput("Telemetry is not an object");
+            throw new InvalidBatchException("Telemetry is not an object");
         }
         while (in.nextToken() == JsonToken.FIELD_NAME) {
             String gauge = in.currentName();
@@ -115,13 +115,13 @@
      *
      * @param wallUs the time of the batch in microseconds
      */
-    void dispatch(Host instance, long wallUs) {
+    void dispatch(Instance instance, long wallUs) {
         if (name == null) {
-            throw new BadInput("an entry of news lacks its name t");
+            throw new InvalidBatchException("an entry of news lacks its name t");
         }
         if (name.equals("Configure")) {
             if (params == null) {
-                throw new BadInput("Configure lacks the object Params");
+                throw new InvalidBatchException("Configure lacks the object Params");
             }
             instance.configure(params, require(seed, "Nonce64"), wallUs / 100);
             return;
@@ -180,28 +180,28 @@
 
     private long require(long value, String field) {
         if (value == ABSENT) {
-            throw new BadInput(name + " lacks the number " + field);
+            throw new InvalidBatchException(name + " lacks the number " + field);
         }
         return value;
     }
 
     private double require(double value, String field) {
         if (value == ABSENT) {
-            throw new BadInput(name + " lacks the number " + field);
+            throw new InvalidBatchException(name + " lacks the number " + field);
         }
         return value;
     }
 
     private String require(String value, String field) {
         if (value == null) {
-            throw new BadInput(name + " lacks the string " + field);
+            throw new InvalidBatchException(name + " lacks the string " + field);
         }
         return value;
     }
 
     private static long integer(JsonParser in, String field) throws IOException {
         if (in.currentToken() != JsonToken.VALUE_NUMBER_INT) {
-            throw new BadInput(field + " is not an integer");
+            throw new InvalidBatchException(field + " is not an integer");
         }
         return in.getNumberType() == JsonParser.NumberType.BIG_INTEGER
                 ? in.getBigIntegerValue().longValue()
@@ -210,14 +210,14 @@
 
     private static double number(JsonParser in, String field) throws IOException {
         if (!in.currentToken().isNumeric()) {
-            throw new BadInput(field + " is not a number");
+            throw new InvalidBatchException(field + " is not a number");
         }
         return in.getDoubleValue();
     }
 
     private static String string(JsonParser in, String field) throws IOException {
         if (in.currentToken() != JsonToken.VALUE_STRING) {
-            throw new BadInput(field + " is not a string");
+            throw new InvalidBatchException(field + " is not a string");
         }
         return in.getText();
     }
--- a/daemon/src/main/java/tallyweir/wirehost/Host.java
+++ b/daemon/src/main/java/tallyweir/wirehost/Instance.java
@@ -6,18 +6,18 @@
 import tallyweir.Choice;
 import tallyweir.Outgoing;
 import tallyweir.config.Settings;
-import tallyweir.config.Tree;
+import tallyweir.config.SettingsObject;
 import tallyweir.ids.QueryId;
 import tallyweir.ids.TimerId;
 
 /** One hosted instance of the decisions: its {@link Choice}, whose actions are written into the reply to a batch. */
-final class Host implements Outgoing {
+final class Instance implements Outgoing {
     private final int backend;
     private Choice choice;
     private JsonGenerator reply;
     private boolean groupStarted;
 
-    Host(int backend) {
+    Instance(int backend) {
         this.backend = backend;
     }
 
@@ -48,7 +48,7 @@
      *
      * @param now the time in tenths of a millisecond
      */
-    void configure(Tree params, long seed, long now) {
+    void configure(SettingsObject params, long seed, long now) {
         Settings settings = new Settings(params);
         choice = new Choice(this, seed, now);
         settings.start(choice, settings.startsCold(), true, true, true);
--- a/daemon/src/main/java/tallyweir/wirehost/BadInput.java
+++ b/daemon/src/main/java/tallyweir/wirehost/InvalidBatchException.java
@@ -1,10 +1,10 @@
 package tallyweir.wirehost;
 
 /** Thrown for a line that is not a valid batch; the message names the field. */
-final class BadInput extends RuntimeException {
+final class InvalidBatchException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    BadInput(String message) {
+    InvalidBatchException(String message) {
         super(message);
     }
 }
--- a/daemon/src/main/java/tallyweir/wirehost/Lines.java
+++ b/daemon/src/main/java/tallyweir/wirehost/LineReader.java
@@ -5,7 +5,7 @@
 import java.util.Arrays;
 
 /** Reads lines of any length as bytes into one array, which is reused. */
-final class Lines {
+final class LineReader {
     private final InputStream in;
     private final byte[] chunk = new byte[1 << 16];
     private byte[] line = new byte[1 << 16];
@@ -13,7 +13,7 @@
     private int position;
     private int limit;
 
-    Lines(InputStream in) {
+    LineReader(InputStream in) {
         this.in = in;
     }
 
--- a/daemon/src/main/java/tallyweir/wirehost/WireHost.java
+++ b/daemon/src/main/java/tallyweir/wirehost/WireHost.java
@@ -16,7 +16,7 @@
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
-import tallyweir.config.BadSetting;
+import tallyweir.config.InvalidSettingException;
 
 /**
  * Hosts any number of instances of the decisions behind a line protocol: reads batches of events, one JSON object per line,
@@ -27,16 +27,16 @@
             .streamReadConstraints(
                     StreamReadConstraints.builder().maxStringLength(1 << 24).build())
             .build();
-    private final Map<Integer, Host> instances = new HashMap<>();
+    private final Map<Integer, Instance> instances = new HashMap<>();
     private final ByteArrayOutputStream buffer = new ByteArrayOutputStream(1 << 16);
-    private final News event = new News();
+    private final Event event = new Event();
 
     private WireHost() {}
 
     /** Serves until the input ends; the exit code is 0 then, and 1 after an invalid batch or a failure of input or output. */
     public static int serve(InputStream in, OutputStream out, PrintStream err) {
         WireHost host = new WireHost();
-        Lines lines = new Lines(new BufferedInputStream(in, 1 << 16));
+        LineReader lines = new LineReader(new BufferedInputStream(in, 1 << 16));
         long lineNumber = 0;
         try {
             while (lines.readLine()) {
@@ -51,7 +51,7 @@
                 out.flush();
             }
             return 0;
-        } catch (BadInput | BadSetting e) {
+        } catch (InvalidBatchException | InvalidSettingException e) {
             err.println("tallyweir: line " + lineNumber + ": " + e.getMessage());
         } catch (JsonProcessingException e) {
             err.println("tallyweir: line " + lineNumber + ": not a valid batch: " + e.getOriginalMessage());
@@ -65,7 +65,7 @@
         try (JsonParser in = jsonFactory.createParser(line, 0, length);
                 JsonGenerator reply = jsonFactory.createGenerator(buffer)) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
-                throw new BadInput("a batch must be an object");
+                throw new InvalidBatchException("a batch must be an object");
             }
             reply.writeStartObject();
             reply.writeArrayFieldStart("groups");
@@ -87,13 +87,13 @@
                 }
             }
             if (wallUs < 0) {
-                throw new BadInput("the batch lacks the time WallUs");
+                throw new InvalidBatchException("the batch lacks the time WallUs");
             }
             if (!hasGroups) {
-                throw new BadInput("the batch lacks the array groups");
+                throw new InvalidBatchException("the batch lacks the array groups");
             }
             if (in.nextToken() != null) {
-                throw new BadInput("unexpected text after the batch");
+                throw new InvalidBatchException("unexpected text after the batch");
             }
             reply.writeEndArray();
             reply.writeEndObject();
@@ -112,16 +112,16 @@
                 in.skipChildren();
             }
         }
-        throw new BadInput("the batch lacks the time WallUs");
+        throw new InvalidBatchException("the batch lacks the time WallUs");
     }
 
     private void handleGroups(JsonParser in, JsonGenerator reply, long wallUs) throws IOException {
         Set<Integer> seen = new HashSet<>();
         while (in.nextToken() != JsonToken.END_ARRAY) {
             if (in.currentToken() != JsonToken.START_OBJECT) {
-                throw new BadInput("an entry of groups is not an object");
+                throw new InvalidBatchException("an entry of groups is not an object");
             }
-            Host instance = null;
+            Instance instance = null;
             boolean hasEvents = false;
             while (in.nextToken() == JsonToken.FIELD_NAME) {
                 String name = in.currentName();
@@ -129,18 +129,18 @@
                 if (name.equals("Backend") && value == JsonToken.VALUE_NUMBER_INT) {
                     int backend = in.getIntValue();
                     if (!seen.add(backend)) {
-                        throw new BadInput("Backend " + backend + " occurs twice in groups");
+                        throw new InvalidBatchException("Backend " + backend + " occurs twice in groups");
                     }
-                    instance = instances.computeIfAbsent(backend, Host::new);
+                    instance = instances.computeIfAbsent(backend, Instance::new);
                 } else if (name.equals("news") && value == JsonToken.START_ARRAY) {
                     if (instance == null) {
-                        throw new BadInput("an entry of groups lacks Backend before its news");
+                        throw new InvalidBatchException("an entry of groups lacks Backend before its news");
                     }
                     hasEvents = true;
                     instance.beginReply(reply);
                     while (in.nextToken() != JsonToken.END_ARRAY) {
                         if (in.currentToken() != JsonToken.START_OBJECT) {
-                            throw new BadInput("an entry of news is not an object");
+                            throw new InvalidBatchException("an entry of news is not an object");
                         }
                         event.read(in);
                         dispatch(instance, wallUs);
@@ -151,18 +151,18 @@
                 }
             }
             if (instance == null) {
-                throw new BadInput("an entry of groups lacks the number Backend");
+                throw new InvalidBatchException("an entry of groups lacks the number Backend");
             }
             if (!hasEvents) {
-                throw new BadInput("an entry of groups lacks the array news");
+                throw new InvalidBatchException("an entry of groups lacks the array news");
             }
         }
     }
 
-    private void dispatch(Host instance, long wallUs) {
+    private void dispatch(Instance instance, long wallUs) {
         try {
             event.dispatch(instance, wallUs);
-        } catch (BadInput | BadSetting e) {
+        } catch (InvalidBatchException | InvalidSettingException e) {
             throw e;
         } catch (RuntimeException e) {
             instance.reportFault(e + " at " + (e.getStackTrace().length > 0 ? e.getStackTrace()[0] : "?"));
--- a/daemon/src/test/java/tallyweir/BackendTest.java
+++ b/daemon/src/test/java/tallyweir/BackendTest.java
@@ -29,7 +29,7 @@
 import tallyweir.backend.Backend;
 import tallyweir.backend.Links;
 import tallyweir.backend.Peer;
-import tallyweir.backend.Rehearsal;
+import tallyweir.backend.WarmUp;
 import tallyweir.config.Config;
 import tallyweir.ids.ConnectionId;
 import tallyweir.ids.LinkId;
@@ -1210,7 +1210,7 @@
     /** A warm-up that fails halfway leaves code uncompiled, so that the first real queries are read late. */
     @Test
     void warmUpRunsToTheEnd() {
-        Map<String, Long> played = Rehearsal.run(Config.parse(CONFIG.getBytes(UTF_8), Map.of()));
+        Map<String, Long> played = WarmUp.run(Config.parse(CONFIG.getBytes(UTF_8), Map.of()));
         assertEquals(
                 List.of(0L, 0L, 0L),
                 List.of(played.get("faults"), played.get("queries_malformed"), played.get("runs_not_done")));
--- a/daemon/src/test/java/tallyweir/ParsersTest.java
+++ b/daemon/src/test/java/tallyweir/ParsersTest.java
@@ -17,14 +17,14 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
 import org.junit.jupiter.api.Test;
-import tallyweir.fastcgi.Fields;
-import tallyweir.fastcgi.Reader;
+import tallyweir.fastcgi.RequestFields;
+import tallyweir.fastcgi.FastCgiReader;
 import tallyweir.ids.JobId;
 import tallyweir.ids.RequestId;
 import tallyweir.kernel.Commands;
-import tallyweir.kernel.Notices;
+import tallyweir.kernel.NoticeReader;
 import tallyweir.store.Calls;
-import tallyweir.store.Replies;
+import tallyweir.store.ReplyReader;
 
 /** The parsers give the same events however the bytes are split, limit every length and report invalid input. */
 class ParsersTest {
@@ -41,23 +41,23 @@
 
     // ---- FastCGI
 
-    private Reader reader(boolean answersAtOnce) {
-        Reader[] reader = {null};
-        reader[0] = new Reader(new Reader.Sink() {
+    private FastCgiReader reader(boolean answersAtOnce) {
+        FastCgiReader[] reader = {null};
+        reader[0] = new FastCgiReader(new FastCgiReader.Sink() {
             @Override
             public boolean onBegin(RequestId id) {
                 return true;
             }
 
             @Override
-            public void onRequest(RequestId id, Fields fields, byte[] body, boolean keep) {
-                out.add("request " + id.value() + " " + fields.string(Fields.PATH) + " " + new String(body, ISO_8859_1)
+            public void onRequest(RequestId id, RequestFields fields, byte[] body, boolean keep) {
+                out.add("request " + id.value() + " " + fields.string(RequestFields.PATH) + " " + new String(body, ISO_8859_1)
                         + " " + keep);
                 done(id);
             }
 
             @Override
-            public void onRefused(RequestId id, Reader.Refusal reason, boolean keep) {
+            public void onRefused(RequestId id, FastCgiReader.Refusal reason, boolean keep) {
                 out.add("refused " + id.value() + " " + reason);
                 done(id);
             }
@@ -101,7 +101,7 @@
         byte[] stream = {};
         for (int i = 0; i < 5; i++) {
             int id = 1 + random.nextInt(0xffff);
-            String body = "b".repeat(random.nextInt(3) == 0 ? 0 : random.nextInt(Reader.MAX_BODY_BYTES + 1));
+            String body = "b".repeat(random.nextInt(3) == 0 ? 0 : random.nextInt(FastCgiReader.MAX_BODY_BYTES + 1));
             stream = Model.join(
                     stream,
                     Model.request(
@@ -115,7 +115,7 @@
                             "o".repeat(random.nextInt(300))));
             expected.add("request " + id + " /do/x" + i + " " + body + " true");
         }
-        Reader reader = reader(true);
+        FastCgiReader reader = reader(true);
         out.clear();
         split(stream, seed, reader::read);
         assertEquals(expected, out);
@@ -143,10 +143,10 @@
         for (int i = random.nextInt(12); i > 0; i--) {
             stream[random.nextInt(stream.length)] = (byte) random.nextInt();
         }
-        Reader reader = reader(random.nextInt(2) == 0);
+        FastCgiReader reader = reader(random.nextInt(2) == 0);
         out.clear();
         split(stream, seed, reader::read);
-        assertTrue(reader.openCount() <= Reader.MAX_OPEN_REQUESTS);
+        assertTrue(reader.openCount() <= FastCgiReader.MAX_OPEN_REQUESTS);
         assertTrue(
                 out.stream().filter(o -> o.startsWith("bad")).count() <= 1,
                 "no further event after the stream is invalid");
@@ -171,10 +171,10 @@
         String accepted = "request 1 /do/a x true";
         assertEquals(
                 List.of("refused 1 TOO_BIG", accepted),
-                parseRequests(Model.request(1, new byte[Reader.MAX_BODY_BYTES + 1], false, 9, "SCRIPT_NAME", "/do/a"), next));
+                parseRequests(Model.request(1, new byte[FastCgiReader.MAX_BODY_BYTES + 1], false, 9, "SCRIPT_NAME", "/do/a"), next));
         assertEquals(
                 List.of("refused 1 TOO_BIG", accepted),
-                parseRequests(Model.request(1, new byte[0], true, 0, "A", "a".repeat(Reader.MAX_PARAMS_BYTES)), next));
+                parseRequests(Model.request(1, new byte[0], true, 0, "A", "a".repeat(FastCgiReader.MAX_PARAMS_BYTES)), next));
         byte[] begin = Model.record(1, 1, 0, new byte[] {0, 1, 1, 0, 0, 0, 0, 0});
         assertEquals(
                 List.of("refused 1 PARAMS", accepted),
@@ -196,7 +196,7 @@
      */
     @Test
     void bytesOfNoRequestAreSkippedUpToALimit() {
-        Reader reader = reader(true);
+        FastCgiReader reader = reader(true);
         byte[] chunk = Model.record(5, 1, 0, new byte[60_000]);
         reader.read(ByteBuffer.wrap(Model.record(1, 1, 0, new byte[] {0, 1, 1, 0, 0, 0, 0, 0})));
         for (int i = 0; i < 1_000; i++) {
@@ -213,11 +213,11 @@
 
     @Test
     void openRequestsOfAConnectionAreLimited() {
-        Reader reader = reader(false);
-        for (int id = 1; id <= Reader.MAX_OPEN_REQUESTS + 1; id++) {
+        FastCgiReader reader = reader(false);
+        for (int id = 1; id <= FastCgiReader.MAX_OPEN_REQUESTS + 1; id++) {
             reader.read(ByteBuffer.wrap(Model.record(1, id, 0, new byte[] {0, 1, 1, 0, 0, 0, 0, 0})));
         }
-        assertEquals(List.of("refused " + (Reader.MAX_OPEN_REQUESTS + 1) + " OVERLOADED"), out);
+        assertEquals(List.of("refused " + (FastCgiReader.MAX_OPEN_REQUESTS + 1) + " OVERLOADED"), out);
     }
 
     @Test
@@ -244,7 +244,7 @@
 
     // ---- the kernel
 
-    private final Notices notices = new Notices(new Notices.Sink() {
+    private final NoticeReader notices = new NoticeReader(new NoticeReader.Sink() {
         @Override
         public void onBooted(boolean coldStart, long uptime) {
             out.add("booted " + coldStart + " " + uptime);
@@ -336,8 +336,8 @@
 
     // ---- the store
 
-    private Replies replies() {
-        return new Replies(new Replies.Sink() {
+    private ReplyReader replies() {
+        return new ReplyReader(new ReplyReader.Sink() {
             @Override
             public void onReply(JobId job, String word, byte[] body) {
                 out.add(job.value() + " " + word + " " + new String(body, ISO_8859_1));
@@ -363,7 +363,7 @@
 
     @Test
     void oversizedAndUnterminatedRepliesAreReportedOnce() {
-        Replies replies = replies();
+        ReplyReader replies = replies();
         replies.read(ByteBuffer.wrap("a OK 3\r\nabcde".getBytes(UTF_8)));
         replies.read(ByteBuffer.wrap("b BUSY\r\n".getBytes(UTF_8)));
         assertEquals(List.of("bad"), out);
--- a/daemon/src/test/java/tallyweir/KeptResultsTest.java
+++ b/daemon/src/test/java/tallyweir/RetainedResultsTest.java
@@ -14,18 +14,18 @@
 import tallyweir.BackendTest.Simulation;
 import tallyweir.ids.JobId;
 import tallyweir.results.Known;
-import tallyweir.results.Mark;
+import tallyweir.results.IdempotencyKey;
 import tallyweir.results.ResultStore;
 
 /** The backend with results retained over restarts, between simulated kernel, sidecars and disk. */
-class KeptResultsTest {
+class RetainedResultsTest {
     /** A result store whose writes stay pending until the test completes or refuses them. */
     private static final class Disk implements ResultStore {
-        private final Map<Mark, StoredResult> written = new HashMap<>();
+        private final Map<IdempotencyKey, StoredResult> written = new HashMap<>();
         private final ArrayDeque<Consumer<Boolean>> pending = new ArrayDeque<>();
         private boolean full;
 
-        private void write(Mark key, StoredResult kept, Consumer<Boolean> done) {
+        private void write(IdempotencyKey key, StoredResult kept, Consumer<Boolean> done) {
             pending.add(good -> {
                 if (good && kept == null) {
                     written.remove(key);
@@ -44,7 +44,7 @@
         }
 
         @Override
-        public boolean contains(Mark key) {
+        public boolean contains(IdempotencyKey key) {
             return written.containsKey(key);
         }
 
@@ -54,23 +54,23 @@
         }
 
         @Override
-        public void recordIntent(Mark key, JobId job, long body, long until, Consumer<Boolean> done) {
+        public void recordIntent(IdempotencyKey key, JobId job, long body, long until, Consumer<Boolean> done) {
             write(key, new StoredResult(key, job, body, null, null, now, until), done);
         }
 
         @Override
         public void record(
-                Mark key, JobId job, long body, Known known, byte[] result, long until, Consumer<Boolean> done) {
+                IdempotencyKey key, JobId job, long body, Known known, byte[] result, long until, Consumer<Boolean> done) {
             write(key, new StoredResult(key, job, body, known, result, now, until), done);
         }
 
         @Override
-        public void deleteIntent(Mark key, Consumer<Boolean> done) {
+        public void deleteIntent(IdempotencyKey key, Consumer<Boolean> done) {
             write(key, null, done);
         }
 
         @Override
-        public void read(Mark key, Consumer<StoredResult> then) {
+        public void read(IdempotencyKey key, Consumer<StoredResult> then) {
             StoredResult kept = written.get(key);
             pending.add(good -> then.accept(good ? kept : null));
         }
--- a/daemon/src/test/java/tallyweir/ServerTest.java
+++ b/daemon/src/test/java/tallyweir/ServerTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import tallyweir.config.BadSetting;
+import tallyweir.config.InvalidSettingException;
 import tallyweir.config.Config;
 import tallyweir.net.Server;
 
@@ -57,7 +57,7 @@
     private static void assertFaulty(String from, String to, String key) {
         String text = BackendTest.CONFIG.replace(from, to);
         assertTrue(!text.equals(BackendTest.CONFIG), from);
-        BadSetting e = assertThrows(BadSetting.class, () -> Config.parse(text.getBytes(UTF_8), Map.of()));
+        InvalidSettingException e = assertThrows(InvalidSettingException.class, () -> Config.parse(text.getBytes(UTF_8), Map.of()));
         assertTrue(e.getMessage().contains(key), e.getMessage());
     }
 
@@ -78,7 +78,7 @@
         assertFaulty("\"QuotaPerS\":80", "\"QuotaPerS\":[]", "settings.Projects[0].QuotaPerS");
         assertFaulty("\"Rules\":{", "\"Rules\":[{", "JSON");
         assertNull(Config.parse(CONFIG_WITHOUT_STORE.getBytes(UTF_8), Map.of()).store);
-        BadSetting e = assertThrows(BadSetting.class, () -> Config.read(Map.of()));
+        InvalidSettingException e = assertThrows(InvalidSettingException.class, () -> Config.read(Map.of()));
         assertTrue(e.getMessage().contains("EDGE_CONFIG"));
     }
 
--- a/daemon/src/test/java/tallyweir/WatchTest.java
+++ b/daemon/src/test/java/tallyweir/ShadowSettingsTest.java
@@ -18,20 +18,20 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import tallyweir.BackendTest.Simulation;
-import tallyweir.config.BadSetting;
+import tallyweir.config.InvalidSettingException;
 import tallyweir.config.Config;
-import tallyweir.config.Operators;
+import tallyweir.config.OperatorSettings;
 import tallyweir.config.Settings;
 
 /** Shadow settings beside those in force: differences are counted, and nothing else is affected. */
-class WatchTest {
+class ShadowSettingsTest {
     private static final String SHADOW_SETTINGS = """
             {"Callers":{"MarksRetry":false},"Rules":{"FallMultiple":5},"Permissions":{"MaxRetryAfterUs":200000},
              "FamilyInfo":{"PassesDeadline":false,"TellsGone":false,"Signal":"threshold","Halt":"suspend","CallsOut":0.05,
               "ClassSkipWorth":[0.3,0,0],"IdleUs":3000000,"MemLimitKb":1500}}""";
 
     private static Settings parseShadow(String shadowSettings) {
-        return Operators.parse((shadowSettings == null ? "{}" : "{\"watch\":{\"settings\":" + shadowSettings + "}}").getBytes(UTF_8))
+        return OperatorSettings.parse((shadowSettings == null ? "{}" : "{\"watch\":{\"settings\":" + shadowSettings + "}}").getBytes(UTF_8))
                 .shadowSettings(Config.parse(BackendTest.CONFIG.getBytes(UTF_8), Map.of()).settings);
     }
 
@@ -167,7 +167,7 @@
             {"Classes":[{"Name":"c","Effect":"safe"}]};  watch.settings.Classes lacks the class
             """)
     void aFaultyKeyIsNamed(String shadowSettings, String expected) {
-        String message = assertThrows(BadSetting.class, () -> parseShadow(shadowSettings)).getMessage();
+        String message = assertThrows(InvalidSettingException.class, () -> parseShadow(shadowSettings)).getMessage();
         assertTrue(message.contains(expected), message);
     }
 }
--- a/daemon/src/test/java/tallyweir/CrossingsTest.java
+++ b/daemon/src/test/java/tallyweir/SocketRaceTest.java
@@ -36,7 +36,7 @@
 /**
  * Races between two events on real sockets. Each is forced by holding the decision thread while the other side acts.
  */
-class CrossingsTest {
+class SocketRaceTest {
     private static final byte[] MALFORMED = {7, 7, 7, 7, 7, 7, 7, 7};
 
     private ServerSocket kernelListener;
--- a/daemon/src/test/java/tallyweir/backend/FleetMembershipTest.java
+++ b/daemon/src/test/java/tallyweir/backend/FleetMembershipTest.java
@@ -45,8 +45,8 @@
     private static final long LEASE_TENTHS_MS = 100_000;
     private static final long REPORT_INTERVAL_TENTHS_MS = 1_000;
 
-    private final IdleLinks links = new IdleLinks();
-    private final RecordedFleetClient client = new RecordedFleetClient();
+    private final RecordingLinks links = new RecordingLinks();
+    private final RecordingFleetClient client = new RecordingFleetClient();
     private final Deque<Runnable> callbacks = new ArrayDeque<>(); // callbacks for the deciding thread
     private final Backend backend;
     private long now = 1_000_000;
@@ -81,7 +81,7 @@
         }
     }
 
-    private void answer(RecordedFleetClient.Sent sent) {
+    private void answer(RecordingFleetClient.Sent sent) {
         if (sent.command() instanceof Command.Join join) {
             assertEquals("test", join.fleet());
             sent.answer(new Answer.Joined(new Incarnation(1), 4, 0.5, REPORT_INTERVAL_TENTHS_MS));
@@ -101,7 +101,7 @@
         inForce = revision(1, FIRST_TABLE);
         runRounds(5_000);
         assertEquals(RevisionId.NONE, lastReport().actingRevision(), "it does not act on a revision before it has its table");
-        RecordedFleetClient.Fetch fetch = client.fetches.poll();
+        RecordingFleetClient.Fetch fetch = client.fetches.poll();
         assertEquals(Table.EMPTY.root(), fetch.have().root());
         assertEquals(inForce, fetch.wanted());
         fetch.answer(FIRST_TABLE);
@@ -120,7 +120,7 @@
         Table second = FIRST_TABLE.apply(List.of(new Change(cap, FIRST_TABLE.get(cap), Optional.of(new Value.Cap(4)))));
         proposed = revision(2, second);
         runRounds(5_000);
-        RecordedFleetClient.Fetch fetch = client.fetches.poll();
+        RecordingFleetClient.Fetch fetch = client.fetches.poll();
         assertEquals(FIRST_TABLE.root(), fetch.have().root());
         fetch.answer(second);
         runRounds(5_000);
--- a/daemon/src/test/java/tallyweir/backend/RecordedFleetClient.java
+++ b/daemon/src/test/java/tallyweir/backend/RecordingFleetClient.java
@@ -14,7 +14,7 @@
 import tallyweir.fleet.table.Table;
 
 /** Records commands and fetches, which the test answers. */
-final class RecordedFleetClient implements FleetClient {
+final class RecordingFleetClient implements FleetClient {
     /** A command without an answer yet. */
     record Sent(Command command, Executor executor, Consumer<Answer> onAnswer, Runnable onFailure) {
         void answer(Answer answer) {
--- a/daemon/src/test/java/tallyweir/backend/IdleLinks.java
+++ b/daemon/src/test/java/tallyweir/backend/RecordingLinks.java
@@ -5,7 +5,7 @@
 import tallyweir.ids.LinkId;
 
 /** Links that send nothing and record the addresses that a revision routes them to. */
-final class IdleLinks implements Links {
+final class RecordingLinks implements Links {
     InetSocketAddress kernel;
     InetSocketAddress announce;
     int routeCount;
--- a/daemon/src/test/java/tallyweir/cli/LeavingTest.java
+++ b/daemon/src/test/java/tallyweir/cli/ShutdownHookTest.java
@@ -18,9 +18,9 @@
 import tallyweir.net.Server;
 
 /** The notice to shut down before the server listens, and just after. */
-class LeavingTest {
+class ShutdownHookTest {
     private final ByteArrayOutputStream output = new ByteArrayOutputStream();
-    private final Leaving hook = new Leaving(200, new PrintStream(output, true, UTF_8));
+    private final ShutdownHook hook = new ShutdownHook(200, new PrintStream(output, true, UTF_8));
 
     /** A server that was notified during its warm-up would begin to listen, and then end with requests unanswered. */
     @Test
--- a/daemon/src/test/java/tallyweir/config/OperatorsTest.java
+++ b/daemon/src/test/java/tallyweir/config/OperatorSettingsTest.java
@@ -19,20 +19,20 @@
 import tallyweir.durable.FileStore;
 import tallyweir.durable.Namespace;
 
-class OperatorsTest {
-    private static Operators parse(String json) {
-        return Operators.parse(json.getBytes(UTF_8));
+class OperatorSettingsTest {
+    private static OperatorSettings parse(String json) {
+        return OperatorSettings.parse(json.getBytes(UTF_8));
     }
 
     @Test
     void everythingIsOffWithoutAFile() {
-        assertFalse(Operators.read(Map.of()).hasDurableStore());
+        assertFalse(OperatorSettings.read(Map.of()).hasDurableStore());
         assertFalse(parse("{}").hasDurableStore());
     }
 
     @Test
     void exampleIsValid() {
-        Operators o = Operators.read(Path.of("../deploy/operators.example.json"));
+        OperatorSettings o = OperatorSettings.read(Path.of("../deploy/operators.example.json"));
         assertTrue(o.hasDurableStore());
         assertEquals(
                 List.of(
@@ -73,13 +73,13 @@
             {;                                                             not valid JSON
             """)
     void reportsTheInvalidKey(String json, String expected) {
-        String message = assertThrows(BadSetting.class, () -> parse(json)).getMessage();
+        String message = assertThrows(InvalidSettingException.class, () -> parse(json)).getMessage();
         assertTrue(message.contains(expected), message);
     }
 
     @Test
     void openedStoreKeepsWrittenRecords(@TempDir Path dir) throws IOException {
-        Operators o = parse("{\"durable\":{\"dir\":\"" + dir + "\",\"segment_mb\":1,"
+        OperatorSettings o = parse("{\"durable\":{\"dir\":\"" + dir + "\",\"segment_mb\":1,"
                 + "\"namespaces\":[{\"name\":\"a\",\"bound_mb\":1}]}}");
         try (FileStore s = o.openDurableStore()) {
             s.committer().write(new Batch().put("a", new byte[] {1}, new byte[] {2}));
--- a/daemon/src/test/java/tallyweir/config/RevisionFileTest.java
+++ b/daemon/src/test/java/tallyweir/config/RevisionFileTest.java
@@ -126,7 +126,7 @@
                 "1.2.3.4:5 a,b",
                 StoreName.parse("stores", "1.2.3.4:5 b,a,b").get(0).key().name());
         for (String name : new String[] {"", "here:80", "1.2.3.4", "1.2.3.4:5 ", "1.2.3.4:5 a,,b", "1.2.3.4:5 a b"}) {
-            assertThrows(BadSetting.class, () -> StoreName.parse("stores", name), name);
+            assertThrows(InvalidSettingException.class, () -> StoreName.parse("stores", name), name);
         }
     }
 }
--- a/daemon/src/test/java/tallyweir/net/ArrivalsTest.java
+++ b/daemon/src/test/java/tallyweir/net/EventQueueTest.java
@@ -9,15 +9,15 @@
 import org.junit.jupiter.api.Test;
 
 /** The queue between MINA's threads and the decision thread. */
-class ArrivalsTest {
-    private final Arrivals queue = new Arrivals();
+class EventQueueTest {
+    private final EventQueue queue = new EventQueue();
     private final List<String> log = new ArrayList<>();
 
-    private Arrivals.Inbox inbox(String name) {
-        return new Arrivals.Inbox(() -> log.add(name + " suspended"), () -> log.add(name + " resumed"));
+    private EventQueue.Inbox inbox(String name) {
+        return new EventQueue.Inbox(() -> log.add(name + " suspended"), () -> log.add(name + " resumed"));
     }
 
-    private void put(Arrivals.Inbox from, String text) {
+    private void put(EventQueue.Inbox from, String text) {
         queue.put(from, () -> log.add(text));
     }
 
@@ -33,8 +33,8 @@
     /** With a single queue for all connections a flood of callers delayed the kernel and the store. */
     @Test
     void peersComeFirstAndCallersInTurn() throws InterruptedException {
-        Arrivals.Inbox a = inbox("a");
-        Arrivals.Inbox b = inbox("b");
+        EventQueue.Inbox a = inbox("a");
+        EventQueue.Inbox b = inbox("b");
         put(a, "a1");
         put(a, "a2");
         put(a, "a3");
@@ -49,12 +49,12 @@
     /** An endless reply that is processed more slowly than it arrives must not fill the memory. */
     @Test
     void aPeerIsNotReadWhileItsMaximumOfChunksIsQueued() throws InterruptedException {
-        Arrivals.Inbox peer = inbox("store");
-        for (int i = 0; i < Arrivals.MAX_PEER_CHUNKS; i++) {
+        EventQueue.Inbox peer = inbox("store");
+        for (int i = 0; i < EventQueue.MAX_PEER_CHUNKS; i++) {
             queue.putPeerChunk(peer, () -> {});
         }
         assertEquals(List.of("store suspended"), log);
-        assertEquals(Arrivals.MAX_PEER_CHUNKS, queue.pendingPeerChunks());
+        assertEquals(EventQueue.MAX_PEER_CHUNKS, queue.pendingPeerChunks());
         assertEquals(List.of("store suspended", "store resumed"), taken());
         assertEquals(0, queue.pendingPeerChunks());
     }
@@ -62,7 +62,7 @@
     /** A caller is not read while chunks of it are queued, nor while its output cannot be sent. */
     @Test
     void aCallerIsReadAgainOnceItsChunksAreTakenAndItsOutputIsSent() throws InterruptedException {
-        Arrivals.Inbox a = inbox("a");
+        EventQueue.Inbox a = inbox("a");
         queue.setOutputBacklogged(a, true);
         put(a, "a1");
         put(a, "a2");
@@ -78,25 +78,25 @@
      */
     @Test
     void anInboxIsEmptyOnlyWhenAllItsBytesAreProcessed() throws InterruptedException {
-        Arrivals.Inbox a = inbox("a");
-        Arrivals.setReadInProgress(a, true);
-        assertFalse(Arrivals.isEmpty(a));
+        EventQueue.Inbox a = inbox("a");
+        EventQueue.setReadInProgress(a, true);
+        assertFalse(EventQueue.isEmpty(a));
         put(a, "a1");
-        Arrivals.setReadInProgress(a, false);
-        assertFalse(Arrivals.isEmpty(a));
+        EventQueue.setReadInProgress(a, false);
+        assertFalse(EventQueue.isEmpty(a));
         List<Runnable> batch = new ArrayList<>();
         queue.take(batch, 0);
-        assertFalse(Arrivals.isEmpty(a));
+        assertFalse(EventQueue.isEmpty(a));
         batch.forEach(Runnable::run);
-        assertTrue(Arrivals.isEmpty(a));
+        assertTrue(EventQueue.isEmpty(a));
     }
 
     @Test
     void aFloodOfCallersWaitsForTheNextBatch() throws InterruptedException {
-        for (int i = 0; i < 3 * Arrivals.MAX_CALLERS_PER_BATCH; i++) {
+        for (int i = 0; i < 3 * EventQueue.MAX_CALLERS_PER_BATCH; i++) {
             put(inbox("x"), "chunk");
         }
-        assertEquals(Arrivals.MAX_CALLERS_PER_BATCH, taken().size());
+        assertEquals(EventQueue.MAX_CALLERS_PER_BATCH, taken().size());
         queue.put(() -> log.add("kernel"));
         assertEquals("kernel", taken().get(0));
     }
--- a/durable/src/main/java/tallyweir/durable/AdminCommands.java
+++ b/durable/src/main/java/tallyweir/durable/AdminCommands.java
@@ -18,15 +18,15 @@
     private static final long POLL_INTERVAL_MS = 20;
 
     private final Durable store;
-    private final Times times;
+    private final StepTimes times;
 
-    private AdminCommands(Durable store, Times times) {
+    private AdminCommands(Durable store, StepTimes times) {
         this.store = store;
         this.times = times;
     }
 
     /** The commands by name, which is the first word of a request. The map may be extended by the caller. */
-    public static Map<String, AdminSocket.Command> of(Durable store, Times times) {
+    public static Map<String, AdminSocket.Command> of(Durable store, StepTimes times) {
         AdminCommands handlers = new AdminCommands(store, times);
         Map<String, AdminSocket.Command> all = new LinkedHashMap<>();
         all.put("info", handlers::info);
@@ -67,15 +67,15 @@
     }
 
     /** A record as a line of the admin socket: key, stamp, expiry and value separated by tabs, bytes in hexadecimal. */
-    static String formatRecord(Found f) {
+    static String formatRecord(StoredRecord f) {
         HexFormat hex = HexFormat.of();
         return hex.formatHex(f.key()) + "\t" + f.stamp() + "\t" + f.expiresAt() + "\t" + hex.formatHex(f.value());
     }
 
     /** Parses a record from a line of the admin socket; throws an unchecked exception if it is malformed. */
-    public static Found parseRecord(String line) {
+    public static StoredRecord parseRecord(String line) {
         String[] w = line.split("\t", -1);
-        return new Found(
+        return new StoredRecord(
                 HexFormat.of().parseHex(w[0]),
                 HexFormat.of().parseHex(w[3]),
                 Long.parseLong(w[1]),
@@ -101,7 +101,7 @@
         requireWordCount(words, 2);
         try (View view = store.view()) {
             requireNamespace(view, words.get(0));
-            Found f = view.get(words.get(0), parseKey(words.get(1)));
+            StoredRecord f = view.get(words.get(0), parseKey(words.get(1)));
             if (f != null) {
                 line.accept(formatRecord(f));
             }
@@ -122,14 +122,14 @@
         byte[] from = parseKey(words.get(1));
         try (View view = store.view()) {
             requireNamespace(view, words.get(0));
-            Iterator<Found> in = byTime
+            Iterator<StoredRecord> in = byTime
                     ? view.writtenBetween(words.get(0), since, Math.min(until, Stamp.MAX_TIME_TENTHS_MS))
                     : view.range(words.get(0), from == null ? new byte[0] : from, parseKey(words.get(2)));
             for (long n = 0; in.hasNext() && n < limit; n++) {
                 line.accept(formatRecord(in.next()));
             }
         } catch (UncheckedIOException e) {
-            if (e.getCause() instanceof Refused r) {
+            if (e.getCause() instanceof StoreRefusedException r) {
                 throw r;
             }
             throw e;
@@ -158,27 +158,27 @@
      */
     private void verify(List<String> words, Consumer<String> line, LongConsumer progress) throws IOException {
         requireWordCount(words, 0);
-        Figures f = store.figures();
-        long repaired = f.get(Figures.Counter.REPAIRED);
-        long unrepaired = f.get(Figures.Counter.UNREPAIRED);
-        long lost = f.get(Figures.Counter.LOST_FRAMES);
-        long bytes = f.get(Figures.Counter.SCRUBBED_BYTES);
+        StoreCounters f = store.figures();
+        long repaired = f.get(StoreCounters.Counter.REPAIRED);
+        long unrepaired = f.get(StoreCounters.Counter.UNREPAIRED);
+        long lost = f.get(StoreCounters.Counter.LOST_FRAMES);
+        long bytes = f.get(StoreCounters.Counter.SCRUBBED_BYTES);
         long until = store.requestScrub();
         try {
-            while (f.get(Figures.Counter.SCRUBS) < until) {
+            while (f.get(StoreCounters.Counter.SCRUBS) < until) {
                 TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
-                progress.accept(f.get(Figures.Counter.SCRUBBED_BYTES) - bytes);
+                progress.accept(f.get(StoreCounters.Counter.SCRUBBED_BYTES) - bytes);
                 if (store.isClosed()) {
-                    throw new Refused(Refused.Cause.CLOSED, "the store was closed before all was compared");
+                    throw new StoreRefusedException(StoreRefusedException.Cause.CLOSED, "the store was closed before all was compared");
                 }
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new Refused(Refused.Cause.CLOSED, "the process is ending", e);
+            throw new StoreRefusedException(StoreRefusedException.Cause.CLOSED, "the process is ending", e);
         }
-        line.accept("repaired\t" + (f.get(Figures.Counter.REPAIRED) - repaired));
-        line.accept("unrepaired\t" + (f.get(Figures.Counter.UNREPAIRED) - unrepaired));
-        line.accept("damaged_in_both_copies\t" + (f.get(Figures.Counter.LOST_FRAMES) - lost));
-        line.accept("compared_bytes\t" + (f.get(Figures.Counter.SCRUBBED_BYTES) - bytes));
+        line.accept("repaired\t" + (f.get(StoreCounters.Counter.REPAIRED) - repaired));
+        line.accept("unrepaired\t" + (f.get(StoreCounters.Counter.UNREPAIRED) - unrepaired));
+        line.accept("damaged_in_both_copies\t" + (f.get(StoreCounters.Counter.LOST_FRAMES) - lost));
+        line.accept("compared_bytes\t" + (f.get(StoreCounters.Counter.SCRUBBED_BYTES) - bytes));
     }
 }
--- a/durable/src/main/java/tallyweir/durable/AdminSocket.java
+++ b/durable/src/main/java/tallyweir/durable/AdminSocket.java
@@ -176,7 +176,7 @@
             if (e instanceof UncheckedIOException disconnected && disconnected.getMessage().equals(CLIENT_DISCONNECTED)) {
                 throw disconnected;
             }
-            String reason = e instanceof Refused r ? r.reason() + ": " + r.getMessage() : String.valueOf(e.getMessage());
+            String reason = e instanceof StoreRefusedException r ? r.reason() + ": " + r.getMessage() : String.valueOf(e.getMessage());
             writeLine(out, "!" + reason.replace('\n', ' '), true);
         }
     }
--- a/durable/src/main/java/tallyweir/durable/Backup.java
+++ b/durable/src/main/java/tallyweir/durable/Backup.java
@@ -49,7 +49,7 @@
                 Durable copy = new Durable(
                         new FileDisk(to.resolve("first")),
                         new FileDisk(to.resolve("second")),
-                        Both.SEQUENTIAL,
+                        CopyExecutor.SEQUENTIAL,
                         SEGMENT_BYTES,
                         from.sector(),
                         0.5,
@@ -69,18 +69,18 @@
     /**
      * @param progress receives the number of records copied so far, after each chunk
      * @return how many records were copied
-     * @throws Refused AT_BOUND if the target is not empty, or the cause of a failed write to it
+     * @throws StoreRefusedException AT_BOUND if the target is not empty, or the cause of a failed write to it
      */
     public static long copy(View from, Durable to, LongConsumer progress) throws IOException {
         if (to.keyCount() > 0) {
-            throw new Refused(Refused.Cause.AT_BOUND, "the store to copy to is not empty: " + to.keyCount() + " keys");
+            throw new StoreRefusedException(StoreRefusedException.Cause.AT_BOUND, "the store to copy to is not empty: " + to.keyCount() + " keys");
         }
         long copied = 0;
         for (String namespace : from.namespaces()) {
-            List<Found> chunk = new ArrayList<>();
+            List<StoredRecord> chunk = new ArrayList<>();
             long bytes = 0;
-            for (Iterator<Found> in = from.range(namespace, new byte[0], null); in.hasNext(); ) {
-                Found f;
+            for (Iterator<StoredRecord> in = from.range(namespace, new byte[0], null); in.hasNext(); ) {
+                StoredRecord f;
                 try {
                     f = in.next();
                 } catch (UncheckedIOException e) {
--- a/durable/src/main/java/tallyweir/durable/Committer.java
+++ b/durable/src/main/java/tallyweir/durable/Committer.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.locks.Condition;
 import java.util.concurrent.locks.ReentrantLock;
-import tallyweir.durable.Refused.Cause;
+import tallyweir.durable.StoreRefusedException.Cause;
 
 /**
  * Group commit: one dedicated thread takes all pending batches, writes them as one group with a single force and then
@@ -28,7 +28,7 @@
     private final long maxPendingBytes;
     private final long minGroupIntervalNanos;
     private final double upkeepBytesPerNano;
-    private final Times times;
+    private final StepTimes times;
     private final ReentrantLock lock = new ReentrantLock();
     private final Condition wakeUp = lock.newCondition();
     private final Thread thread;
@@ -44,11 +44,11 @@
      * @param upkeepBytesPerSecond maximum bytes per second that upkeep reads and writes
      */
     public Committer(Durable store, long maxPendingBytes, long minGroupIntervalNanos, long upkeepBytesPerSecond) {
-        this(store, maxPendingBytes, minGroupIntervalNanos, upkeepBytesPerSecond, new Times());
+        this(store, maxPendingBytes, minGroupIntervalNanos, upkeepBytesPerSecond, new StepTimes());
     }
 
     /** Also records how long groups and upkeep steps take. */
-    Committer(Durable store, long maxPendingBytes, long minGroupIntervalNanos, long upkeepBytesPerSecond, Times times) {
+    Committer(Durable store, long maxPendingBytes, long minGroupIntervalNanos, long upkeepBytesPerSecond, StepTimes times) {
         this.store = store;
         this.times = times;
         this.maxPendingBytes = maxPendingBytes;
@@ -61,17 +61,17 @@
 
     /**
      * Queues a batch and returns at once. The future completes once the batch is on the disk, or exceptionally with a
-     * {@link Refused}. Its dependent actions may run on the committer's thread and must be short.
+     * {@link StoreRefusedException}. Its dependent actions may run on the committer's thread and must be short.
      */
     public CompletableFuture<Void> submit(Batch batch) {
         CompletableFuture<Void> answer = new CompletableFuture<>();
-        Refused refused = null;
+        StoreRefusedException refused = null;
         lock.lock();
         try {
             if (closing) {
-                refused = new Refused(Cause.CLOSED, "the store is closed");
+                refused = new StoreRefusedException(Cause.CLOSED, "the store is closed");
             } else if (pendingBytes > 0 && pendingBytes + batch.bytes() > maxPendingBytes) {
-                refused = new Refused(
+                refused = new StoreRefusedException(
                         Cause.BUSY, pendingBytes + " bytes are waiting for the disk, the maximum is " + maxPendingBytes);
             } else {
                 pendingBytes += batch.bytes();
@@ -90,17 +90,17 @@
     }
 
     /** Writes a batch and blocks until it is on the disk. */
-    public void write(Batch batch) throws Refused {
+    public void write(Batch batch) throws StoreRefusedException {
         try {
             submit(batch).get();
         } catch (ExecutionException | CompletionException e) {
-            if (e.getCause() instanceof Refused r) {
-                throw new Refused(r.reason(), r.getMessage(), r);
+            if (e.getCause() instanceof StoreRefusedException r) {
+                throw new StoreRefusedException(r.reason(), r.getMessage(), r);
             }
             throw new IllegalStateException(e.getCause());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new Refused(Cause.UNKNOWN, "interrupted before the disk confirmed", e);
+            throw new StoreRefusedException(Cause.UNKNOWN, "interrupted before the disk confirmed", e);
         }
     }
 
@@ -132,14 +132,14 @@
             if (!group.isEmpty()) {
                 lastGroupAt = System.nanoTime();
                 commit(group);
-                times.record(Times.Step.GROUP, lastGroupAt, System.nanoTime());
+                times.record(StepTimes.Step.GROUP, lastGroupAt, System.nanoTime());
             }
             long now = System.nanoTime();
             allowanceBytes = Math.min(4.0 * UPKEEP_STEP_BYTES, allowanceBytes + (now - lastUpkeepAt) * upkeepBytesPerNano);
             lastUpkeepAt = now;
             if (allowanceBytes >= UPKEEP_STEP_BYTES && (group.isEmpty() || now >= upkeepRestUntil)) {
                 upkeepPending = upkeep();
-                times.record(Times.Step.UPKEEP, now, System.nanoTime());
+                times.record(StepTimes.Step.UPKEEP, now, System.nanoTime());
                 allowanceBytes -= upkeepPending ? UPKEEP_STEP_BYTES : 0;
                 upkeepRestUntil = System.nanoTime() + UPKEEP_REST_FACTOR * (System.nanoTime() - now);
             }
@@ -192,7 +192,7 @@
             batches.add(w.batch);
             bytes += w.batch.bytes();
         }
-        List<Refused> refused;
+        List<StoreRefusedException> refused;
         try {
             refused = store.commit(batches);
         } catch (RuntimeException | Error e) {
@@ -209,10 +209,10 @@
         answer(group, refused);
     }
 
-    private static void answer(ArrayDeque<PendingBatch> group, List<Refused> refused) {
+    private static void answer(ArrayDeque<PendingBatch> group, List<StoreRefusedException> refused) {
         int i = 0;
         for (PendingBatch w : group) {
-            Refused r = refused.get(i++);
+            StoreRefusedException r = refused.get(i++);
             if (r == null) {
                 w.answer.complete(null);
             } else {
--- a/durable/src/main/java/tallyweir/durable/Compaction.java
+++ b/durable/src/main/java/tallyweir/durable/Compaction.java
@@ -10,14 +10,14 @@
 final class Compaction {
     private final Log log;
     private final Segment victim;
-    private final Walk walk;
+    private final SegmentReader walk;
     private boolean hasMoreFrames;
     private boolean foundExpired;
 
     Compaction(Log log, Segment victim) throws IOException {
         this.log = log;
         this.victim = victim;
-        walk = new Walk(log, victim, 0, victim.firstFrame, victim.endFrame, false);
+        walk = new SegmentReader(log, victim, 0, victim.firstFrame, victim.endFrame, false);
         hasMoreFrames = walk.next();
     }
 
@@ -72,7 +72,7 @@
         boolean isExpired = r.expiresAt() != 0 && r.expiresAt() <= now;
         if (current && !isExpired) {
             g.move(r);
-            log.figures().add(Figures.Counter.MOVED_BYTES, r.length());
+            log.figures().add(StoreCounters.Counter.MOVED_BYTES, r.length());
         } else if (isExpired && (current || e == null)) {
             foundExpired = true;
             // Without a tombstone, an older version that never expires would be read again once this one is dropped.
@@ -81,7 +81,7 @@
             } else if (current) {
                 g.removeFromIndex(key);
             }
-            log.figures().add(Figures.Counter.EXPIRED, current ? 1 : 0);
+            log.figures().add(StoreCounters.Counter.EXPIRED, current ? 1 : 0);
         }
     }
 
--- a/durable/src/main/java/tallyweir/durable/Both.java
+++ b/durable/src/main/java/tallyweir/durable/CopyExecutor.java
@@ -4,7 +4,7 @@
 
 /** Runs the same action on both copies of the store, sequentially or concurrently. */
 @FunctionalInterface
-public interface Both {
+public interface CopyExecutor {
     /** An I/O action on one copy. */
     interface Action {
         void run() throws IOException;
@@ -23,7 +23,7 @@
     }
 
     /** Runs the first action, then the second, on the calling thread. */
-    Both SEQUENTIAL = (first, second) -> {
+    CopyExecutor SEQUENTIAL = (first, second) -> {
         first.run();
         second.run();
     };
--- a/durable/src/main/java/tallyweir/durable/Drill.java
+++ b/durable/src/main/java/tallyweir/durable/Drill.java
@@ -145,7 +145,7 @@
         return new Durable(
                 first,
                 second,
-                Both.SEQUENTIAL,
+                CopyExecutor.SEQUENTIAL,
                 SEGMENT_BYTES,
                 SECTOR_BYTES,
                 MAX_DEAD_SHARE,
@@ -326,7 +326,7 @@
         t.countOpening();
         acknowledged.forEach((key, is) -> {
             try {
-                Found f = d.get("plain", key.getBytes());
+                StoredRecord f = d.get("plain", key.getBytes());
                 if (f == null
                         || f.value()[0] != is
                                 && !unacknowledged.getOrDefault(key, List.of()).contains(f.value()[0])) {
