--- a/durable/src/main/java/tallyweir/durable/Durable.java
+++ b/durable/src/main/java/tallyweir/durable/Durable.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.Executor;
 import java.util.function.LongConsumer;
 import java.util.function.LongSupplier;
-import tallyweir.durable.Refused.Cause;
+import tallyweir.durable.StoreRefusedException.Cause;
 
 /**
  * Embedded log-structured key-value store. A batch that {@link #commit} returned without a refusal is on the disk in two
@@ -26,10 +26,10 @@
     private static final long SWEEP_AT_BOUND_INTERVAL_TENTHS_MS = 10_000; // at most once a second
 
     private final Log log;
-    private final Both both;
+    private final CopyExecutor both;
     private final LongSupplier clock;
     private final Executor background;
-    private final Figures figures = new Figures();
+    private final StoreCounters figures = new StoreCounters();
     private final List<Closeable> locks = new ArrayList<>();
     private final Map<String, Integer> namespaceNumbers = new HashMap<>();
     private final ConcurrentLinkedQueue<Integer> damagedSegments = new ConcurrentLinkedQueue<>();
@@ -61,13 +61,13 @@
      * @param clock tenths of a millisecond since 1970; may step back
      * @param aside runs long tasks outside the writing thread, such as writing an index snapshot
      * @param without disabled defences, for drills only
-     * @throws Refused with cause IN_USE or NEWER_FORMAT
+     * @throws StoreRefusedException with cause IN_USE or NEWER_FORMAT
      * @throws IOException if something needed can be read in neither copy
      */
     public Durable(
             Disk first,
             Disk second,
-            Both both,
+            CopyExecutor both,
             int segmentBytes,
             int sector,
             double maxDeadShare,
@@ -109,10 +109,10 @@
         log.fence(fence);
         try {
             fence.increment();
-        } catch (Refused r) {
+        } catch (StoreRefusedException r) {
             throw r;
         } catch (IOException e) {
-            figures.add(Figures.Counter.TURNS_NOT_TAKEN); // the store can still be read; the first write retries
+            figures.add(StoreCounters.Counter.TURNS_NOT_TAKEN); // the store can still be read; the first write retries
         }
     }
 
@@ -162,7 +162,7 @@
         return Math.max(clock.getAsLong(), Stamp.time(state.lastStamp()));
     }
 
-    public Figures figures() {
+    public StoreCounters figures() {
         return figures;
     }
 
@@ -182,8 +182,8 @@
      * Writes batches, as many per frame as fit. On return each batch is on the disk or has been refused: the result holds
      * at the batch's position its refusal, or null if it is acknowledged.
      */
-    public synchronized List<Refused> commit(List<Batch> batches) {
-        Refused[] answers = new Refused[batches.size()];
+    public synchronized List<StoreRefusedException> commit(List<Batch> batches) {
+        StoreRefusedException[] answers = new StoreRefusedException[batches.size()];
         for (int from = 0; from < batches.size(); ) {
             int to = from;
             long bytes = 0;
@@ -198,17 +198,17 @@
     }
 
     /** Writes one batch and returns once it is on the disk. */
-    public void commit(Batch batch) throws Refused {
-        Refused answer = commit(List.of(batch)).get(0);
+    public void commit(Batch batch) throws StoreRefusedException {
+        StoreRefusedException answer = commit(List.of(batch)).get(0);
         if (answer != null) {
             throw answer;
         }
     }
 
-    private void commitFrame(List<Batch> batches, int from, int to, long bytes, Refused[] answers) {
+    private void commitFrame(List<Batch> batches, int from, int to, long bytes, StoreRefusedException[] answers) {
         try {
             if (closed) {
-                throw figures.countRefusal(new Refused(Cause.CLOSED, "the store is closed"));
+                throw figures.countRefusal(new StoreRefusedException(Cause.CLOSED, "the store is closed"));
             }
             Group g = new Group(state, log.segmentFor(bytes), namespaces, bytes + 2 * Format.FRAME_HEADER_BYTES);
             long now = now();
@@ -231,14 +231,14 @@
             write(g);
             for (int i = from; i < to; i++) {
                 if (answers[i] == null) {
-                    figures.add(Figures.Counter.BATCHES);
-                    figures.add(Figures.Counter.RECORDS, batches.get(i).writes.size());
-                    figures.add(Figures.Counter.RECORD_BYTES, batches.get(i).bytes());
+                    figures.add(StoreCounters.Counter.BATCHES);
+                    figures.add(StoreCounters.Counter.RECORDS, batches.get(i).writes.size());
+                    figures.add(StoreCounters.Counter.RECORD_BYTES, batches.get(i).bytes());
                 } else {
                     figures.countRefusal(answers[i]);
                 }
             }
-        } catch (Refused r) {
+        } catch (StoreRefusedException r) {
             for (int i = from; i < to; i++) {
                 answers[i] = answers[i] == null ? r : answers[i];
             }
@@ -246,11 +246,11 @@
     }
 
     /** Writes a frame to the disk and publishes its state. Deferred index changes are applied while the disk writes. */
-    private void write(Group g) throws Refused {
+    private void write(Group g) throws StoreRefusedException {
         if (g.records() > 0) {
             log.append(g.bytes(log.sector()), g.contentLength(), g::apply);
             upkeep.onWritten(g.contentLength());
-            figures.add(Figures.Counter.GROUPS);
+            figures.add(StoreCounters.Counter.GROUPS);
         }
         g.applyToSegments(log);
         state = g.state();
@@ -275,8 +275,8 @@
         return true;
     }
 
-    private Refused addUnchecked(Group g, Batch b, long now) {
-        Refused refusal = validate(b);
+    private StoreRefusedException addUnchecked(Group g, Batch b, long now) {
+        StoreRefusedException refusal = validate(b);
         for (int i = 0; refusal == null && i < b.writes.size(); i++) {
             Batch.Write w = b.writes.get(i);
             if (w.isDelete()) {
@@ -288,8 +288,8 @@
         return refusal;
     }
 
-    private Refused addChecked(Group g, Batch b, long now) {
-        Refused refusal = validate(b);
+    private StoreRefusedException addChecked(Group g, Batch b, long now) {
+        StoreRefusedException refusal = validate(b);
         if (refusal != null) {
             return refusal;
         }
@@ -313,19 +313,19 @@
                 byte[] oldest = namespaces[n].dropOldest() ? g.oldestKey(n, first) : null;
                 if (oldest == null) {
                     g.rollBack();
-                    return new Refused(
+                    return new StoreRefusedException(
                             Cause.AT_BOUND,
                             "namespace " + namespaces[n].name() + " holds " + usedBefore[n] + " of "
                                     + namespaces[n].maxBytes() + " bytes and would exceed them");
                 }
                 g.delete(n, oldest, now);
-                figures.add(Figures.Counter.DROPPED_OLDEST);
+                figures.add(StoreCounters.Counter.DROPPED_OLDEST);
             }
         }
         return null;
     }
 
-    private Refused validate(Batch b) {
+    private StoreRefusedException validate(Batch b) {
         String problem = b.bytes() > Format.MAX_BATCH_BYTES
                 ? "a batch of " + b.bytes() + " bytes, the maximum is " + Format.MAX_BATCH_BYTES
                 : null;
@@ -338,14 +338,14 @@
                 problem = "a value of " + w.value().length + " bytes, the maximum is " + Format.MAX_VALUE_BYTES;
             }
         }
-        return problem == null ? null : new Refused(Cause.TOO_LONG, problem);
+        return problem == null ? null : new StoreRefusedException(Cause.TOO_LONG, problem);
     }
 
     /** Writes records of another store unchanged, including their stamps. */
-    synchronized void importRecords(String namespace, List<Found> records, long bytes) throws Refused {
+    synchronized void importRecords(String namespace, List<StoredRecord> records, long bytes) throws StoreRefusedException {
         Group g = new Group(state, log.segmentFor(bytes), namespaces, bytes + 2 * Format.FRAME_HEADER_BYTES);
         int n = namespaceNumbers.get(namespace);
-        for (Found f : records) {
+        for (StoredRecord f : records) {
             g.importRecord(n, f);
         }
         write(g);
@@ -359,7 +359,7 @@
     }
 
     /** Returns the record of a key, or null if there is none or it has expired. Never blocks on a write. */
-    public Found get(String namespace, byte[] key) throws Refused {
+    public StoredRecord get(String namespace, byte[] key) throws StoreRefusedException {
         while (true) {
             Integer n = namespaceNumbers.get(namespace);
             int number = n != null ? n : log.names().indexOf(namespace);
@@ -370,18 +370,18 @@
             Segment s = log.segment(e.segment());
             if (s == null || !s.pin()) {
                 if (closed) {
-                    throw figures.countRefusal(new Refused(Cause.CLOSED, "the store is closed"));
+                    throw figures.countRefusal(new StoreRefusedException(Cause.CLOSED, "the store is closed"));
                 }
                 continue; // compacted concurrently: the next attempt finds the record at its new place
             }
             try {
-                long second = figures.get(Figures.Counter.SECOND_READS);
-                Found f = View.found(log, s, e, List.of(), figures);
-                if (figures.get(Figures.Counter.SECOND_READS) != second) {
+                long second = figures.get(StoreCounters.Counter.SECOND_READS);
+                StoredRecord f = View.found(log, s, e, List.of(), figures);
+                if (figures.get(StoreCounters.Counter.SECOND_READS) != second) {
                     damagedSegments.add(s.number);
                 }
                 return f;
-            } catch (Refused r) {
+            } catch (StoreRefusedException r) {
                 damagedSegments.add(s.number);
                 throw r;
             } finally {
@@ -498,12 +498,12 @@
     }
 
     private void verifySegment(Segment s) throws IOException {
-        Walk walk = new Walk(log, s, 0, s.firstFrame, s.endFrame, true);
+        SegmentReader walk = new SegmentReader(log, s, 0, s.firstFrame, s.endFrame, true);
         while (walk.next()) {
-            figures.add(Figures.Counter.SCRUBBED_BYTES, Format.FRAME_HEADER_BYTES + walk.contentLength());
+            figures.add(StoreCounters.Counter.SCRUBBED_BYTES, Format.FRAME_HEADER_BYTES + walk.contentLength());
         }
         walk.forceRepairs();
-        figures.add(Figures.Counter.LOST_FRAMES, walk.lostFrames());
+        figures.add(StoreCounters.Counter.LOST_FRAMES, walk.lostFrames());
     }
 
     private void scrub(long bytes) throws IOException {
@@ -516,12 +516,12 @@
     }
 
     private void compact(long bytes, long now) throws IOException {
-        long before = figures.get(Figures.Counter.BYTES_WRITTEN);
+        long before = figures.get(StoreCounters.Counter.BYTES_WRITTEN);
         try {
             Group g = new Group(state, log.segmentFor(bytes), namespaces, bytes);
             boolean finished = compaction.fill(g, bytes, now);
             write(g);
-            compactionWrittenBytes += (figures.get(Figures.Counter.BYTES_WRITTEN) - before) / log.copies();
+            compactionWrittenBytes += (figures.get(StoreCounters.Counter.BYTES_WRITTEN) - before) / log.copies();
             if (finished) {
                 upkeep.onCompacted(compaction.victim().endOffset, compactionWrittenBytes);
                 compactionWrittenBytes = 0;
@@ -538,7 +538,7 @@
     private void retire(Segment s) {
         log.retire(s);
         retirementCount++;
-        figures.add(Figures.Counter.COMPACTED);
+        figures.add(StoreCounters.Counter.COMPACTED);
         log.deleteRetired();
     }
 
@@ -572,7 +572,7 @@
             g.advanceTime(now);
             g.applyToSegments(log);
             state = g.state();
-            figures.add(Figures.Counter.EXPIRED, expired);
+            figures.add(StoreCounters.Counter.EXPIRED, expired);
         }
         return e != null;
     }
@@ -616,16 +616,16 @@
             done += s.endOffset;
             progress.accept(done);
         }
-        figures.add(Figures.Counter.SCRUBS);
+        figures.add(StoreCounters.Counter.SCRUBS);
     }
 
     /**
      * Requests a scrub to start as soon as no more urgent job is due, regardless of its interval.
      *
-     * @return the value of {@link Figures.Of#SCRUBS} once a complete pass started after this call has finished
+     * @return the value of {@link StoreCounters.Of#SCRUBS} once a complete pass started after this call has finished
      */
     public synchronized long requestScrub() {
-        return figures.get(Figures.Counter.SCRUBS) + (upkeep.requestScrub() ? 2 : 1);
+        return figures.get(StoreCounters.Counter.SCRUBS) + (upkeep.requestScrub() ? 2 : 1);
     }
 
     /** Whether the store is closed. */
@@ -644,12 +644,12 @@
             return;
         }
         snapshotInProgress = true;
-        Map<Integer, IndexFile.SegmentState> segments = new HashMap<>();
+        Map<Integer, IndexSnapshot.SegmentState> segments = new HashMap<>();
         for (Segment s : log.segments()) {
-            segments.put(s.number, new IndexFile.SegmentState(s.endFrame, s.endOffset, s.valueCount, s.tombstoneBytes, s.lastTombstoneStamp));
+            segments.put(s.number, new IndexSnapshot.SegmentState(s.endFrame, s.endOffset, s.valueCount, s.tombstoneBytes, s.lastTombstoneStamp));
         }
         Log.FrameLocation last = log.lastFrame();
-        IndexFile f = new IndexFile(
+        IndexSnapshot f = new IndexSnapshot(
                 log.nextFrame(),
                 log.lastStamp(),
                 last.segment(),
@@ -661,10 +661,10 @@
         background.execute(() -> {
             try {
                 f.write(log.disk(0), log.storeId());
-                figures.add(Figures.Counter.SNAPSHOTS);
+                figures.add(StoreCounters.Counter.SNAPSHOTS);
             } catch (IOException e) {
                 // A snapshot is optional: without it the next opening reads the log.
-                figures.add(Figures.Counter.SNAPSHOTS_DISTRUSTED);
+                figures.add(StoreCounters.Counter.SNAPSHOTS_DISTRUSTED);
             } finally {
                 snapshotInProgress = false;
             }
--- a/durable/src/main/java/tallyweir/durable/Fence.java
+++ b/durable/src/main/java/tallyweir/durable/Fence.java
@@ -81,11 +81,11 @@
      * Increments the number for this opening, in one copy after the other, each forced, so that after a power failure at least
      * one copy is intact.
      *
-     * @throws Refused FENCED if another process has incremented it since this one read it
+     * @throws StoreRefusedException FENCED if another process has incremented it since this one read it
      */
     void increment() throws IOException {
         if (highestNumber() > numberAtOpening) {
-            throw new Refused(Refused.Cause.FENCED, "another process has opened the store since: open it again");
+            throw new StoreRefusedException(StoreRefusedException.Cause.FENCED, "another process has opened the store since: open it again");
         }
         ByteBuffer b = ByteBuffer.allocate(SIZE_BYTES).putInt(0, MAGIC).putLong(4, numberAtOpening + 1);
         b.putInt(12, checksum(b));
--- a/durable/src/main/java/tallyweir/durable/FileDisk.java
+++ b/durable/src/main/java/tallyweir/durable/FileDisk.java
@@ -20,12 +20,12 @@
     private static final String LOCK_FILE_NAME = "lock";
 
     private final Path directory;
-    private final Times times;
+    private final StepTimes times;
     private final boolean secondCopy;
 
     /** Creates the directory and its parents if they do not exist. */
     public FileDisk(Path dir) throws IOException {
-        this(dir, new Times(), false);
+        this(dir, new StepTimes(), false);
     }
 
     /**
@@ -33,7 +33,7 @@
      *
      * @param second whether the directory holds the second copy
      */
-    public FileDisk(Path dir, Times times, boolean second) throws IOException {
+    public FileDisk(Path dir, StepTimes times, boolean second) throws IOException {
         this.directory = dir;
         this.times = times;
         this.secondCopy = second;
@@ -98,8 +98,8 @@
         return new FileHandle(
                 channel,
                 times,
-                !isLogFile ? Times.Step.SNAPSHOT : secondCopy ? Times.Step.FORCE_SECOND : Times.Step.FORCE_FIRST,
-                !isLogFile ? null : secondCopy ? Times.Step.WRITE_SECOND : Times.Step.WRITE_FIRST);
+                !isLogFile ? StepTimes.Step.SNAPSHOT : secondCopy ? StepTimes.Step.FORCE_SECOND : StepTimes.Step.FORCE_FIRST,
+                !isLogFile ? null : secondCopy ? StepTimes.Step.WRITE_SECOND : StepTimes.Step.WRITE_FIRST);
     }
 
     @Override
@@ -111,7 +111,7 @@
     public void forceDirectory() throws IOException {
         long startedAt = System.nanoTime();
         force(directory);
-        times.record(secondCopy ? Times.Step.NAMES_SECOND : Times.Step.NAMES_FIRST, startedAt, System.nanoTime());
+        times.record(secondCopy ? StepTimes.Step.NAMES_SECOND : StepTimes.Step.NAMES_FIRST, startedAt, System.nanoTime());
     }
 
     /** A lock of the operating system, released when the process ends in any way. */
@@ -133,10 +133,10 @@
             }
         } catch (OverlappingFileLockException e) {
             c.close();
-            throw new Refused(Refused.Cause.IN_USE, description() + " is open in this process already", e);
+            throw new StoreRefusedException(StoreRefusedException.Cause.IN_USE, description() + " is open in this process already", e);
         }
         c.close();
-        throw new Refused(Refused.Cause.IN_USE, description() + " is in use by another process: end it first");
+        throw new StoreRefusedException(StoreRefusedException.Cause.IN_USE, description() + " is in use by another process: end it first");
     }
 
     @Override
@@ -144,7 +144,7 @@
         return directory.toString();
     }
 
-    private record FileHandle(FileChannel channel, Times times, Times.Step forceStep, Times.Step writeStep) implements Handle {
+    private record FileHandle(FileChannel channel, StepTimes times, StepTimes.Step forceStep, StepTimes.Step writeStep) implements Handle {
         @Override
         public int read(long at, ByteBuffer into) throws IOException {
             return channel.read(into, at);
--- a/durable/src/main/java/tallyweir/durable/FileStore.java
+++ b/durable/src/main/java/tallyweir/durable/FileStore.java
@@ -18,7 +18,7 @@
         t.setDaemon(true);
         return t;
     });
-    private final Times times = new Times();
+    private final StepTimes times = new StepTimes();
     private final Durable store;
     private final Committer committer;
     private AdminSocket adminSocket;
@@ -90,7 +90,7 @@
     }
 
     /** Durations of the steps of the disk and the committer. */
-    public Times times() {
+    public StepTimes times() {
         return times;
     }
 
--- a/durable/src/main/java/tallyweir/durable/Window.java
+++ b/durable/src/main/java/tallyweir/durable/FrameBuffer.java
@@ -4,7 +4,7 @@
 import java.nio.ByteBuffer;
 
 /** A read buffer over one file, for reading frames sequentially. Not thread-safe. */
-final class Window {
+final class FrameBuffer {
     private static final int MIN_BUFFER_BYTES = 1 << 18;
 
     private final Disk.Handle file;
@@ -15,7 +15,7 @@
     IOException failure;
 
     /** @param file the file, or null for a missing copy, which is treated as an empty file */
-    Window(Disk.Handle file) {
+    FrameBuffer(Disk.Handle file) {
         this.file = file;
     }
 
--- a/durable/src/main/java/tallyweir/durable/Group.java
+++ b/durable/src/main/java/tallyweir/durable/Group.java
@@ -146,7 +146,7 @@
     }
 
     /** Writes a record of another store, with its stamp. */
-    void importRecord(int namespace, Found f) {
+    void importRecord(int namespace, StoredRecord f) {
         lastStamp = Math.max(lastStamp, f.stamp());
         writeValue(namespace, f.key(), f.value(), f.stamp(), f.expiresAt());
     }
--- a/durable/src/main/java/tallyweir/durable/History.java
+++ b/durable/src/main/java/tallyweir/durable/History.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import tallyweir.durable.Refused.Cause;
+import tallyweir.durable.StoreRefusedException.Cause;
 
 /**
  * A pseudo-random history of writes generated from a seed, checked against a simple model: one map per namespace, plus
@@ -30,7 +30,7 @@
             new Namespace("full", 1_200, false));
 
     private record Value(byte[] bytes, long expires) {
-        boolean matches(Found f) {
+        boolean matches(StoredRecord f) {
             return Arrays.equals(bytes, f.value()) && expires == f.expiresAt();
         }
     }
@@ -182,9 +182,9 @@
             after = next == null ? after : next;
         }
         possibleOutcomes.add(after); // from here on the group may be on the disk
-        List<Refused> refusals = store.commit(group);
+        List<StoreRefusedException> refusals = store.commit(group);
         for (int i = 0; i < refusals.size(); i++) {
-            Refused r = refusals.get(i);
+            StoreRefusedException r = refusals.get(i);
             if (r != null && r.reason() != Cause.AT_BOUND) {
                 if (r.reason() != Cause.UNKNOWN) {
                     possibleOutcomes.remove(possibleOutcomes.size() - 1);
@@ -275,9 +275,9 @@
             for (Namespace n : NAMESPACES) {
                 Map<String, Value> missing = new HashMap<>(m.namespaces.get(n.name()));
                 missing.values().removeIf(v -> v.expires != 0 && v.expires <= now);
-                Iterator<Found> in = view.range(n.name(), new byte[0], null);
+                Iterator<StoredRecord> in = view.range(n.name(), new byte[0], null);
                 while (in.hasNext()) {
-                    Found f;
+                    StoredRecord f;
                     try {
                         f = in.next();
                     } catch (RuntimeException e) {
--- a/durable/src/main/java/tallyweir/durable/IndexFile.java
+++ b/durable/src/main/java/tallyweir/durable/IndexSnapshot.java
@@ -27,7 +27,7 @@
  * @param segments the state of each segment that was part of the store, by number
  * @param leaves the leaves of the index in key order
  */
-record IndexFile(
+record IndexSnapshot(
         long nextFrame,
         long lastStamp,
         int lastSegment,
@@ -114,22 +114,22 @@
      *
      * @param verify whether to check checksum and store id; false in drills only
      */
-    static IndexFile readNewest(Disk disk, long storeId, boolean verify, Figures figures) {
+    static IndexSnapshot readNewest(Disk disk, long storeId, boolean verify, StoreCounters figures) {
         try {
             for (String name : fileNames(disk)) {
-                IndexFile f = read(disk, name, storeId, verify);
+                IndexSnapshot f = read(disk, name, storeId, verify);
                 if (f != null) {
                     return f;
                 }
-                figures.add(Figures.Counter.SNAPSHOTS_DISTRUSTED);
+                figures.add(StoreCounters.Counter.SNAPSHOTS_DISTRUSTED);
             }
         } catch (IOException e) {
-            figures.add(Figures.Counter.SNAPSHOTS_DISTRUSTED);
+            figures.add(StoreCounters.Counter.SNAPSHOTS_DISTRUSTED);
         }
         return null;
     }
 
-    private static IndexFile read(Disk disk, String name, long storeId, boolean verify) {
+    private static IndexSnapshot read(Disk disk, String name, long storeId, boolean verify) {
         try (Disk.Handle file = disk.open(name)) {
             if (file.size() > Integer.MAX_VALUE - 64 || file.size() < 8) {
                 return null;
@@ -162,7 +162,7 @@
                 in.readFully(leaf);
                 leaves.add(leaf);
             }
-            return new IndexFile(nextFrame, lastStamp, lastSegment, lastPlace, lastSum, segments, leaves);
+            return new IndexSnapshot(nextFrame, lastStamp, lastSegment, lastPlace, lastSum, segments, leaves);
         } catch (IOException | RuntimeException e) {
             return null;
         }
@@ -175,7 +175,7 @@
             return true;
         }
         for (int c = 0; c < log.copies(); c++) {
-            Window w = new Window(s.copies[c]);
+            FrameBuffer w = new FrameBuffer(s.copies[c]);
             int at = w.loadFrame(lastOffset, nextFrame - 1, log.storeId(), s.number, log.isEnabled(Defence.CHECKSUM));
             if (at >= 0 && ByteBuffer.wrap(w.buffer()).getInt(at + 12) == lastChecksum) {
                 return true;
--- a/durable/src/main/java/tallyweir/durable/Kills.java
+++ b/durable/src/main/java/tallyweir/durable/Kills.java
@@ -102,7 +102,7 @@
                 Durable d = open(dir, both, disabled)) {
             tally.countOpening();
             for (int key = 0; key < WRITERS * KEYS_PER_WRITER; key++) {
-                Found f = d.get(NAMESPACE.name(), key(key));
+                StoredRecord f = d.get(NAMESPACE.name(), key(key));
                 long version = f == null ? 0 : ByteBuffer.wrap(f.value()).getLong();
                 if (version < acknowledged.getOrDefault(key, 0L)) {
                     tally.countViolations(
@@ -132,7 +132,7 @@
         return v;
     }
 
-    private static Durable open(Path dir, Both both, Set<Defence> disabled) throws IOException {
+    private static Durable open(Path dir, CopyExecutor both, Set<Defence> disabled) throws IOException {
         return new Durable(
                 new FileDisk(dir.resolve("first")),
                 new FileDisk(dir.resolve("second")),
@@ -176,7 +176,7 @@
                 StringBuilder acknowledgements = new StringBuilder();
                 int key = first + random.nextInt(KEYS_PER_WRITER);
                 for (int n = random.nextInt(1, 4); n > 0; n--) {
-                    Found f = d.get(NAMESPACE.name(), key(key));
+                    StoredRecord f = d.get(NAMESPACE.name(), key(key));
                     long version = f == null ? 1 : ByteBuffer.wrap(f.value()).getLong() + 1;
                     b.put(NAMESPACE.name(), key(key), value(key, version));
                     acknowledgements.append(key).append(' ').append(version).append(" .\n");
--- a/durable/src/main/java/tallyweir/durable/Log.java
+++ b/durable/src/main/java/tallyweir/durable/Log.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.ConcurrentSkipListMap;
-import tallyweir.durable.Refused.Cause;
+import tallyweir.durable.StoreRefusedException.Cause;
 
 /**
  * The log's segments. Frames are appended to both copies of the newest segment and read from either. A file in which a
@@ -16,11 +16,11 @@
  */
 final class Log {
     private final Disk[] disks;
-    private final Both both;
+    private final CopyExecutor both;
     private final int segmentBytes;
     private final int sector;
     private final Set<Defence> disabled;
-    private final Figures figures;
+    private final StoreCounters figures;
     private final ConcurrentSkipListMap<Integer, Segment> segments = new ConcurrentSkipListMap<>();
     private final List<Segment> retired = new ArrayList<>();
     private Segment active;
@@ -34,7 +34,7 @@
     private Fence fence;
     private boolean otherProcessWrote;
 
-    Log(Disk first, Disk second, Both both, int segmentBytes, int sector, Set<Defence> disabled, Figures figures) {
+    Log(Disk first, Disk second, CopyExecutor both, int segmentBytes, int sector, Set<Defence> disabled, StoreCounters figures) {
         this.disks = new Disk[] {first, second};
         this.both = both;
         this.segmentBytes = segmentBytes;
@@ -74,7 +74,7 @@
         return names;
     }
 
-    Figures figures() {
+    StoreCounters figures() {
         return figures;
     }
 
@@ -122,7 +122,7 @@
      * Raises the fence before the first write if that failed at opening. Succeeds only if no other process has written
      * since the log was read.
      */
-    private void raiseFenceBeforeFirstWrite() throws Refused {
+    private void raiseFenceBeforeFirstWrite() throws StoreRefusedException {
         if (!isEnabled(Defence.FENCE) || fence == null || fence.isIncremented()) {
             return;
         }
@@ -130,11 +130,11 @@
             checkForOtherWriters(); // if another process writes, leave the fence to it
             fence.increment();
             checkForOtherWriters(); // nor did another process write while the fence was raised
-        } catch (Refused r) {
+        } catch (StoreRefusedException r) {
             otherProcessWrote = true;
             throw figures.countRefusal(r);
         } catch (IOException e) {
-            throw figures.countRefusal(new Refused(Cause.NO_ROOM, "the store's turn cannot be written: " + e.getMessage(), e));
+            throw figures.countRefusal(new StoreRefusedException(Cause.NO_ROOM, "the store's turn cannot be written: " + e.getMessage(), e));
         }
     }
 
@@ -143,18 +143,18 @@
         for (int c = 0; c < copies(); c++) {
             otherProcessWrote |= disks[c].fileNames().stream().anyMatch(n -> Format.segmentNumber(n) > lastSegment)
                     || newest != null
-                            && new Window(newest.copies[c]).loadFrame(newest.endOffset, nextFrame, storeId, newest.number, true)
+                            && new FrameBuffer(newest.copies[c]).loadFrame(newest.endOffset, nextFrame, storeId, newest.number, true)
                                     >= 0;
         }
         if (otherProcessWrote) {
-            throw new Refused(Cause.FENCED, "another process has written since: open the store again");
+            throw new StoreRefusedException(Cause.FENCED, "another process has written since: open the store again");
         }
     }
 
-    private void checkNotFenced() throws Refused {
+    private void checkNotFenced() throws StoreRefusedException {
         if (isFenced()) {
             active = null;
-            throw figures.countRefusal(new Refused(Cause.FENCED, "another process has taken the store over"));
+            throw figures.countRefusal(new StoreRefusedException(Cause.FENCED, "another process has taken the store over"));
         }
     }
 
@@ -189,7 +189,7 @@
     }
 
     /** Returns the segment for a frame of the given length: the active one, or a new one if it is full. */
-    Segment segmentFor(long bytes) throws Refused {
+    Segment segmentFor(long bytes) throws StoreRefusedException {
         if (active != null && active.endFrame > active.firstFrame && active.endOffset + bytes > segmentBytes) {
             active = null;
         }
@@ -199,13 +199,13 @@
         return active;
     }
 
-    private Segment createSegment() throws Refused {
+    private Segment createSegment() throws StoreRefusedException {
         checkNotFenced();
         raiseFenceBeforeFirstWrite();
         int number = ++lastSegment;
-        List<Head.OlderSegment> older = new ArrayList<>();
-        segments.values().forEach(s -> older.add(new Head.OlderSegment(s.number, s.firstFrame, s.createdStamp, s.endFrame, s.endOffset)));
-        byte[] head = new Head(storeId, number, nextFrame, lastStamp, opening, names, older).toBytes();
+        List<SegmentHead.OlderSegment> older = new ArrayList<>();
+        segments.values().forEach(s -> older.add(new SegmentHead.OlderSegment(s.number, s.firstFrame, s.createdStamp, s.endFrame, s.endOffset)));
+        byte[] head = new SegmentHead(storeId, number, nextFrame, lastStamp, opening, names, older).toBytes();
         byte[] b = new byte[(int) Format.align(Format.FRAME_HEADER_BYTES + head.length, sector)];
         System.arraycopy(head, 0, b, Format.FRAME_HEADER_BYTES, head.length);
         Format.writeFrameHeader(b, 0, Format.HEAD_FRAME, head.length, nextFrame, storeId, number, 0);
@@ -219,13 +219,13 @@
                     deleteFile(c, number);
                 }
             }
-            throw figures.countRefusal(new Refused(Cause.NO_ROOM, "no new segment can be started: " + e.getMessage(), e));
+            throw figures.countRefusal(new StoreRefusedException(Cause.NO_ROOM, "no new segment can be started: " + e.getMessage(), e));
         }
         Segment s = new Segment(number, nextFrame, lastStamp, files[0], files[1]);
         s.endFrame = nextFrame;
         s.endOffset = b.length;
         segments.put(number, s);
-        figures.add(Figures.Counter.SEGMENTS);
+        figures.add(StoreCounters.Counter.SEGMENTS);
         return s;
     }
 
@@ -249,12 +249,12 @@
     }
 
     void force(Disk.Handle file) throws IOException {
-        figures.add(Figures.Counter.FORCES);
+        figures.add(StoreCounters.Counter.FORCES);
         file.force();
     }
 
     void forceNames(int copy) throws IOException {
-        figures.add(Figures.Counter.FORCES);
+        figures.add(StoreCounters.Counter.FORCES);
         try {
             disks[copy].forceDirectory();
         } catch (IOException e) {
@@ -264,7 +264,7 @@
 
     private void writeAndForce(Disk.Handle file, long offset, byte[] b, int length) throws IOException {
         file.writeFully(offset, ByteBuffer.wrap(b, 0, length));
-        figures.add(Figures.Counter.BYTES_WRITTEN, length);
+        figures.add(StoreCounters.Counter.BYTES_WRITTEN, length);
         if (!isEnabled(Defence.FORCE_ORDER)) {
             return;
         }
@@ -284,7 +284,7 @@
      * @param b space for the frame's header, then the content; reaches to the end of the frame's last sector
      * @param meanwhile run while the disk is writing
      */
-    void append(byte[] b, int contentLength, Runnable meanwhile) throws Refused {
+    void append(byte[] b, int contentLength, Runnable meanwhile) throws StoreRefusedException {
         Segment s = active;
         int length = (int) Format.align(Format.FRAME_HEADER_BYTES + contentLength, sector);
         Arrays.fill(b, Format.FRAME_HEADER_BYTES + contentLength, length, (byte) 0);
@@ -301,12 +301,12 @@
         } catch (IOException e) {
             if (isEnabled(Defence.VOID_AFTER_FAILURE)) {
                 active = null;
-                figures.add(Figures.Counter.ABANDONED);
+                figures.add(StoreCounters.Counter.ABANDONED);
             }
             throw figures.countRefusal(
                     e instanceof ForceFailed || !wipePartialFrame(s)
-                            ? new Refused(Cause.UNKNOWN, "the disk did not confirm the records: " + e.getMessage(), e)
-                            : new Refused(Cause.NO_ROOM, "the records cannot be written: " + e.getMessage(), e));
+                            ? new StoreRefusedException(Cause.UNKNOWN, "the disk did not confirm the records: " + e.getMessage(), e)
+                            : new StoreRefusedException(Cause.NO_ROOM, "the records cannot be written: " + e.getMessage(), e));
         }
         checkNotFenced();
         lastFrame = new FrameLocation(s.number, s.endOffset, ByteBuffer.wrap(b).getInt(12));
@@ -343,7 +343,7 @@
                         && s.copies[c].readFully(e.offset(), ByteBuffer.wrap(b)) == b.length
                         && (isEnabled(Defence.CHECKSUM) ? matches(b, e) : new Format.RecordView(b, 0).isIntact(b.length, false))) {
                     if (c > 0) {
-                        figures.add(Figures.Counter.SECOND_READS);
+                        figures.add(StoreCounters.Counter.SECOND_READS);
                     }
                     return new Format.RecordView(b, 0);
                 }
@@ -351,7 +351,7 @@
                 continue;
             }
         }
-        figures.add(Figures.Counter.DAMAGED_READS);
+        figures.add(StoreCounters.Counter.DAMAGED_READS);
         return null;
     }
 
--- a/durable/src/main/java/tallyweir/durable/Opening.java
+++ b/durable/src/main/java/tallyweir/durable/Opening.java
@@ -41,10 +41,10 @@
     /** @param newId id for the store if it is new */
     void run(long newId) throws IOException {
         TreeMap<Integer, Disk.Handle[]> files = openFiles();
-        TreeMap<Integer, Head> heads = new TreeMap<>();
+        TreeMap<Integer, SegmentHead> heads = new TreeMap<>();
         Set<Integer> suspect = new HashSet<>();
         for (Map.Entry<Integer, Disk.Handle[]> f : files.entrySet()) {
-            Head head = readHead(f.getKey(), f.getValue(), suspect);
+            SegmentHead head = readHead(f.getKey(), f.getValue(), suspect);
             if (head != null) {
                 heads.put(f.getKey(), head);
             }
@@ -55,7 +55,7 @@
             deleteUnused(files, Set.of());
             return;
         }
-        Head newest = heads.lastEntry().getValue();
+        SegmentHead newest = heads.lastEntry().getValue();
         lastStamp = newest.lastStamp();
         log.resume(
                 newest.storeId(),
@@ -65,12 +65,12 @@
                 nextFrame,
                 lastStamp,
                 lastFrame);
-        Map<Integer, Head.OlderSegment> older = new HashMap<>();
+        Map<Integer, SegmentHead.OlderSegment> older = new HashMap<>();
         newest.olderSegments().forEach(o -> older.put(o.segment(), o));
         addSegment(newest.segment(), newest.firstFrame(), newest.lastStamp(), files, suspect);
-        IndexFile snapshot = snapshot(older, files, suspect);
+        IndexSnapshot snapshot = snapshot(older, files, suspect);
         findDropped(log.segment(newest.segment()), older.values(), snapshot);
-        for (Head.OlderSegment o : newest.olderSegments()) {
+        for (SegmentHead.OlderSegment o : newest.olderSegments()) {
             if (!droppedSegments.contains(o.segment())) {
                 addSegment(o.segment(), o.firstFrame(), o.createdStamp(), files, suspect);
             }
@@ -116,17 +116,17 @@
         return files;
     }
 
-    private Head readHead(int segment, Disk.Handle[] files, Set<Integer> suspect) throws IOException {
-        Head head = null;
+    private SegmentHead readHead(int segment, Disk.Handle[] files, Set<Integer> suspect) throws IOException {
+        SegmentHead head = null;
         for (int c = 0; c < log.copies(); c++) {
-            Window w = new Window(files[c]);
+            FrameBuffer w = new FrameBuffer(files[c]);
             int at = w.loadFrame(0, -1, 0, segment, log.isEnabled(Defence.CHECKSUM));
-            Head h = null;
+            SegmentHead h = null;
             if (at >= 0) {
                 int length = Format.contentLength(w.buffer(), at, Format.HEAD_FRAME);
                 byte[] content = new byte[length];
                 System.arraycopy(w.buffer(), at + Format.FRAME_HEADER_BYTES, content, 0, length);
-                h = Head.parse(content);
+                h = SegmentHead.parse(content);
             }
             if (h == null) {
                 suspect.add(segment);
@@ -150,9 +150,9 @@
                 try {
                     of[c] = log.disk(c).create(Format.segmentFileName(segment));
                     log.forceNames(c);
-                    log.figures().add(Figures.Counter.FILES_REMADE);
+                    log.figures().add(StoreCounters.Counter.FILES_REMADE);
                 } catch (IOException e) {
-                    log.figures().add(Figures.Counter.UNREPAIRED);
+                    log.figures().add(StoreCounters.Counter.UNREPAIRED);
                 }
             }
         }
@@ -169,26 +169,26 @@
         log.deleteRetired();
     }
 
-    private Set<Integer> usedSegments(Head newest) {
+    private Set<Integer> usedSegments(SegmentHead newest) {
         Set<Integer> used = new HashSet<>(Set.of(newest.segment()));
         newest.olderSegments().forEach(o -> used.add(o.segment()));
         used.removeAll(droppedSegments);
         return used;
     }
 
-    private IndexFile snapshot(
-            Map<Integer, Head.OlderSegment> older, Map<Integer, Disk.Handle[]> files, Set<Integer> suspect) {
+    private IndexSnapshot snapshot(
+            Map<Integer, SegmentHead.OlderSegment> older, Map<Integer, Disk.Handle[]> files, Set<Integer> suspect) {
         boolean distrust = log.isEnabled(Defence.SNAPSHOT_DISTRUST);
-        IndexFile f = IndexFile.readNewest(log.disk(0), log.storeId(), distrust, log.figures());
+        IndexSnapshot f = IndexSnapshot.readNewest(log.disk(0), log.storeId(), distrust, log.figures());
         if (f == null) {
             return null;
         }
-        Head.OlderSegment lastCovered = older.get(f.lastSegment());
+        SegmentHead.OlderSegment lastCovered = older.get(f.lastSegment());
         if (lastCovered != null && files.containsKey(f.lastSegment())) {
             addSegment(lastCovered.segment(), lastCovered.firstFrame(), lastCovered.createdStamp(), files, suspect);
         }
         if (distrust && !f.matchesLog(log)) {
-            log.figures().add(Figures.Counter.SNAPSHOTS_DISTRUSTED);
+            log.figures().add(StoreCounters.Counter.SNAPSHOTS_DISTRUSTED);
             return null;
         }
         index = Index.fromLeaves(f.leaves());
@@ -203,11 +203,11 @@
      * Finds the segments compacted away since the newest one was created: those the newest has a record of, and those
      * older than the snapshot but missing in it.
      */
-    private void findDropped(Segment newest, Iterable<Head.OlderSegment> older, IndexFile snapshot) throws IOException {
-        IndexFile.SegmentState covered = snapshot == null ? null : snapshot.segments().get(newest.number);
-        Walk walk = covered == null
-                ? new Walk(log, newest, 0, newest.firstFrame, Long.MAX_VALUE, true)
-                : new Walk(log, newest, covered.endOffset(), covered.endFrame(), Long.MAX_VALUE, true);
+    private void findDropped(Segment newest, Iterable<SegmentHead.OlderSegment> older, IndexSnapshot snapshot) throws IOException {
+        IndexSnapshot.SegmentState covered = snapshot == null ? null : snapshot.segments().get(newest.number);
+        SegmentReader walk = covered == null
+                ? new SegmentReader(log, newest, 0, newest.firstFrame, Long.MAX_VALUE, true)
+                : new SegmentReader(log, newest, covered.endOffset(), covered.endFrame(), Long.MAX_VALUE, true);
         while (walk.next()) {
             int end = walk.contentIndex() + walk.contentLength();
             for (int at = walk.contentIndex(); walk.frameOffset() > 0 && at < end; ) {
@@ -222,7 +222,7 @@
             }
         }
         walk.forceRepairs();
-        for (Head.OlderSegment o : older) {
+        for (SegmentHead.OlderSegment o : older) {
             if (snapshot != null
                     && o.firstFrame() < snapshot.nextFrame()
                     && !snapshot.segments().containsKey(o.segment())) {
@@ -236,7 +236,7 @@
         }
     }
 
-    private void read(Segment s, Head.OlderSegment bounds, IndexFile.SegmentState covered, boolean suspect) throws IOException {
+    private void read(Segment s, SegmentHead.OlderSegment bounds, IndexSnapshot.SegmentState covered, boolean suspect) throws IOException {
         long limit = bounds == null ? Long.MAX_VALUE : bounds.endFrame();
         long place = covered == null ? 0 : covered.endOffset();
         long frame = covered == null ? s.firstFrame : covered.endFrame();
@@ -245,16 +245,16 @@
             s.tombstoneBytes = covered.tombstoneBytes();
             s.lastTombstoneStamp = covered.lastTombstoneStamp();
             if (suspect || isShorterThan(s, place)) {
-                Walk again = new Walk(log, s, 0, s.firstFrame, frame, true);
+                SegmentReader again = new SegmentReader(log, s, 0, s.firstFrame, frame, true);
                 while (again.next()) {
-                    log.figures().add(Figures.Counter.FRAMES_READ);
+                    log.figures().add(StoreCounters.Counter.FRAMES_READ);
                 }
                 again.forceRepairs();
             }
         }
-        Walk walk = new Walk(log, s, place, frame, limit, true);
+        SegmentReader walk = new SegmentReader(log, s, place, frame, limit, true);
         while (walk.next()) {
-            log.figures().add(Figures.Counter.FRAMES_READ);
+            log.figures().add(StoreCounters.Counter.FRAMES_READ);
             if (walk.frameOffset() > 0) {
                 lastFrame = new Log.FrameLocation(s.number, walk.frameOffset(), walk.checksum());
                 replay(s, walk);
@@ -263,7 +263,7 @@
         walk.forceRepairs();
         log.figures()
                 .add(
-                        Figures.Counter.LOST_FRAMES,
+                        StoreCounters.Counter.LOST_FRAMES,
                         walk.lostFrames() + (bounds == null ? 0 : Math.max(0, limit - walk.nextFrame())));
         s.endFrame = bounds == null ? walk.nextFrame() : bounds.endFrame();
         s.endOffset = bounds == null ? Math.max(walk.nextOffset(), log.sector()) : bounds.endOffset();
@@ -279,7 +279,7 @@
         return false;
     }
 
-    private void replay(Segment s, Walk walk) {
+    private void replay(Segment s, SegmentReader walk) {
         int at = walk.contentIndex();
         int end = at + walk.contentLength();
         while (at < end) {
--- a/durable/src/main/java/tallyweir/durable/ReadOnly.java
+++ b/durable/src/main/java/tallyweir/durable/ReadOnlyDisk.java
@@ -6,10 +6,10 @@
 import java.util.List;
 
 /** Wraps a directory and refuses every operation that would change it, for inspecting a store without modifying it. */
-public final class ReadOnly implements Disk {
+public final class ReadOnlyDisk implements Disk {
     private final Disk disk;
 
-    public ReadOnly(Disk disk) {
+    public ReadOnlyDisk(Disk disk) {
         this.disk = disk;
     }
 
--- a/durable/src/main/java/tallyweir/durable/Scrub.java
+++ b/durable/src/main/java/tallyweir/durable/Scrub.java
@@ -10,7 +10,7 @@
     private final Log log;
     private int lastSegmentNumber;
     private Segment segment;
-    private Walk walk;
+    private SegmentReader walk;
 
     Scrub(Log log) {
         this.log = log;
@@ -29,7 +29,7 @@
                 finishSegment();
             }
         }
-        log.figures().add(Figures.Counter.SCRUBBED_BYTES, read);
+        log.figures().add(StoreCounters.Counter.SCRUBBED_BYTES, read);
         return true;
     }
 
@@ -38,18 +38,18 @@
             if (s.number > lastSegmentNumber && s.pin()) {
                 segment = s;
                 lastSegmentNumber = s.number;
-                walk = new Walk(log, s, 0, s.firstFrame, s.endFrame, true);
+                walk = new SegmentReader(log, s, 0, s.firstFrame, s.endFrame, true);
                 return true;
             }
         }
         lastSegmentNumber = 0;
-        log.figures().add(Figures.Counter.SCRUBS);
+        log.figures().add(StoreCounters.Counter.SCRUBS);
         return false;
     }
 
     private void finishSegment() {
         walk.forceRepairs();
-        log.figures().add(Figures.Counter.LOST_FRAMES, walk.lostFrames());
+        log.figures().add(StoreCounters.Counter.LOST_FRAMES, walk.lostFrames());
         segment.unpin();
         walk = null;
     }
--- a/durable/src/main/java/tallyweir/durable/Head.java
+++ b/durable/src/main/java/tallyweir/durable/SegmentHead.java
@@ -22,7 +22,7 @@
  * @param names the names of the namespaces, indexed by their numbers
  * @param olderSegments the older segments that are part of the store
  */
-record Head(
+record SegmentHead(
         long storeId,
         int segment,
         long firstFrame,
@@ -66,15 +66,15 @@
     /**
      * Parses a head; null if the content is too short, which happens only with checksums disabled.
      *
-     * @throws Refused NEWER_FORMAT if the version is higher than this program supports
+     * @throws StoreRefusedException NEWER_FORMAT if the version is higher than this program supports
      */
-    static Head parse(byte[] content) throws Refused {
+    static SegmentHead parse(byte[] content) throws StoreRefusedException {
         try {
             ByteBuffer in = ByteBuffer.wrap(content);
             int version = in.getInt();
             if (version > Format.VERSION) {
-                throw new Refused(
-                        Refused.Cause.NEWER_FORMAT,
+                throw new StoreRefusedException(
+                        StoreRefusedException.Cause.NEWER_FORMAT,
                         "the store is of format " + version + ", this program knows formats up to " + Format.VERSION
                                 + ": use the program that wrote it");
             }
@@ -93,7 +93,7 @@
             for (int n = in.getInt(); n > 0; n--) {
                 older.add(new OlderSegment(in.getInt(), in.getLong(), in.getLong(), in.getLong(), in.getLong()));
             }
-            return new Head(id, segment, firstFrame, lastStamp, opening, names, older);
+            return new SegmentHead(id, segment, firstFrame, lastStamp, opening, names, older);
         } catch (BufferUnderflowException e) {
             return null;
         }
--- a/durable/src/main/java/tallyweir/durable/Walk.java
+++ b/durable/src/main/java/tallyweir/durable/SegmentReader.java
@@ -8,12 +8,12 @@
  * frames that are damaged in the other copy. If a frame is intact in neither copy, it searches sector by sector for a later
  * one. Not thread-safe.
  */
-final class Walk {
+final class SegmentReader {
     private final Log log;
     private final Segment segment;
     private final long limitFrame;
     private final boolean comparesCopies;
-    private final Window[] buffers;
+    private final FrameBuffer[] buffers;
     private final boolean[] rewritten = new boolean[2];
     private final boolean[] repairFailed = new boolean[2];
     private long nextOffset;
@@ -28,14 +28,14 @@
      * @param limit the number of the first frame that is not read
      * @param comparesCopies whether the second copy is read and checked even if the frame is intact in the first
      */
-    Walk(Log log, Segment segment, long offset, long frame, long limitFrame, boolean compares) {
+    SegmentReader(Log log, Segment segment, long offset, long frame, long limitFrame, boolean compares) {
         this.comparesCopies = compares;
         this.log = log;
         this.segment = segment;
         this.limitFrame = limitFrame;
         nextOffset = offset;
         nextFrame = frame;
-        buffers = new Window[] {new Window(segment.copies[0]), new Window(log.copies() > 1 ? segment.copies[1] : null)};
+        buffers = new FrameBuffer[] {new FrameBuffer(segment.copies[0]), new FrameBuffer(log.copies() > 1 ? segment.copies[1] : null)};
     }
 
     /** Moves to the next frame before the limit; false at the end. Throws only if neither copy can be read at all. */
@@ -100,7 +100,7 @@
 
     private void repair(int copy, long offset) {
         if (repairFailed[copy]) {
-            log.figures().add(Figures.Counter.UNREPAIRED);
+            log.figures().add(StoreCounters.Counter.UNREPAIRED);
             return;
         }
         int length = (int) Format.align(Format.FRAME_HEADER_BYTES + contentLength(), log.sector());
@@ -113,11 +113,11 @@
             segment.copies[copy].writeFully(offset, ByteBuffer.wrap(frame));
             rewritten[copy] = true;
             buffers[copy].invalidate();
-            log.figures().add(Figures.Counter.BYTES_WRITTEN, length);
-            log.figures().add(Figures.Counter.REPAIRED);
+            log.figures().add(StoreCounters.Counter.BYTES_WRITTEN, length);
+            log.figures().add(StoreCounters.Counter.REPAIRED);
         } catch (IOException e) {
             repairFailed[copy] = true;
-            log.figures().add(Figures.Counter.UNREPAIRED);
+            log.figures().add(StoreCounters.Counter.UNREPAIRED);
         }
     }
 
@@ -128,7 +128,7 @@
                 try {
                     log.force(segment.copies[c]);
                 } catch (IOException e) {
-                    log.figures().add(Figures.Counter.UNREPAIRED);
+                    log.figures().add(StoreCounters.Counter.UNREPAIRED);
                 }
             }
         }
--- a/durable/src/main/java/tallyweir/durable/SideBySide.java
+++ b/durable/src/main/java/tallyweir/durable/SideBySide.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.Future;
 
 /** Runs the work on the two copies concurrently, so that two forces take only as long as the slower one. */
-public final class SideBySide implements Both, AutoCloseable {
+public final class SideBySide implements CopyExecutor, AutoCloseable {
     private final ExecutorService threads = Executors.newFixedThreadPool(2, r -> {
         Thread t = new Thread(r, "durable copy");
         t.setDaemon(true);
--- a/durable/src/main/java/tallyweir/durable/SimDisk.java
+++ b/durable/src/main/java/tallyweir/durable/SimDisk.java
@@ -18,7 +18,7 @@
  * has its old content, its new content or a mix of both; each creation or deletion of a name that was not forced may or
  * may not have happened; and files have their old or their new length. Faults can be injected: a failing force that
  * drops the data it covered, a full disk, short reads and writes, a read-only directory. Not for use by several threads
- * except those that {@link Both} starts.
+ * except those that {@link CopyExecutor} starts.
  */
 public final class SimDisk implements Disk {
     /** State shared by the disks of one machine: the count of I/O operations, the time of the power cut, the faults. */
@@ -264,7 +264,7 @@
     @Override
     public synchronized Closeable lock() throws IOException {
         if (locked) {
-            throw new Refused(Refused.Cause.IN_USE, where + " is in use");
+            throw new StoreRefusedException(StoreRefusedException.Cause.IN_USE, where + " is in use");
         }
         locked = true;
         return () -> locked = false;
--- a/durable/src/main/java/tallyweir/durable/Times.java
+++ b/durable/src/main/java/tallyweir/durable/StepTimes.java
@@ -9,7 +9,7 @@
  * of the last minute. When writers stall, the cause is the step whose maximum is as long as the stall. Thread-safe. Durations
  * are recorded in nanoseconds and returned in whole tenths of a millisecond.
  */
-public final class Times {
+public final class StepTimes {
     /** The steps. Their lower-case names are part of the printed keys. */
     public enum Step {
         /** A force of a log file in the first copy. */
--- a/durable/src/main/java/tallyweir/durable/Figures.java
+++ b/durable/src/main/java/tallyweir/durable/StoreCounters.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /** Counters of the store since it was opened. Thread-safe. */
-public final class Figures {
+public final class StoreCounters {
     /** The counters. The lower-case names are the keys under which they are printed. */
     public enum Counter {
         /** Batches acknowledged. */
@@ -60,13 +60,13 @@
     }
 
     private final EnumMap<Counter, LongAdder> counters = new EnumMap<>(Counter.class);
-    private final EnumMap<Refused.Cause, LongAdder> refusals = new EnumMap<>(Refused.Cause.class);
+    private final EnumMap<StoreRefusedException.Cause, LongAdder> refusals = new EnumMap<>(StoreRefusedException.Cause.class);
 
-    public Figures() {
+    public StoreCounters() {
         for (Counter of : Counter.values()) {
             counters.put(of, new LongAdder());
         }
-        for (Refused.Cause cause : Refused.Cause.values()) {
+        for (StoreRefusedException.Cause cause : StoreRefusedException.Cause.values()) {
             refusals.put(cause, new LongAdder());
         }
     }
@@ -80,7 +80,7 @@
     }
 
     /** Counts a refusal and returns it. */
-    Refused countRefusal(Refused r) {
+    StoreRefusedException countRefusal(StoreRefusedException r) {
         refusals.get(r.reason()).increment();
         return r;
     }
@@ -89,7 +89,7 @@
         return counters.get(of).sum();
     }
 
-    public long refusals(Refused.Cause cause) {
+    public long refusals(StoreRefusedException.Cause cause) {
         return refusals.get(cause).sum();
     }
 
--- a/durable/src/main/java/tallyweir/durable/Refused.java
+++ b/durable/src/main/java/tallyweir/durable/StoreRefusedException.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 
 /** The store refused an operation, for a {@link Cause}. No part of the operation was acknowledged; reads remain possible. */
-public final class Refused extends IOException {
+public final class StoreRefusedException extends IOException {
     private static final long serialVersionUID = 1L;
 
     /** The causes. Their names are printed and counted. */
@@ -32,12 +32,12 @@
 
     private final Cause reason;
 
-    public Refused(Cause reason, String text) {
+    public StoreRefusedException(Cause reason, String text) {
         super(text);
         this.reason = reason;
     }
 
-    public Refused(Cause reason, String text, Throwable cause) {
+    public StoreRefusedException(Cause reason, String text, Throwable cause) {
         super(text, cause);
         this.reason = reason;
     }
--- a/durable/src/main/java/tallyweir/durable/View.java
+++ b/durable/src/main/java/tallyweir/durable/View.java
@@ -18,10 +18,10 @@
     private final List<Segment> pinned;
     private final long now;
     private final List<String> names;
-    private final Figures figures;
+    private final StoreCounters figures;
     private boolean closed;
 
-    View(Log log, State state, List<Segment> pinned, long now, Figures figures) {
+    View(Log log, State state, List<Segment> pinned, long now, StoreCounters figures) {
         this.log = log;
         this.state = state;
         this.pinned = pinned;
@@ -48,7 +48,7 @@
     }
 
     /** Returns the record of a key, or null if there is none or it has expired. */
-    public Found get(String namespace, byte[] key) throws Refused {
+    public StoredRecord get(String namespace, byte[] key) throws StoreRefusedException {
         int n = names.indexOf(namespace);
         Index.Entry e = n < 0 ? null : state.index().get(Index.indexKey(n, key));
         return e == null || isExpired(e) ? null : found(e);
@@ -58,22 +58,22 @@
         return e.expiresAt() != 0 && e.expiresAt() <= now;
     }
 
-    private Found found(Index.Entry e) throws Refused {
+    private StoredRecord found(Index.Entry e) throws StoreRefusedException {
         return found(log, log.segment(e.segment()), e, pinned, figures);
     }
 
-    static Found found(Log log, Segment s, Index.Entry e, List<Segment> pinned, Figures figures) throws Refused {
+    static StoredRecord found(Log log, Segment s, Index.Entry e, List<Segment> pinned, StoreCounters figures) throws StoreRefusedException {
         Segment of = s;
         for (int i = 0; of == null && i < pinned.size(); i++) {
             of = pinned.get(i).number == e.segment() ? pinned.get(i) : null;
         }
         Format.RecordView r = of == null ? null : log.read(of, e);
         if (r == null) {
-            throw figures.countRefusal(new Refused(
-                    Refused.Cause.DAMAGED,
+            throw figures.countRefusal(new StoreRefusedException(
+                    StoreRefusedException.Cause.DAMAGED,
                     "a record of segment " + e.segment() + " at " + e.offset() + " can be read in neither copy"));
         }
-        return new Found(r.key(), r.value(), r.stamp(), r.expiresAt());
+        return new StoredRecord(r.key(), r.value(), r.stamp(), r.expiresAt());
     }
 
     /**
@@ -81,7 +81,7 @@
      * exclusive, or to the end if {@code to} is null. {@code next} throws for a record that can be read in neither
      * copy; calling it again returns the following record.
      */
-    public Iterator<Found> range(String namespace, byte[] from, byte[] to) {
+    public Iterator<StoredRecord> range(String namespace, byte[] from, byte[] to) {
         int n = names.indexOf(namespace);
         byte[] end = to == null ? null : Index.indexKey(n, to);
         return new Iterator<>() {
@@ -105,7 +105,7 @@
             }
 
             @Override
-            public Found next() {
+            public StoredRecord next() {
                 if (e == null) {
                     throw new NoSuchElementException();
                 }
@@ -121,7 +121,7 @@
      * {@code to} exclusive, both in tenths of a millisecond since 1970. Holds the index entries of all matches in
      * memory.
      */
-    public Iterator<Found> writtenBetween(String namespace, long from, long to) {
+    public Iterator<StoredRecord> writtenBetween(String namespace, long from, long to) {
         int n = names.indexOf(namespace);
         long first = Stamp.lowestAt(from);
         long end = Stamp.lowestAt(to);
@@ -142,16 +142,16 @@
             }
 
             @Override
-            public Found next() {
+            public StoredRecord next() {
                 return read(in.next());
             }
         };
     }
 
-    private Found read(Index.Entry e) {
+    private StoredRecord read(Index.Entry e) {
         try {
             return found(e);
-        } catch (Refused r) {
+        } catch (StoreRefusedException r) {
             throw new UncheckedIOException(r);
         }
     }
--- a/durable/src/test/java/tallyweir/durable/AdminSocketTest.java
+++ b/durable/src/test/java/tallyweir/durable/AdminSocketTest.java
@@ -76,7 +76,7 @@
         for (int i = 0; i < 5; i++) {
             store.committer().write(new Batch().put("a", b("k" + i), b("v" + i)));
         }
-        Found f = AdminCommands.parseRecord(request("get", "a", "6b33").get(0));
+        StoredRecord f = AdminCommands.parseRecord(request("get", "a", "6b33").get(0));
         assertArrayEquals(b("k3"), f.key());
         assertArrayEquals(b("v3"), f.value());
         assertTrue(Math.abs(FileStore.currentTime() - Stamp.time(f.stamp())) < 600_000);
@@ -110,7 +110,7 @@
                     store.committer().write(new Batch().put("a", b("k" + n), b("v" + n)));
                     acknowledged.set(n + 1);
                 }
-            } catch (Refused e) {
+            } catch (StoreRefusedException e) {
                 throw new IllegalStateException(e);
             }
         });
@@ -130,7 +130,7 @@
         try (Durable d = new Durable(
                 new FileDisk(to.resolve("first")),
                 new FileDisk(to.resolve("second")),
-                Both.SEQUENTIAL,
+                CopyExecutor.SEQUENTIAL,
                 1 << 20,
                 4_096,
                 0.5,
--- a/durable/src/test/java/tallyweir/durable/CommitterTest.java
+++ b/durable/src/test/java/tallyweir/durable/CommitterTest.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.atomic.AtomicReference;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import tallyweir.durable.Refused.Cause;
+import tallyweir.durable.StoreRefusedException.Cause;
 
 /** Concurrent writers share one force. */
 @Timeout(60)
@@ -27,7 +27,7 @@
     private final SimDisk first = new SimDisk(power, 512, "first");
     private final SimDisk second = new SimDisk(power, 512, "second");
 
-    private Durable open(Both both) throws IOException {
+    private Durable open(CopyExecutor both) throws IOException {
         return new Durable(
                 first,
                 second,
@@ -65,7 +65,7 @@
                             if (ByteBuffer.wrap(d.get("a", key).value()).getLong() != n) {
                                 wrong.set("a writer did not read its acknowledged value");
                             }
-                            Found f = d.get("a", other);
+                            StoredRecord f = d.get("a", other);
                             long now =
                                     f == null ? 0 : ByteBuffer.wrap(f.value()).getLong();
                             if (now < seen) {
@@ -83,15 +83,15 @@
                 t.join();
             }
             assertEquals(null, wrong.get());
-            assertEquals(WRITERS * WRITES_PER_WRITER, d.figures().get(Figures.Counter.BATCHES));
-            assertTrue(d.figures().get(Figures.Counter.GROUPS) < WRITERS * WRITES_PER_WRITER, "no two batches shared a group");
-            assertTrue(d.figures().get(Figures.Counter.COMPACTED) > 0, "nothing was compacted during the writes");
+            assertEquals(WRITERS * WRITES_PER_WRITER, d.figures().get(StoreCounters.Counter.BATCHES));
+            assertTrue(d.figures().get(StoreCounters.Counter.GROUPS) < WRITERS * WRITES_PER_WRITER, "no two batches shared a group");
+            assertTrue(d.figures().get(StoreCounters.Counter.COMPACTED) > 0, "nothing was compacted during the writes");
         }
     }
 
     @Test
     void failedForceAcknowledgesNothing() throws Exception {
-        try (Durable d = open(Both.SEQUENTIAL);
+        try (Durable d = open(CopyExecutor.SEQUENTIAL);
                 Committer c = new Committer(d, 1 << 20, 0, 1 << 20)) {
             c.write(new Batch().put("a", bytes(1), bytes(1)));
             power.failForce(1);
@@ -104,7 +104,7 @@
                 try {
                     f.get();
                 } catch (ExecutionException e) {
-                    assertEquals(Cause.UNKNOWN, ((Refused) e.getCause()).reason());
+                    assertEquals(Cause.UNKNOWN, ((StoreRefusedException) e.getCause()).reason());
                     failed++;
                 }
             }
@@ -115,7 +115,7 @@
 
     @Test
     void fullQueueRefusesAtOnceAndCloseWritesPendingBatches() throws Exception {
-        Durable d = open(Both.SEQUENTIAL);
+        Durable d = open(CopyExecutor.SEQUENTIAL);
         List<CompletableFuture<Void>> all = new ArrayList<>();
         int busy = 0;
         Committer c = new Committer(d, 2_000, 200_000_000, 1 << 20);
@@ -123,7 +123,7 @@
         for (int i = 0; i < 50; i++) {
             CompletableFuture<Void> f = c.submit(new Batch().put("a", bytes(i), new byte[100]));
             if (f.isCompletedExceptionally()) {
-                Refused r = (Refused)
+                StoreRefusedException r = (StoreRefusedException)
                         assertThrows(CompletionException.class, f::join).getCause();
                 assertEquals(Cause.BUSY, r.reason());
                 busy++;
@@ -136,7 +136,7 @@
         for (CompletableFuture<Void> f : all) {
             f.get();
         }
-        Refused after = (Refused) assertThrows(
+        StoreRefusedException after = (StoreRefusedException) assertThrows(
                         CompletionException.class, c.submit(new Batch().put("a", bytes(1), bytes(1)))::join)
                 .getCause();
         assertEquals(Cause.CLOSED, after.reason());
--- a/durable/src/test/java/tallyweir/durable/DurableTest.java
+++ b/durable/src/test/java/tallyweir/durable/DurableTest.java
@@ -18,7 +18,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import tallyweir.durable.Refused.Cause;
+import tallyweir.durable.StoreRefusedException.Cause;
 
 /** Tests of the store through its public interface. */
 class DurableTest {
@@ -34,7 +34,7 @@
         return new Durable(
                 first,
                 second,
-                Both.SEQUENTIAL,
+                CopyExecutor.SEQUENTIAL,
                 segmentBytes,
                 512,
                 0.5,
@@ -54,15 +54,15 @@
         return text.getBytes();
     }
 
-    private static String text(Found f) {
+    private static String text(StoredRecord f) {
         return f == null ? null : new String(f.value());
     }
 
     private static Cause refusal(Durable d, Batch b) {
-        return assertThrows(Refused.class, () -> d.commit(b)).reason();
+        return assertThrows(StoreRefusedException.class, () -> d.commit(b)).reason();
     }
 
-    private static List<String> keys(Iterator<Found> in) {
+    private static List<String> keys(Iterator<StoredRecord> in) {
         List<String> keys = new ArrayList<>();
         in.forEachRemaining(f -> keys.add(new String(f.key())));
         return keys;
@@ -256,22 +256,22 @@
     @Test
     void secondOpeningIsRefused(@TempDir Path dir) throws IOException {
         try (Durable d = open()) {
-            assertEquals(Cause.IN_USE, assertThrows(Refused.class, this::open).reason());
+            assertEquals(Cause.IN_USE, assertThrows(StoreRefusedException.class, this::open).reason());
             d.commit(new Batch().put("a", b("k"), b("v")));
         }
         open().close();
         FileDisk one = new FileDisk(dir.resolve("one"));
         FileDisk other = new FileDisk(dir.resolve("other"));
         try (Durable d = new Durable(
-                one, other, Both.SEQUENTIAL, 4_096, 512, 0.5, 0, SPACES, 1, () -> clock, Runnable::run, Set.of())) {
+                one, other, CopyExecutor.SEQUENTIAL, 4_096, 512, 0.5, 0, SPACES, 1, () -> clock, Runnable::run, Set.of())) {
             assertEquals(
                     Cause.IN_USE,
                     assertThrows(
-                                    Refused.class,
+                                    StoreRefusedException.class,
                                     () -> new Durable(
                                             one,
                                             other,
-                                            Both.SEQUENTIAL,
+                                            CopyExecutor.SEQUENTIAL,
                                             4_096,
                                             512,
                                             0.5,
@@ -299,7 +299,7 @@
         Format.writeFrameHeader(newer, 0, Format.HEAD_FRAME, length, Format.frameNumber(newer, 0), 0, 1, 0);
         first.addDurable(name, newer);
         second.addDurable(name, newer);
-        Refused r = assertThrows(Refused.class, this::open);
+        StoreRefusedException r = assertThrows(StoreRefusedException.class, this::open);
         assertEquals(Cause.NEWER_FORMAT, r.reason());
         assertTrue(r.getMessage().contains("format " + (Format.VERSION + 1)), r.getMessage());
         assertArrayEquals(newer, first.content(name));
@@ -319,7 +319,7 @@
         }
         first.fileNames().forEach(first::removeDurable);
         try (Durable d = open(4_096)) {
-            assertTrue(d.figures().get(Figures.Counter.FILES_REMADE) > 3);
+            assertTrue(d.figures().get(StoreCounters.Counter.FILES_REMADE) > 3);
             assertEquals(50, keys(d.view().range("a", new byte[0], null)).size());
         }
         second.fileNames().forEach(second::removeDurable);
@@ -348,7 +348,7 @@
         damage(first, Format.segmentFileName(1), 512 * 4 + 60, 3);
         damage(second, Format.segmentFileName(1), 512 * 4 + 90, 3);
         try (Durable d = open()) {
-            assertEquals(1, d.figures().get(Figures.Counter.LOST_FRAMES));
+            assertEquals(1, d.figures().get(StoreCounters.Counter.LOST_FRAMES));
             assertEquals(9, keys(d.view().range("a", new byte[0], null)).size());
             d.commit(new Batch().put("a", b("new"), b("v")));
         }
@@ -367,13 +367,13 @@
         }
         try (Durable d = open()) { // opened from the snapshot, so the damage is not noticed yet
             assertTrue(d.openedFromSnapshot());
-            assertEquals(0, d.figures().get(Figures.Counter.REPAIRED));
+            assertEquals(0, d.figures().get(StoreCounters.Counter.REPAIRED));
             for (int i = 0; i < 10; i++) {
                 assertEquals("v" + i, text(d.get("a", b("k" + i))));
             }
-            assertEquals(1, d.figures().get(Figures.Counter.SECOND_READS));
+            assertEquals(1, d.figures().get(StoreCounters.Counter.SECOND_READS));
             assertTrue(d.upkeep(1 << 16));
-            assertEquals(1, d.figures().get(Figures.Counter.REPAIRED));
+            assertEquals(1, d.figures().get(StoreCounters.Counter.REPAIRED));
             assertArrayEquals(second.content(Format.segmentFileName(1)), first.content(Format.segmentFileName(1)));
         }
     }
@@ -388,12 +388,12 @@
         damage(second, Format.segmentFileName(2), 512 * 3 + 30, 40);
         damage(first, Format.segmentFileName(3), 10, 4);
         try (Durable d = new Durable(
-                first, second, Both.SEQUENTIAL, 4_096, 512, 0.5, 1_000, SPACES, 1, () -> clock, Runnable::run, Set.of())) {
+                first, second, CopyExecutor.SEQUENTIAL, 4_096, 512, 0.5, 1_000, SPACES, 1, () -> clock, Runnable::run, Set.of())) {
             clock += 2_000;
-            while (d.figures().get(Figures.Counter.SCRUBS) == 0) {
+            while (d.figures().get(StoreCounters.Counter.SCRUBS) == 0) {
                 assertTrue(d.upkeep(1_024), "the scrub ended early");
             }
-            assertEquals(2, d.figures().get(Figures.Counter.REPAIRED));
+            assertEquals(2, d.figures().get(StoreCounters.Counter.REPAIRED));
             assertArrayEquals(second.content(Format.segmentFileName(2)), first.content(Format.segmentFileName(2)));
             assertArrayEquals(second.content(Format.segmentFileName(3)), first.content(Format.segmentFileName(3)));
         }
@@ -470,7 +470,7 @@
             first.breakLock();
             second.breakLock();
             try (Durable d = open()) {
-                assertEquals(1, d.figures().get(Figures.Counter.TURNS_NOT_TAKEN));
+                assertEquals(1, d.figures().get(StoreCounters.Counter.TURNS_NOT_TAKEN));
                 power.setReadOnly(false);
                 old.commit(new Batch().put("a", b("l"), b("x")));
                 assertEquals(Cause.FENCED, refusal(d, new Batch().put("a", b("k"), b("w"))));
@@ -495,7 +495,7 @@
             assertEquals(Cause.UNKNOWN, refusal(d, new Batch().put("a", b("k"), b("w"))));
             assertEquals("v", text(d.get("a", b("k"))));
             d.commit(new Batch().put("a", b("l"), b("x")));
-            assertEquals(1, d.figures().get(Figures.Counter.ABANDONED));
+            assertEquals(1, d.figures().get(StoreCounters.Counter.ABANDONED));
             d.abandon();
         }
         try (Durable d = open()) {
@@ -533,7 +533,7 @@
         first = new SimDisk(power, 512, "first");
         second = new SimDisk(power, 512, "second");
         try (Durable d = new Durable(
-                first, second, Both.SEQUENTIAL, 4_096, 512, 0.5, 0, SPACES, 99, () -> clock, Runnable::run, Set.of())) {
+                first, second, CopyExecutor.SEQUENTIAL, 4_096, 512, 0.5, 0, SPACES, 99, () -> clock, Runnable::run, Set.of())) {
             for (int i = 0; i < 300; i++) {
                 d.commit(new Batch().put("a", b("k"), b("foreign")));
             }
@@ -547,7 +547,7 @@
         second = mineToo;
         try (Durable d = open(4_096)) {
             assertEquals("new59", text(d.get("a", b("k"))));
-            assertFalse(d.figures().get(Figures.Counter.SNAPSHOTS_DISTRUSTED) == 0);
+            assertFalse(d.figures().get(StoreCounters.Counter.SNAPSHOTS_DISTRUSTED) == 0);
         }
     }
 
@@ -567,7 +567,7 @@
                     Durable copy = new Durable(
                             new FileDisk(dir.resolve("first")),
                             new FileDisk(dir.resolve("second")),
-                            Both.SEQUENTIAL,
+                            CopyExecutor.SEQUENTIAL,
                             1 << 16,
                             512,
                             0.5,
@@ -584,10 +584,10 @@
                 assertNull(copy.get("a", b("later")), "the backup contains a later write");
                 try (View there = copy.view()) {
                     for (String space : List.of("a", "ring")) {
-                        Iterator<Found> is = there.writtenBetween(space, 0, 1L << 45);
-                        for (Iterator<Found> was = view.writtenBetween(space, 0, 1L << 45); was.hasNext(); ) {
-                            Found f = was.next();
-                            Found g = is.next();
+                        Iterator<StoredRecord> is = there.writtenBetween(space, 0, 1L << 45);
+                        for (Iterator<StoredRecord> was = view.writtenBetween(space, 0, 1L << 45); was.hasNext(); ) {
+                            StoredRecord f = was.next();
+                            StoredRecord g = is.next();
                             assertArrayEquals(f.key(), g.key());
                             assertArrayEquals(f.value(), g.value());
                             assertEquals(f.stamp(), g.stamp());
@@ -596,7 +596,7 @@
                         assertFalse(is.hasNext());
                     }
                 }
-                assertThrows(Refused.class, () -> Backup.copy(view, copy, n -> {}));
+                assertThrows(StoreRefusedException.class, () -> Backup.copy(view, copy, n -> {}));
             }
         }
     }
--- a/durable/src/test/java/tallyweir/durable/CutTest.java
+++ b/durable/src/test/java/tallyweir/durable/FaultInjectionTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** Injects the faults that the store must survive, and checks that each defence is needed to survive them. */
-class CutTest {
+class FaultInjectionTest {
     private static final int SEEDS = 6;
 
     @Test
--- a/durable/src/test/java/tallyweir/durable/LinearTest.java
+++ b/durable/src/test/java/tallyweir/durable/LinearTest.java
@@ -28,7 +28,7 @@
                 new Durable(
                         new SimDisk(power, 512, "first"),
                         new SimDisk(power, 512, "second"),
-                        Both.SEQUENTIAL,
+                        CopyExecutor.SEQUENTIAL,
                         4_096,
                         512,
                         0.5,
@@ -66,7 +66,7 @@
 
     @Operation
     public int get(@Param(name = "key") int key) throws IOException {
-        Found f = store().get("a", bytes(key));
+        StoredRecord f = store().get("a", bytes(key));
         return f == null ? 0 : ByteBuffer.wrap(f.value()).getInt();
     }
 
@@ -74,8 +74,8 @@
     @Operation
     public int getBoth() throws IOException {
         try (View view = store().view()) {
-            Found f = view.get("a", bytes(0));
-            Found g = view.get("a", bytes(1));
+            StoredRecord f = view.get("a", bytes(0));
+            StoredRecord g = view.get("a", bytes(1));
             return (f == null ? 0 : ByteBuffer.wrap(f.value()).getInt()) * 10
                     + (g == null ? 0 : ByteBuffer.wrap(g.value()).getInt());
         }
--- a/fleet/src/main/java/tallyweir/fleet/CapPool.java
+++ b/fleet/src/main/java/tallyweir/fleet/CapPool.java
@@ -93,7 +93,7 @@
      * The sum over all slots of how much the floor that a slot may use under an earlier revision exceeds the current
      * floor.
      */
-    long excessOfEarlierFloors(PlacesByRevision slots) {
+    long excessOfEarlierFloors(SlotsByRevision slots) {
         long excess = 0;
         long from = Long.MIN_VALUE;
         for (LendingPart.EarlierFloor earlier : earlierFloors) {
--- a/fleet/src/main/java/tallyweir/fleet/ChangeRecord.java
+++ b/fleet/src/main/java/tallyweir/fleet/ChangeRecord.java
@@ -27,7 +27,7 @@
         REFUSED
     }
 
-    private final OperatorCommand command;
+    private final OperatorCommandId command;
     private final Kind kind;
     private final List<Change> changes;
     private final String author;
@@ -39,7 +39,7 @@
     private Fault.KeyConflict fault;
 
     ChangeRecord(
-            OperatorCommand command,
+            OperatorCommandId command,
             Kind kind,
             List<Change> changes,
             String author,
@@ -93,7 +93,7 @@
         fault = cause;
     }
 
-    public OperatorCommand command() {
+    public OperatorCommandId command() {
         return command;
     }
 
--- a/fleet/src/main/java/tallyweir/fleet/Command.java
+++ b/fleet/src/main/java/tallyweir/fleet/Command.java
@@ -6,7 +6,7 @@
 import tallyweir.ids.TenantId;
 
 /**
- * An entry of the replicated log. Each is applied to the {@link State} of every voter and produces one {@link Answer}.
+ * An entry of the replicated log. Each is applied to the {@link State} of every voter and produces one {@link QueryResponder}.
  */
 public sealed interface Command {
     /** Advances the clock and does nothing else. */
@@ -62,16 +62,16 @@
      *     command is rejected
      */
     record Publish(
-            OperatorCommand command, RevisionId expected, List<Change> changes, String author, String reason, boolean force)
+            OperatorCommandId command, RevisionId expected, List<Change> changes, String author, String reason, boolean force)
             implements Command {}
 
     /**
      * An operator changes some entries, each on condition that its current value is the change's {@code before} value.
      */
-    record ChangeEntries(OperatorCommand command, List<Change> changes, String author, String reason, boolean force)
+    record ChangeEntries(OperatorCommandId command, List<Change> changes, String author, String reason, boolean force)
             implements Command {}
 
     /** An operator rolls back to an earlier revision: proposes a new one with the same table. */
-    record Rollback(OperatorCommand command, RevisionId expected, RevisionId target, String author, String reason, boolean force)
+    record Rollback(OperatorCommandId command, RevisionId expected, RevisionId target, String author, String reason, boolean force)
             implements Command {}
 }
--- a/fleet/src/main/java/tallyweir/fleet/Explorer.java
+++ b/fleet/src/main/java/tallyweir/fleet/Explorer.java
@@ -14,8 +14,8 @@
 import tallyweir.fleet.table.Value;
 import tallyweir.ids.ConnectionId;
 import tallyweir.ids.TenantId;
-import tallyweir.search.Search;
-import tallyweir.search.World;
+import tallyweir.search.ExhaustiveSearch;
+import tallyweir.search.SearchableSystem;
 
 /**
  * Model checker of the fleet protocol. Explores every order of events that a few servers, their links to the fleet and two
@@ -63,8 +63,8 @@
      * @param without guards that are switched off
      * @param most maximum number of states, after which the exploration gives up and reports so
      */
-    public static Search.SearchResult explore(Scene scene, Set<Guard> without, long maxStates) {
-        return Search.explore(() -> new Fleet(scene, without), maxStates);
+    public static ExhaustiveSearch.SearchResult explore(Scene scene, Set<Guard> without, long maxStates) {
+        return ExhaustiveSearch.explore(() -> new Fleet(scene, without), maxStates);
     }
 
     /** One server with its own side of the protocol and its messages to the fleet. */
@@ -237,7 +237,7 @@
         }
     }
 
-    private static final class Fleet implements World {
+    private static final class Fleet implements SearchableSystem {
         private final Scene scene;
         private final Set<Guard> without;
         private final State state;
@@ -310,7 +310,7 @@
                     new Change(
                             new Key(Kind.STAND_BACK, operator), Optional.empty(), Optional.of(new Value.Present()))));
             Answer answer = state.apply(new Command.Publish(
-                    new OperatorCommand(operator),
+                    new OperatorCommandId(operator),
                     new RevisionId(expected),
                     before.differenceTo(after),
                     operator,
@@ -326,7 +326,7 @@
         private Answer change(String operator) {
             Change change = new Change(ENTRY_BY_OPERATOR.get(operator), Optional.empty(), Optional.of(new Value.Present()));
             return state.apply(
-                    new Command.ChangeEntries(new OperatorCommand(operator), List.of(change), operator, "", false));
+                    new Command.ChangeEntries(new OperatorCommandId(operator), List.of(change), operator, "", false));
         }
 
         private void firstChange(String operator) {
--- a/fleet/src/main/java/tallyweir/fleet/FleetContext.java
+++ b/fleet/src/main/java/tallyweir/fleet/FleetContext.java
@@ -34,7 +34,7 @@
     void settings(String fleet, FleetSettings settings) {
         this.fleet = fleet;
         this.settings = settings;
-        maxOpenDuration = LeaseSpans.forGrantor(settings.maxOpenDuration(), settings.maxClockDrift());
+        maxOpenDuration = LeaseDurations.forGrantor(settings.maxOpenDuration(), settings.maxClockDrift());
     }
 
     /** How long after the end of a server's lease queries that it accepted may still be open, by the fleet's clock. */
--- a/fleet/src/main/java/tallyweir/fleet/FloorMemory.java
+++ b/fleet/src/main/java/tallyweir/fleet/FloorHistory.java
@@ -9,7 +9,7 @@
  * declared the floors free. A floor that rose since then may still be lent to others, and one that fell stays at its lower
  * value even if it rose again.
  */
-final class FloorMemory {
+final class FloorHistory {
     private static final int MAX_CAPS = 32; // with more, all floors are 0 until they are declared free again
 
     private final List<Caps> capsSinceFree = new ArrayList<>();
--- a/fleet/src/main/java/tallyweir/fleet/Gate.java
+++ b/fleet/src/main/java/tallyweir/fleet/Gate.java
@@ -58,7 +58,7 @@
     private long now;
     private long leaseUntil = Long.MIN_VALUE;
     private long floorUntil = Long.MIN_VALUE;
-    private final FloorMemory floors = new FloorMemory();
+    private final FloorHistory floors = new FloorHistory();
     private Caps caps; // null until the first caps are known; until then every tenant counts as at its cap
     private int reportsInPeakWindow; // since the peaks were last reset
     private boolean rejectedSinceReport; // a tenant was rejected since the last report
--- a/fleet/src/main/java/tallyweir/fleet/LeaseSpans.java
+++ b/fleet/src/main/java/tallyweir/fleet/LeaseDurations.java
@@ -5,8 +5,8 @@
  * lease uses a shorter duration and the grantor a longer one, so the holder's lease ends before the grantor lends the
  * same thing to another. Durations may have any unit; the result has the same one.
  */
-public final class LeaseSpans {
-    private LeaseSpans() {}
+public final class LeaseDurations {
+    private LeaseDurations() {}
 
     /** How long, by its own clock, the holder may rely on a lease that lasts {@code duration} by the fleet's clock. */
     public static long forHolder(long duration, double drift) {
--- a/fleet/src/main/java/tallyweir/fleet/Lending.java
+++ b/fleet/src/main/java/tallyweir/fleet/Lending.java
@@ -34,7 +34,7 @@
     private final Caps caps; // of the revision in force
     private final Map<TenantId, CapPool> pools = new HashMap<>();
     private final Map<Integer, Map<TenantId, CapPool>> poolsBySlot = new HashMap<>(); // pools with a share of the slot
-    private final PlacesByRevision slots = new PlacesByRevision();
+    private final SlotsByRevision slots = new SlotsByRevision();
     private final TreeMap<Long, List<TenantId>> loweredTenantsByRevision =
             new TreeMap<>(); // keyed by the revision that lowered the tenants' floors
     private final Set<TenantId> overcommitted = new LinkedHashSet<>(); // may hold some that fit by now
--- a/fleet/src/main/java/tallyweir/fleet/Member.java
+++ b/fleet/src/main/java/tallyweir/fleet/Member.java
@@ -2,7 +2,7 @@
 
 import java.util.Set;
 import java.util.SplittableRandom;
-import tallyweir.rules.Rules;
+import tallyweir.rules.RuleList;
 
 /**
  * A server's side of the fleet protocol: decides from the fleet's answers and its own clock what the server may do now.
@@ -22,7 +22,7 @@
     private final boolean withdrawWithoutLease;
     private final long minRetryDelay;
     private final SplittableRandom random;
-    private final Rules rules = new Rules();
+    private final RuleList rules = new RuleList();
     private long now;
     private Incarnation incarnation;
     private boolean awaitingAnswer; // a join or report was sent and is unanswered
--- a/fleet/src/main/java/tallyweir/fleet/RevisionControl.java
+++ b/fleet/src/main/java/tallyweir/fleet/RevisionControl.java
@@ -13,7 +13,7 @@
 import tallyweir.fleet.table.Table;
 import tallyweir.fleet.table.Value;
 import tallyweir.ids.TenantId;
-import tallyweir.rules.Rules;
+import tallyweir.rules.RuleList;
 
 /**
  * Handles operators' commands: checks their preconditions, makes revisions of them, and decides whether a revision comes
@@ -35,7 +35,7 @@
     private final Lending lending;
     private final ChangeQueue queue = new ChangeQueue();
     private final ArrayDeque<ChangeRecord> refused = new ArrayDeque<>(); // refused after they had waited, latest last
-    private final Rules rules = new Rules();
+    private final RuleList rules = new RuleList();
 
     RevisionControl(
             FleetContext context,
@@ -133,7 +133,7 @@
             turnDown("revision " + rejected.id.value() + ", which it follows, was taken back");
         }
         ChangeRecord record = new ChangeRecord(
-                new OperatorCommand(Probation.AUTHOR + " " + rejected.id.value()),
+                new OperatorCommandId(Probation.AUTHOR + " " + rejected.id.value()),
                 ChangeRecord.Kind.ROLLBACK,
                 List.of(),
                 Probation.AUTHOR,
@@ -264,7 +264,7 @@
     }
 
     private ChangeRecord record(
-            OperatorCommand command,
+            OperatorCommandId command,
             ChangeRecord.Kind kind,
             List<Change> changes,
             String author,
@@ -281,7 +281,7 @@
     // ---- conditions
 
     /** The outcome of a command that was received before, if it is remembered. */
-    private Optional<Answer> outcome(OperatorCommand command) {
+    private Optional<Answer> outcome(OperatorCommandId command) {
         return history.record(command).map(this::outcome);
     }
 
--- a/fleet/src/main/java/tallyweir/fleet/RevisionHistory.java
+++ b/fleet/src/main/java/tallyweir/fleet/RevisionHistory.java
@@ -18,7 +18,7 @@
 
     private final TreeMap<RevisionId, Revision> all = new TreeMap<>();
     private final Map<Digest, Table> tables = new HashMap<>(); // by root, of all revisions that were not turned down
-    private final Map<OperatorCommand, ChangeRecord> commands = new HashMap<>();
+    private final Map<OperatorCommandId, ChangeRecord> commands = new HashMap<>();
     private Revision inForce;
     private Revision previous; // was in force before that
     private long firstInForceAt = Long.MAX_VALUE; // when the first revision came into force
@@ -97,7 +97,7 @@
     }
 
     /** The record of an operator's command, if it is remembered. */
-    Optional<ChangeRecord> record(OperatorCommand command) {
+    Optional<ChangeRecord> record(OperatorCommandId command) {
         return Optional.ofNullable(commands.get(command));
     }
 
--- a/fleet/src/main/java/tallyweir/fleet/ServerRegistry.java
+++ b/fleet/src/main/java/tallyweir/fleet/ServerRegistry.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import tallyweir.rules.Rules;
+import tallyweir.rules.RuleList;
 
 /**
  * The servers of the fleet and their slots: which are live, behind or shut out, and when each is next to be examined.
@@ -33,7 +33,7 @@
     private final Probation probation;
     private final Lending lending;
     private final Stragglers stragglers;
-    private final Rules rules = new Rules();
+    private final RuleList rules = new RuleList();
     private final TreeMap<ServerId, ServerRecord> byName = new TreeMap<>();
     private final Map<Integer, ServerRecord> bySlot = new HashMap<>();
     private final TreeSet<Integer> freeSlots = new TreeSet<>();
--- a/fleet/src/main/java/tallyweir/fleet/PlacesByRevision.java
+++ b/fleet/src/main/java/tallyweir/fleet/SlotsByRevision.java
@@ -6,7 +6,7 @@
 import java.util.function.BiConsumer;
 
 /** The revision that each slot applies, and how many slots apply each revision. */
-final class PlacesByRevision {
+final class SlotsByRevision {
     private final Map<Integer, Long> revisionBySlot = new HashMap<>();
     private final TreeMap<Long, Integer> slotCounts = new TreeMap<>();
 
--- a/fleet/src/main/java/tallyweir/fleet/SnapshotPart.java
+++ b/fleet/src/main/java/tallyweir/fleet/SnapshotPart.java
@@ -65,7 +65,7 @@
      * @param more how many {@link Changes} parts follow
      */
     record Record(
-            OperatorCommand command,
+            OperatorCommandId command,
             ChangeRecord.Kind kind,
             String author,
             String reason,
--- a/fleet/src/main/java/tallyweir/fleet/State.java
+++ b/fleet/src/main/java/tallyweir/fleet/State.java
@@ -229,8 +229,8 @@
         FleetSettings settings = context.settings();
         return new Answer.ReportAccepted(
                 number,
-                isMember ? LeaseSpans.forHolder(settings.leaseDuration(), settings.maxClockDrift()) : 0,
-                isMember ? LeaseSpans.forHolder(settings.floorLeaseDuration(), settings.maxClockDrift()) : 0,
+                isMember ? LeaseDurations.forHolder(settings.leaseDuration(), settings.maxClockDrift()) : 0,
+                isMember ? LeaseDurations.forHolder(settings.floorLeaseDuration(), settings.maxClockDrift()) : 0,
                 lending.floorsFree(),
                 history.inForceRoot(),
                 history.inForce() == null ? 0 : context.now() - history.inForceAt(),
--- a/fleet/src/main/java/tallyweir/fleet/table/Table.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/Table.java
@@ -92,7 +92,7 @@
         for (int depth = 0; depth < path.depth(); depth++) {
             node = node.child(path.digit(depth), depth, hashing);
         }
-        return Piece.of(node);
+        return TableChunk.of(node);
     }
 
     /** Two tables are equal if they have the same entries. */
--- a/fleet/src/main/java/tallyweir/fleet/table/Piece.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/TableChunk.java
@@ -8,11 +8,11 @@
  * The unit of transfer of a subtree: all its entries if there are few, otherwise the digests and entry counts of its children.
  * The first byte distinguishes the two forms.
  */
-final class Piece {
+final class TableChunk {
     /** The maximum number of entries sent in one chunk; a larger branch is sent as the digests of its children. */
     static final int MAX_ENTRIES = 2_048;
 
-    private Piece() {}
+    private TableChunk() {}
 
     /** Encodes a subtree. */
     static byte[] of(Node node) {
--- a/fleet/src/main/java/tallyweir/fleet/table/TableTransfer.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/TableTransfer.java
@@ -16,8 +16,8 @@
 public final class TableTransfer {
     private final Table base;
     private final Hash256 targetRoot;
-    private final TransferPart root;
-    private final Map<Path, TransferPart> pending = new LinkedHashMap<>();
+    private final TransferNode root;
+    private final Map<Path, TransferNode> pending = new LinkedHashMap<>();
 
     /**
      * Starts a transfer.
@@ -26,13 +26,13 @@
      * @param targetRoot the root digest of the target table; {@link Fault.UnknownRoot} is thrown if it is not a valid digest
      */
     public TableTransfer(Table base, Digest targetRoot) {
-        this(base, targetRoot, TransferPart.NONE);
+        this(base, targetRoot, TransferNode.NONE);
     }
 
-    private TableTransfer(Table base, Digest targetRoot, TransferPart previous) {
+    private TableTransfer(Table base, Digest targetRoot, TransferNode previous) {
         this.base = base;
         this.targetRoot = Hash256.parse(targetRoot).orElseThrow(new Fault.UnknownRoot(targetRoot.value())::toException);
-        this.root = new TransferPart(this.targetRoot, base.rootNode(), previous);
+        this.root = new TransferNode(this.targetRoot, base.rootNode(), previous);
         resolveOrRequest(Path.ROOT, root);
     }
 
@@ -49,11 +49,11 @@
      * @throws FleetException {@link Fault.DigestMismatch} if the chunk does not have the expected digest; the transfer is unchanged
      */
     public void accept(Path path, byte[] chunk) {
-        TransferPart node = pending.get(path);
+        TransferNode node = pending.get(path);
         if (node == null) {
             return;
         }
-        if (Piece.isSummary(chunk)) {
+        if (TableChunk.isSummary(chunk)) {
             acceptSummary(path, node, chunk);
         } else {
             acceptEntries(path, node, chunk);
@@ -77,7 +77,7 @@
         return new TableTransfer(base, newRoot, root);
     }
 
-    private void acceptSummary(Path path, TransferPart node, byte[] chunk) {
+    private void acceptSummary(Path path, TransferNode node, byte[] chunk) {
         Hash256 found = Sha256.of(chunk, 0, chunk.length);
         if (!found.equals(node.digest()) || path.depth() == Hash256.DIGITS) {
             throw mismatch(node.digest(), found.toDigest());
@@ -87,7 +87,7 @@
         createChildren(path, node, children.stream().map(ChildSummary::digest).toList());
     }
 
-    private void acceptEntries(Path path, TransferPart node, byte[] chunk) {
+    private void acceptEntries(Path path, TransferNode node, byte[] chunk) {
         Node subtree = subtree(path, node, chunk);
         if (!subtree.hasDigest(node.digest())) {
             throw mismatch(node.digest(), subtree.digest().toDigest());
@@ -96,15 +96,15 @@
         node.resolve(subtree);
     }
 
-    private Node subtree(Path path, TransferPart node, byte[] chunk) {
+    private Node subtree(Path path, TransferNode node, byte[] chunk) {
         try {
-            return Piece.subtree(path, chunk, base.hashing());
+            return TableChunk.subtree(path, chunk, base.hashing());
         } catch (FleetException unreadable) {
             throw mismatch(node.digest(), Digest.of(chunk));
         }
     }
 
-    private void resolveOrRequest(Path path, TransferPart node) {
+    private void resolveOrRequest(Path path, TransferNode node) {
         Optional<Node> subtree = node.knownSubtree();
         Optional<List<Hash256>> children = node.knownChildDigests();
         if (subtree.isPresent()) {
@@ -116,8 +116,8 @@
         }
     }
 
-    private void createChildren(Path path, TransferPart node, List<Hash256> digests) {
-        List<TransferPart> children = new ArrayList<>(digests.size());
+    private void createChildren(Path path, TransferNode node, List<Hash256> digests) {
+        List<TransferNode> children = new ArrayList<>(digests.size());
         for (int digit = 0; digit < digests.size(); digit++) {
             children.add(node.newChild(digests.get(digit), digit, path.depth(), base.hashing()));
         }
--- a/fleet/src/main/java/tallyweir/fleet/table/TransferPart.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/TransferNode.java
@@ -8,18 +8,18 @@
  * available. Until then it refers to the subtrees at the same path of tables known to the receiver, because its children may be
  * equal to children of those.
  */
-final class TransferPart {
+final class TransferNode {
     /** Stands for the previous transfer where there was none. */
-    static final TransferPart NONE = new TransferPart(Leaf.EMPTY);
+    static final TransferNode NONE = new TransferNode(Leaf.EMPTY);
 
     private final Hash256 digest;
     private Node base;
-    private TransferPart previous;
+    private TransferNode previous;
     private Node subtree;
-    private List<TransferPart> children;
+    private List<TransferNode> children;
 
     /** Creates a resolved node of a complete subtree. */
-    private TransferPart(Node subtree) {
+    private TransferNode(Node subtree) {
         this.digest = subtree.digest();
         this.subtree = subtree;
     }
@@ -30,7 +30,7 @@
      * @param base the subtree at the same path of the table that the receiver has
      * @param previous the node at the same path of the previous transfer
      */
-    TransferPart(Hash256 digest, Node base, TransferPart previous) {
+    TransferNode(Hash256 digest, Node base, TransferNode previous) {
         this.digest = digest;
         this.base = base;
         this.previous = previous.isResolved() ? previous : previous.previous;
@@ -53,13 +53,13 @@
         boolean known = previous.children != null && previous.digest.equals(digest);
         return known
                 ? Optional.of(
-                        previous.children.stream().map(TransferPart::digest).toList())
+                        previous.children.stream().map(TransferNode::digest).toList())
                 : Optional.empty();
     }
 
     /** Creates the unresolved child for a digit, with references to the known subtrees at its path. */
-    TransferPart newChild(Hash256 childDigest, int digit, int depth, KeyHashing hashing) {
-        return new TransferPart(childDigest, base.child(digit, depth, hashing), previous.child(digit, depth, hashing));
+    TransferNode newChild(Hash256 childDigest, int digit, int depth, KeyHashing hashing) {
+        return new TransferNode(childDigest, base.child(digit, depth, hashing), previous.child(digit, depth, hashing));
     }
 
     /** Resolves this node with its complete subtree. */
@@ -69,7 +69,7 @@
     }
 
     /** Resolves this node with its 16 children. */
-    void resolve(List<TransferPart> byDigit) {
+    void resolve(List<TransferNode> byDigit) {
         children = byDigit;
         releaseKnown();
     }
@@ -78,7 +78,7 @@
     Node assemble() {
         if (subtree == null) {
             subtree = NodeBuilder.join(
-                    children.stream().map(TransferPart::assemble).toArray(Node[]::new));
+                    children.stream().map(TransferNode::assemble).toArray(Node[]::new));
         }
         return subtree;
     }
@@ -87,8 +87,8 @@
         return subtree != null || children != null;
     }
 
-    private TransferPart child(int digit, int depth, KeyHashing hashing) {
-        return children != null ? children.get(digit) : new TransferPart(subtree.child(digit, depth, hashing));
+    private TransferNode child(int digit, int depth, KeyHashing hashing) {
+        return children != null ? children.get(digit) : new TransferNode(subtree.child(digit, depth, hashing));
     }
 
     private void releaseKnown() {
--- a/fleet/src/test/java/tallyweir/fleet/ExplorerTest.java
+++ b/fleet/src/test/java/tallyweir/fleet/ExplorerTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import tallyweir.search.Search;
+import tallyweir.search.ExhaustiveSearch;
 
 /** Explores every order of events of a few servers, and shows that each guard is needed for one of them. */
 class ExplorerTest {
@@ -22,7 +22,7 @@
             names = "STOP",
             mode = EnumSource.Mode.EXCLUDE) // takes too long here; the command "fleet explore" runs it
     void noSceneViolatesAnInvariant(Explorer.Scene scene) {
-        Search.SearchResult seen = Explorer.explore(scene, Set.of(), MAX_STATES);
+        ExhaustiveSearch.SearchResult seen = Explorer.explore(scene, Set.of(), MAX_STATES);
         assertEquals(List.of(), seen.violations());
         assertTrue(seen.quiescentStates() > 10, seen.quiescentStates() + " ends");
     }
@@ -30,14 +30,14 @@
     @ParameterizedTest
     @EnumSource(value = Guard.class, names = "WHOLE", mode = EnumSource.Mode.EXCLUDE)
     void withoutAGuardAnInvariantIsViolated(Guard guard) {
-        Search.SearchResult seen = Explorer.explore(Explorer.scenesByGuard().get(guard), EnumSet.of(guard), MAX_STATES);
+        ExhaustiveSearch.SearchResult seen = Explorer.explore(Explorer.scenesByGuard().get(guard), EnumSet.of(guard), MAX_STATES);
         assertFalse(seen.violations().isEmpty(), "no violation found without " + guard);
         assertFalse(seen.violations().get(0).startsWith("given up"), seen.violations().get(0));
     }
 
     @Test
     void withoutTheConditionOnEntriesTwoOperatorsAreBothAccepted() {
-        Search.SearchResult seen = Explorer.explore(Explorer.Scene.CHANGES, EnumSet.of(Guard.EXPECTED), MAX_STATES);
+        ExhaustiveSearch.SearchResult seen = Explorer.explore(Explorer.Scene.CHANGES, EnumSet.of(Guard.EXPECTED), MAX_STATES);
         assertTrue(seen.violations().get(0).startsWith("two operators"), seen.violations().toString());
     }
 }
--- a/fleet/src/test/java/tallyweir/fleet/StateTest.java
+++ b/fleet/src/test/java/tallyweir/fleet/StateTest.java
@@ -119,7 +119,7 @@
 
     private void publish(String command, long expected, int cap) {
         apply(new Command.Publish(
-                new OperatorCommand(command),
+                new OperatorCommandId(command),
                 new RevisionId(expected),
                 state.table(new RevisionId(expected)).differenceTo(table(cap)),
                 "ann",
@@ -129,7 +129,7 @@
 
     private void rollback(String command, long expected, long to, String by, String why) {
         apply(new Command.Rollback(
-                new OperatorCommand(command), new RevisionId(expected), new RevisionId(to), by, why, false));
+                new OperatorCommandId(command), new RevisionId(expected), new RevisionId(to), by, why, false));
     }
 
     private ServerRecord server(int i) {
--- a/fleet/src/test/java/tallyweir/fleet/table/TableTransferTest.java
+++ b/fleet/src/test/java/tallyweir/fleet/table/TableTransferTest.java
@@ -159,7 +159,7 @@
     void transfersTablesWithCollidingHashes() {
         for (KeyHashing hashing : List.of(TestTables.collidingAfter(0), TestTables.differingInLastDigit())) {
             Table empty = Table.empty(hashing);
-            Table target = empty.apply(TestTables.capChanges(0, Piece.MAX_ENTRIES + 500, 7));
+            Table target = empty.apply(TestTables.capChanges(0, TableChunk.MAX_ENTRIES + 500, 7));
             TableTransfer transfer = new TableTransfer(empty, target.root());
             complete(transfer, target);
             assertEquals(target, transfer.table());
--- a/results/src/main/java/tallyweir/results/DurableResultStore.java
+++ b/results/src/main/java/tallyweir/results/DurableResultStore.java
@@ -13,7 +13,7 @@
 import tallyweir.durable.Batch;
 import tallyweir.durable.Committer;
 import tallyweir.durable.Durable;
-import tallyweir.durable.Found;
+import tallyweir.durable.StoredRecord;
 import tallyweir.durable.Stamp;
 import tallyweir.durable.View;
 import tallyweir.ids.JobId;
@@ -40,7 +40,7 @@
     private final Executor callbackExecutor;
     private final Executor readExecutor;
     private final List<StoredResult> intentsAtStart;
-    private final Set<Marks.Guard> disabledGuards;
+    private final Set<IdempotencyTracker.Guard> disabledGuards;
 
     /**
      * @param callbackExecutor runs callbacks on the caller's thread
@@ -52,7 +52,7 @@
             Committer committer,
             Executor callbackExecutor,
             Executor readExecutor,
-            Set<Marks.Guard> disabledGuards)
+            Set<IdempotencyTracker.Guard> disabledGuards)
             throws IOException {
         this.disabledGuards = disabledGuards;
         this.store = store;
@@ -61,9 +61,9 @@
         this.readExecutor = readExecutor;
         intentsAtStart = new ArrayList<>();
         try (View view = store.view()) {
-            for (Iterator<Found> in = view.range(INTENTS, new byte[0], null); in.hasNext(); ) {
+            for (Iterator<StoredRecord> in = view.range(INTENTS, new byte[0], null); in.hasNext(); ) {
                 byte[] key = in.next().key();
-                Found f = view.get(RESULTS, key);
+                StoredRecord f = view.get(RESULTS, key);
                 StoredResult k = f == null ? null : decode(key, f);
                 if (k != null && k.known() == null) {
                     intentsAtStart.add(k);
@@ -73,12 +73,12 @@
     }
 
     /** The key of a workload and the value of the Once-Key field. */
-    public static Mark idempotencyKey(String workload, String stamp) {
-        return new Mark(new WorkloadId(workload), new SubjectId(stamp));
+    public static IdempotencyKey idempotencyKey(String workload, String stamp) {
+        return new IdempotencyKey(new WorkloadId(workload), new SubjectId(stamp));
     }
 
     /** Decodes a key of the store; null if it is malformed. */
-    static Mark idempotencyKey(byte[] bytes) {
+    static IdempotencyKey idempotencyKey(byte[] bytes) {
         int end = 0;
         while (end < bytes.length && bytes[end] != 0) {
             end++;
@@ -91,7 +91,7 @@
     }
 
     /** Encodes a key for the store: workload, 0, stamp. */
-    public static byte[] storeKey(Mark key) {
+    public static byte[] storeKey(IdempotencyKey key) {
         byte[] workload = key.workload().value().getBytes(StandardCharsets.UTF_8);
         byte[] stamp = key.stamp().value().getBytes(StandardCharsets.UTF_8);
         return ByteBuffer.allocate(workload.length + stamp.length + 1)
@@ -131,8 +131,8 @@
                 .array();
     }
 
-    private static StoredResult decode(byte[] storeKey, Found f) {
-        Mark key = idempotencyKey(storeKey);
+    private static StoredResult decode(byte[] storeKey, StoredRecord f) {
+        IdempotencyKey key = idempotencyKey(storeKey);
         if (key == null || f.value().length < 19) {
             return null;
         }
@@ -167,12 +167,12 @@
     }
 
     /** Decodes a record of the namespace {@link #RESULTS}; null if it is malformed. */
-    public static StoredResult decode(Found f) {
+    public static StoredResult decode(StoredRecord f) {
         return decode(f.key(), f);
     }
 
     @Override
-    public boolean contains(Mark key) {
+    public boolean contains(IdempotencyKey key) {
         return store.contains(RESULTS, storeKey(key));
     }
 
@@ -186,7 +186,7 @@
     }
 
     @Override
-    public void recordIntent(Mark key, JobId job, long body, long expiresAt, Consumer<Boolean> onDone) {
+    public void recordIntent(IdempotencyKey key, JobId job, long body, long expiresAt, Consumer<Boolean> onDone) {
         byte[] storeKey = storeKey(key);
         write(
                 new Batch()
@@ -197,30 +197,30 @@
 
     @Override
     public void record(
-            Mark key, JobId job, long body, Known known, byte[] result, long expiresAt, Consumer<Boolean> onDone) {
+            IdempotencyKey key, JobId job, long body, Known known, byte[] result, long expiresAt, Consumer<Boolean> onDone) {
         Batch batch = new Batch();
         put(batch, key, job, body, known, result, expiresAt);
         write(batch.delete(INTENTS, storeKey(key)), onDone);
     }
 
     /** Adds an outcome to a batch, encoded as in the store. */
-    public static void put(Batch batch, Mark key, JobId job, long body, Known known, byte[] result, long expiresAt) {
+    public static void put(Batch batch, IdempotencyKey key, JobId job, long body, Known known, byte[] result, long expiresAt) {
         batch.put(RESULTS, storeKey(key), encodeOutcome(known, job, body, expiresAt, result), expiresAt);
     }
 
     @Override
-    public void deleteIntent(Mark key, Consumer<Boolean> onDone) {
+    public void deleteIntent(IdempotencyKey key, Consumer<Boolean> onDone) {
         byte[] storeKey = storeKey(key);
         write(new Batch().delete(RESULTS, storeKey).delete(INTENTS, storeKey), onDone);
     }
 
     @Override
-    public void read(Mark key, Consumer<StoredResult> onRead) {
+    public void read(IdempotencyKey key, Consumer<StoredResult> onRead) {
         readExecutor.execute(() -> {
             StoredResult k;
             try {
                 byte[] storeKey = storeKey(key);
-                Found f = store.get(RESULTS, storeKey);
+                StoredRecord f = store.get(RESULTS, storeKey);
                 k = f == null ? null : decode(storeKey, f);
             } catch (IOException unreadable) {
                 k = null;
@@ -236,7 +236,7 @@
     }
 
     @Override
-    public Set<Marks.Guard> disabledGuards() {
+    public Set<IdempotencyTracker.Guard> disabledGuards() {
         return disabledGuards;
     }
 }
--- a/results/src/main/java/tallyweir/results/Explorer.java
+++ b/results/src/main/java/tallyweir/results/Explorer.java
@@ -8,16 +8,16 @@
 import java.util.TreeSet;
 import tallyweir.ids.SubjectId;
 import tallyweir.ids.WorkloadId;
-import tallyweir.search.Search;
-import tallyweir.search.World;
+import tallyweir.search.ExhaustiveSearch;
+import tallyweir.search.SearchableSystem;
 
 /**
  * Explores every order of events of a few copies with one key, the scheduler, the disk and the kernel, with at most one
  * crash of the process, one crash of the kernel and one disk fault, and checks the rules in each state. It runs the
- * real {@link Marks} in a simulated environment.
+ * real {@link IdempotencyTracker} in a simulated environment.
  */
 public final class Explorer {
-    private static final Mark KEY = new Mark(new WorkloadId("w"), new SubjectId("m"));
+    private static final IdempotencyKey KEY = new IdempotencyKey(new WorkloadId("w"), new SubjectId("m"));
 
     private Explorer() {}
 
@@ -26,8 +26,8 @@
      * @param without guards that are switched off
      * @param maxStates after which the search ends with a violation that says so
      */
-    public static Search.SearchResult explore(int copies, Set<Marks.Guard> without, long maxStates) {
-        return Search.explore(() -> new SimulatedEnvironment(copies, without), maxStates);
+    public static ExhaustiveSearch.SearchResult explore(int copies, Set<IdempotencyTracker.Guard> without, long maxStates) {
+        return ExhaustiveSearch.explore(() -> new SimulatedEnvironment(copies, without), maxStates);
     }
 
     private static final class Copy {
@@ -46,11 +46,11 @@
     private record Write(String operation, long run, String value) {}
 
     /** The system under search: the tracker and its simulated environment. */
-    private static final class SimulatedEnvironment implements World, Keeping {
+    private static final class SimulatedEnvironment implements SearchableSystem, IdempotencyActions {
         private final List<Copy> copies = new ArrayList<>();
-        private final Set<Marks.Guard> without;
+        private final Set<IdempotencyTracker.Guard> without;
         private final List<String> violations = new ArrayList<>();
-        private Marks tracker;
+        private IdempotencyTracker tracker;
         private boolean up = true;
         private boolean crashed;
         private boolean kernelDied;
@@ -67,12 +67,12 @@
         private int starts;
         private String sentResult; // the result that was sent, null if none
 
-        SimulatedEnvironment(int copies, Set<Marks.Guard> without) {
+        SimulatedEnvironment(int copies, Set<IdempotencyTracker.Guard> without) {
             this.without = without;
             for (int i = 0; i < copies; i++) {
                 this.copies.add(new Copy());
             }
-            tracker = new Marks(this, 4, without);
+            tracker = new IdempotencyTracker(this, 4, without);
         }
 
         @Override
@@ -300,7 +300,7 @@
 
         private void start() {
             up = true;
-            tracker = new Marks(this, 4, without);
+            tracker = new IdempotencyTracker(this, 4, without);
             if (storedRecord.startsWith("intent")) {
                 long run = Long.parseLong(storedRecord.split(" ")[1]);
                 startedRuns.add(run);
@@ -316,22 +316,22 @@
         // ---- actions of the tracker
 
         @Override
-        public void recordIntent(RunId run, Mark key, long body, long expiresAt) {
+        public void recordIntent(RunId run, IdempotencyKey key, long body, long expiresAt) {
             writes.add(new Write("intend", run.value(), "intent " + run.value()));
         }
 
         @Override
-        public void record(RunId run, Mark key, long body, Known known, byte[] result, long expiresAt) {
+        public void record(RunId run, IdempotencyKey key, long body, Known known, byte[] result, long expiresAt) {
             writes.add(new Write("record", run.value(), known + " " + (result == null ? 0 : result[0])));
         }
 
         @Override
-        public void deleteIntent(RunId run, Mark key) {
+        public void deleteIntent(RunId run, IdempotencyKey key) {
             writes.add(new Write("withdraw", run.value(), ""));
         }
 
         @Override
-        public void readRecord(Mark key) {
+        public void readRecord(IdempotencyKey key) {
             readPending = true;
         }
 
@@ -382,7 +382,7 @@
     }
 
     /** The guards; the exploration must find a violation without any one of them. */
-    public static List<Marks.Guard> guards() {
-        return Collections.unmodifiableList(List.of(Marks.Guard.values()));
+    public static List<IdempotencyTracker.Guard> guards() {
+        return Collections.unmodifiableList(List.of(IdempotencyTracker.Guard.values()));
     }
 }
--- a/results/src/main/java/tallyweir/results/Keeping.java
+++ b/results/src/main/java/tallyweir/results/IdempotencyActions.java
@@ -1,24 +1,24 @@
 package tallyweir.results;
 
 /**
- * The actions that {@link Marks} asks for. Each write and read is answered later by one call of the method named, never
+ * The actions that {@link IdempotencyTracker} asks for. Each write and read is answered later by one call of the method named, never
  * within the call itself. Writes for one key take effect in the order in which they were asked for.
  */
-public interface Keeping {
-    /** Writes the intent, the record that a run may start; answered by {@link Marks#onIntentRecorded}. */
-    void recordIntent(RunId run, Mark key, long body, long expiresAt);
+public interface IdempotencyActions {
+    /** Writes the intent, the record that a run may start; answered by {@link IdempotencyTracker#onIntentRecorded}. */
+    void recordIntent(RunId run, IdempotencyKey key, long body, long expiresAt);
 
-    /** Writes the outcome of a run in place of its intent; answered by {@link Marks#onOutcomeRecorded}. */
-    void record(RunId run, Mark key, long body, Known known, byte[] result, long expiresAt);
+    /** Writes the outcome of a run in place of its intent; answered by {@link IdempotencyTracker#onOutcomeRecorded}. */
+    void record(RunId run, IdempotencyKey key, long body, Known known, byte[] result, long expiresAt);
 
-    /** Deletes the intent of a run that never started; answered by {@link Marks#onIntentDeleted}. */
-    void deleteIntent(RunId run, Mark key);
+    /** Deletes the intent of a run that never started; answered by {@link IdempotencyTracker#onIntentDeleted}. */
+    void deleteIntent(RunId run, IdempotencyKey key);
 
     /**
-     * Reads the record of a key; answered by {@link Marks#onRecordRead} or
-     * {@link Marks#onReadFailed}.
+     * Reads the record of a key; answered by {@link IdempotencyTracker#onRecordRead} or
+     * {@link IdempotencyTracker#onReadFailed}.
      */
-    void readRecord(Mark key);
+    void readRecord(IdempotencyKey key);
 
     /** Passes the run to the kernel. */
     void startRun(RunId run);
--- a/results/src/main/java/tallyweir/results/Mark.java
+++ b/results/src/main/java/tallyweir/results/IdempotencyKey.java
@@ -4,4 +4,4 @@
 import tallyweir.ids.WorkloadId;
 
 /** Identifies repeats of a query: the stamp that the caller gave, unique within its workload. */
-public record Mark(WorkloadId workload, SubjectId stamp) {}
+public record IdempotencyKey(WorkloadId workload, SubjectId stamp) {}
--- a/results/src/main/java/tallyweir/results/Marks.java
+++ b/results/src/main/java/tallyweir/results/IdempotencyTracker.java
@@ -8,12 +8,12 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
-import tallyweir.rules.Rules;
+import tallyweir.rules.RuleList;
 
 /**
  * Tracks the runs of queries that have an idempotency key: when their intents and outcomes are written, and how
  * repeats are answered. Has no access to the disk, the kernel or the clock: each event is a call, and actions are
- * carried out through {@link Keeping}. After each event the rules listed in the constructor are evaluated in order
+ * carried out through {@link IdempotencyActions}. After each event the rules listed in the constructor are evaluated in order
  * until none applies. Not thread-safe.
  *
  * <p>Invariants: a run starts only after its intent is on the disk; a result is sent only after it is on the disk;
@@ -21,7 +21,7 @@
  * while something is under way for its key. After that the record is on the disk only, and is read when a repeat
  * comes.
  */
-public final class Marks {
+public final class IdempotencyTracker {
     /**
      * The guards against a second run or a differing answer after a fault. All are on, except in checks that show
      * what each one prevents.
@@ -54,7 +54,7 @@
     private record Waiter(RunId copy, long body) {}
 
     private static final class Entry {
-        private final Mark key;
+        private final IdempotencyKey key;
         private long body;
         private final long expiresAt;
         private final RunId run;
@@ -71,7 +71,7 @@
         private byte[] result;
         private final List<Waiter> waiters = new ArrayList<>(1);
 
-        private Entry(Mark key, long body, long expiresAt, RunId run, Stage stage) {
+        private Entry(IdempotencyKey key, long body, long expiresAt, RunId run, Stage stage) {
             this.key = key;
             this.body = body;
             this.expiresAt = expiresAt;
@@ -80,20 +80,20 @@
         }
     }
 
-    private final Keeping out;
+    private final IdempotencyActions out;
     private final int maxEntries;
     private final Set<Guard> without;
-    private final Map<Mark, Entry> entries = new HashMap<>();
+    private final Map<IdempotencyKey, Entry> entries = new HashMap<>();
     private final Map<RunId, Entry> entriesByRun = new HashMap<>();
-    private final Set<Mark> ignoredIntents = new HashSet<>(); // used only when a check has switched off a guard
-    private final Rules rules = new Rules();
+    private final Set<IdempotencyKey> ignoredIntents = new HashSet<>(); // used only when a check has switched off a guard
+    private final RuleList rules = new RuleList();
     private Entry current; // the entry that the current event is about
 
     /**
      * @param maxEntries keys in memory at once, 1 or more; beyond that new keys are refused
      * @param without guards that are switched off, for checks only
      */
-    public Marks(Keeping out, int maxEntries, Set<Guard> without) {
+    public IdempotencyTracker(IdempotencyActions out, int maxEntries, Set<Guard> without) {
         this.out = out;
         this.maxEntries = maxEntries;
         this.without = without.isEmpty() ? EnumSet.noneOf(Guard.class) : EnumSet.copyOf(without);
@@ -138,7 +138,7 @@
      * @param body digest of the copy's body
      * @param onDisk whether the key has a record on the disk, an intent or an outcome
      */
-    public Verdict onCopyRead(RunId copy, Mark key, long body, boolean onDisk) {
+    public Verdict onCopyRead(RunId copy, IdempotencyKey key, long body, boolean onDisk) {
         Entry entry = entries.get(key);
         if (entry != null && !isAbandoned(entry)) {
             if (entry.stage != Stage.READING && entry.body != body) {
@@ -162,7 +162,7 @@
     }
 
     /** Lets a repeat wait for the outcome of its key. It is answered once, unless its caller disconnects before. */
-    public void awaitOutcome(RunId copy, Mark key, long body) {
+    public void awaitOutcome(RunId copy, IdempotencyKey key, long body) {
         Entry entry = entries.get(key);
         if (entry == null) {
             out.answer(copy, Known.UNKNOWN, null);
@@ -183,7 +183,7 @@
     }
 
     /** The scheduler has admitted a new copy. Its intent is written while it waits for a core. */
-    public void admit(RunId copy, Mark key, long body, long expiresAt) {
+    public void admit(RunId copy, IdempotencyKey key, long body, long expiresAt) {
         Entry entry = new Entry(key, body, expiresAt, copy, Stage.RECORDING_INTENT);
         entry.waiters.add(new Waiter(copy, body));
         entries.put(key, entry);
@@ -279,7 +279,7 @@
     }
 
     /** The record of a key was read. An intent without an outcome counts as {@link Known#UNKNOWN}. */
-    public void onRecordRead(Mark key, long body, Known known, byte[] result) {
+    public void onRecordRead(IdempotencyKey key, long body, Known known, byte[] result) {
         Entry entry = entries.get(key);
         if (entry != null && entry.stage == Stage.READING) {
             entry.body = body;
@@ -291,7 +291,7 @@
     }
 
     /** The record of a key could not be read. */
-    public void onReadFailed(Mark key) {
+    public void onReadFailed(IdempotencyKey key) {
         Entry entry = entries.get(key);
         if (entry != null && entry.stage == Stage.READING) {
             entry.bodyUnknown = true;
@@ -300,7 +300,7 @@
     }
 
     /** At startup, before any copy is read: an intent without an outcome was found on the disk. */
-    public void restoreIntent(RunId run, Mark key, long body, long expiresAt) {
+    public void restoreIntent(RunId run, IdempotencyKey key, long body, long expiresAt) {
         if (!isOn(Guard.RESTART)) {
             ignoredIntents.add(key);
             return;
@@ -387,7 +387,7 @@
                         .sorted()
                         .collect(Collectors.joining(";"))
                 + "|"
-                + entries.values().stream().map(Marks::describe).sorted().collect(Collectors.joining(";"));
+                + entries.values().stream().map(IdempotencyTracker::describe).sorted().collect(Collectors.joining(";"));
     }
 
     private static String describe(Entry entry) {
--- a/results/src/main/java/tallyweir/results/ResultStore.java
+++ b/results/src/main/java/tallyweir/results/ResultStore.java
@@ -12,31 +12,31 @@
  */
 public interface ResultStore {
     /** The record of one key: an intent if {@code known} is null, otherwise an outcome. */
-    record StoredResult(Mark key, JobId job, long body, Known known, byte[] result, long writtenAt, long expiresAt) {}
+    record StoredResult(IdempotencyKey key, JobId job, long body, Known known, byte[] result, long writtenAt, long expiresAt) {}
 
     /** Whether a key has a record; answered from memory. */
-    boolean contains(Mark key);
+    boolean contains(IdempotencyKey key);
 
     /** Whether there is room for another key, besides the outcomes of this many runs that are still to be written. */
     boolean hasRoom(int pending);
 
     /** Writes an intent; the callback gets whether it is on the disk. */
-    void recordIntent(Mark key, JobId job, long body, long expiresAt, Consumer<Boolean> onDone);
+    void recordIntent(IdempotencyKey key, JobId job, long body, long expiresAt, Consumer<Boolean> onDone);
 
     /** Replaces an intent by an outcome; the callback gets whether it is on the disk. */
-    void record(Mark key, JobId job, long body, Known known, byte[] result, long expiresAt, Consumer<Boolean> onDone);
+    void record(IdempotencyKey key, JobId job, long body, Known known, byte[] result, long expiresAt, Consumer<Boolean> onDone);
 
     /** Deletes an intent; the callback gets whether it is gone from the disk. */
-    void deleteIntent(Mark key, Consumer<Boolean> onDone);
+    void deleteIntent(IdempotencyKey key, Consumer<Boolean> onDone);
 
     /** Reads the record of a key; the callback gets null if there is none or it can't be read. */
-    void read(Mark key, Consumer<StoredResult> onRead);
+    void read(IdempotencyKey key, Consumer<StoredResult> onRead);
 
     /** The intents found when the process started. */
     List<StoredResult> intentsAtStart();
 
     /** Guards that are switched off: none, except in drills that show what each guard prevents. */
-    default Set<Marks.Guard> disabledGuards() {
+    default Set<IdempotencyTracker.Guard> disabledGuards() {
         return Set.of();
     }
 }
--- a/results/src/main/java/tallyweir/results/Settling.java
+++ b/results/src/main/java/tallyweir/results/Settling.java
@@ -11,7 +11,7 @@
 import tallyweir.durable.Batch;
 import tallyweir.durable.Committer;
 import tallyweir.durable.Durable;
-import tallyweir.durable.Found;
+import tallyweir.durable.StoredRecord;
 
 /**
  * Changes that an operator may make to stored records, and their audit trail. An unknown outcome may be settled once
@@ -68,14 +68,14 @@
      * @throws IOException with the reason if the change is refused
      */
     public static synchronized void settle(
-            Durable store, Committer committer, Mark key, As as, byte[] result, String operator, String reason)
+            Durable store, Committer committer, IdempotencyKey key, As as, byte[] result, String operator, String reason)
             throws IOException {
         if (operator.isBlank() || reason.isBlank() || operator.length() > MAX_TEXT_CHARS || reason.length() > MAX_TEXT_CHARS) {
             throw new IOException(
                     "an operator and a reason are required, of at most " + MAX_TEXT_CHARS + " characters each");
         }
         byte[] storeKey = DurableResultStore.storeKey(key);
-        Found found = store.get(DurableResultStore.RESULTS, storeKey);
+        StoredRecord found = store.get(DurableResultStore.RESULTS, storeKey);
         ResultStore.StoredResult kept = found == null ? null : DurableResultStore.decode(found);
         String refusal = refusal(kept, as);
         if (refusal != null) {
@@ -120,10 +120,10 @@
     }
 
     /** A change as recorded in the namespace {@link #AUDIT}; its time is tenths of a millisecond since 1970. */
-    public record Change(long changedAt, Mark key, String as, String operator, String reason) {}
+    public record Change(long changedAt, IdempotencyKey key, String as, String operator, String reason) {}
 
     /** Decodes a record of the namespace {@link #AUDIT}; null if it is malformed. */
-    public static Change change(Found f) {
+    public static Change change(StoredRecord f) {
         String[] text = new String(f.value(), StandardCharsets.UTF_8).split("\t", 3);
         if (f.key().length < 9 || text.length < 3) {
             return null;
@@ -132,7 +132,7 @@
         ByteBuffer in = ByteBuffer.wrap(f.key());
         long at = in.getLong();
         in.get(storeKey);
-        Mark key = DurableResultStore.idempotencyKey(storeKey);
+        IdempotencyKey key = DurableResultStore.idempotencyKey(storeKey);
         return key == null ? null : new Change(at, key, text[0], text[1], text[2]);
     }
 
--- a/results/src/test/java/tallyweir/results/DurableResultStoreTest.java
+++ b/results/src/test/java/tallyweir/results/DurableResultStoreTest.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import tallyweir.durable.Both;
+import tallyweir.durable.CopyExecutor;
 import tallyweir.durable.Committer;
 import tallyweir.durable.Durable;
 import tallyweir.durable.Namespace;
@@ -22,8 +22,8 @@
 /** Records in the store, across restarts and up to the end of their windows. */
 @Timeout(30)
 class DurableResultStoreTest {
-    private static final Mark KEY = DurableResultStore.idempotencyKey("reset", "m1");
-    private static final Mark OTHER_KEY = DurableResultStore.idempotencyKey("reset", "m2");
+    private static final IdempotencyKey KEY = DurableResultStore.idempotencyKey("reset", "m1");
+    private static final IdempotencyKey OTHER_KEY = DurableResultStore.idempotencyKey("reset", "m2");
 
     private final SimDisk.Power power = new SimDisk.Power(1);
     private final SimDisk first = new SimDisk(power, 512, "first");
@@ -38,7 +38,7 @@
         try (Durable d = new Durable(
                         first,
                         second,
-                        Both.SEQUENTIAL,
+                        CopyExecutor.SEQUENTIAL,
                         1 << 14,
                         512,
                         0.5,
@@ -62,7 +62,7 @@
         return done.get(10, TimeUnit.SECONDS);
     }
 
-    private static ResultStore.StoredResult read(DurableResultStore s, Mark key) {
+    private static ResultStore.StoredResult read(DurableResultStore s, IdempotencyKey key) {
         ResultStore.StoredResult[] stored = new ResultStore.StoredResult[1];
         s.read(key, k -> stored[0] = k);
         return stored[0];
@@ -116,7 +116,7 @@
         open(s -> {
             int n = 0;
             for (; s.hasRoom(0); n++) {
-                Mark m = DurableResultStore.idempotencyKey("reset", "x" + n);
+                IdempotencyKey m = DurableResultStore.idempotencyKey("reset", "x" + n);
                 byte[] noise = new byte[1_000];
                 new java.util.SplittableRandom(n).nextBytes(noise);
                 assertTrue(
--- a/results/src/test/java/tallyweir/results/ExplorerTest.java
+++ b/results/src/test/java/tallyweir/results/ExplorerTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import tallyweir.search.Search;
+import tallyweir.search.ExhaustiveSearch;
 
 /** Explores every interleaving of copies, crashes and faults, and shows that each guard prevents a violation. */
 class ExplorerTest {
@@ -18,16 +18,16 @@
 
     @Test
     void nothingRunsTwiceInAnyOrderOfThreeCopies() {
-        Search.SearchResult result = Explorer.explore(3, Set.of(), MAX_STATES);
+        ExhaustiveSearch.SearchResult result = Explorer.explore(3, Set.of(), MAX_STATES);
         assertEquals(List.of(), result.violations());
         assertTrue(result.states() > 1_000, result.states() + " states");
         assertTrue(result.quiescentStates() > 10, result.quiescentStates() + " quiescent states");
     }
 
     @ParameterizedTest
-    @EnumSource(Marks.Guard.class)
-    void violationIsFoundWithoutAnyOneGuard(Marks.Guard guard) {
-        Search.SearchResult result = Explorer.explore(3, EnumSet.of(guard), MAX_STATES);
+    @EnumSource(IdempotencyTracker.Guard.class)
+    void violationIsFoundWithoutAnyOneGuard(IdempotencyTracker.Guard guard) {
+        ExhaustiveSearch.SearchResult result = Explorer.explore(3, EnumSet.of(guard), MAX_STATES);
         assertFalse(result.violations().isEmpty(), "no violation without " + guard);
         assertFalse(result.violations().get(0).startsWith("given up"), result.violations().get(0));
     }
--- a/results/src/test/java/tallyweir/results/MarksModelTest.java
+++ b/results/src/test/java/tallyweir/results/IdempotencyTrackerModelTest.java
@@ -17,14 +17,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Compares {@link Marks} with a plain model without rules, on random histories of several keys, bodies and copies. */
-class MarksModelTest {
+/** Compares {@link IdempotencyTracker} with a plain model without rules, on random histories of several keys, bodies and copies. */
+class IdempotencyTrackerModelTest {
     private static final int KEYS = 4;
     private static final int MAX_ENTRIES = 3;
     private static final int EVENTS = 80;
 
     /** Records the actions asked for, as text. */
-    private static final class ActionLog implements Keeping {
+    private static final class ActionLog implements IdempotencyActions {
         private final List<String> actions = new ArrayList<>();
 
         private List<String> take() {
@@ -34,22 +34,22 @@
         }
 
         @Override
-        public void recordIntent(RunId run, Mark mark, long body, long until) {
+        public void recordIntent(RunId run, IdempotencyKey mark, long body, long until) {
             actions.add("intend " + run.value());
         }
 
         @Override
-        public void record(RunId run, Mark mark, long body, Known known, byte[] result, long until) {
+        public void record(RunId run, IdempotencyKey mark, long body, Known known, byte[] result, long until) {
             actions.add("record " + run.value() + " " + known);
         }
 
         @Override
-        public void deleteIntent(RunId run, Mark mark) {
+        public void deleteIntent(RunId run, IdempotencyKey mark) {
             actions.add("withdraw " + run.value());
         }
 
         @Override
-        public void readRecord(Mark mark) {
+        public void readRecord(IdempotencyKey mark) {
             actions.add("look " + mark.stamp().value());
         }
 
@@ -220,19 +220,19 @@
     private static final class RandomHistory {
         private final SplittableRandom random;
         private final ActionLog actionLog = new ActionLog();
-        private final Marks tracker;
+        private final IdempotencyTracker tracker;
         private final PlainModel model = new PlainModel();
         private final Map<String, OnDisk> disk = new HashMap<>();
         private final Map<String, Integer> seen = new HashMap<>();
         private final List<String> history = new ArrayList<>();
         private long copies;
 
-        RandomHistory(long seed, Set<Marks.Guard> without) {
-            tracker = new Marks(actionLog, MAX_ENTRIES, without);
+        RandomHistory(long seed, Set<IdempotencyTracker.Guard> without) {
+            tracker = new IdempotencyTracker(actionLog, MAX_ENTRIES, without);
             random = new SplittableRandom(seed);
         }
 
-        private static Mark key(String name) {
+        private static IdempotencyKey key(String name) {
             return DurableResultStore.idempotencyKey("w", name);
         }
 
@@ -342,8 +342,8 @@
     }
 
     @ParameterizedTest
-    @EnumSource(value = Marks.Guard.class, mode = EnumSource.Mode.EXCLUDE, names = "RESTART")
-    void trackerDiffersFromModelWithoutOneGuard(Marks.Guard guard) {
+    @EnumSource(value = IdempotencyTracker.Guard.class, mode = EnumSource.Mode.EXCLUDE, names = "RESTART")
+    void trackerDiffersFromModelWithoutOneGuard(IdempotencyTracker.Guard guard) {
         assertThrows(AssertionError.class, () -> {
             for (long seed = 0; seed < 300; seed++) {
                 RandomHistory p = new RandomHistory(seed, Set.of(guard));
--- a/results/src/test/java/tallyweir/results/ResultCompressionTest.java
+++ b/results/src/test/java/tallyweir/results/ResultCompressionTest.java
@@ -12,19 +12,19 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
-import tallyweir.durable.Found;
+import tallyweir.durable.StoredRecord;
 import tallyweir.ids.JobId;
 
 /** Results on the disk, compressed or not. */
 class ResultCompressionTest {
-    private static final Mark KEY = DurableResultStore.idempotencyKey("reset", "m");
+    private static final IdempotencyKey KEY = DurableResultStore.idempotencyKey("reset", "m");
 
     private static byte[] encode(Known known, byte[] result) {
         return DurableResultStore.encodeOutcome(known, new JobId("job"), 42, 99, result);
     }
 
     private static ResultStore.StoredResult decode(byte[] value) {
-        return DurableResultStore.decode(new Found(DurableResultStore.storeKey(KEY), value, 0, 99));
+        return DurableResultStore.decode(new StoredRecord(DurableResultStore.storeKey(KEY), value, 0, 99));
     }
 
     @Property(seed = "20261201", tries = 500)
--- a/results/src/test/java/tallyweir/results/SettlingTest.java
+++ b/results/src/test/java/tallyweir/results/SettlingTest.java
@@ -16,10 +16,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import tallyweir.durable.AdminSocket;
-import tallyweir.durable.Both;
+import tallyweir.durable.CopyExecutor;
 import tallyweir.durable.Committer;
 import tallyweir.durable.Durable;
-import tallyweir.durable.Found;
+import tallyweir.durable.StoredRecord;
 import tallyweir.durable.Namespace;
 import tallyweir.durable.SimDisk;
 import tallyweir.durable.View;
@@ -28,7 +28,7 @@
 /** Changes by operators, and their audit trail. */
 @Timeout(30)
 class SettlingTest {
-    private static final Mark KEY = DurableResultStore.idempotencyKey("reset", "m1");
+    private static final IdempotencyKey KEY = DurableResultStore.idempotencyKey("reset", "m1");
 
     private final SimDisk.Power power = new SimDisk.Power(1);
     private final long clock = 17_000_000_000_000L;
@@ -42,7 +42,7 @@
         store = new Durable(
                 new SimDisk(power, 512, "first"),
                 new SimDisk(power, 512, "second"),
-                Both.SEQUENTIAL,
+                CopyExecutor.SEQUENTIAL,
                 1 << 16,
                 512,
                 0.5,
@@ -86,7 +86,7 @@
     private List<Settling.Change> audit() throws IOException {
         List<Settling.Change> all = new ArrayList<>();
         try (View v = store.view()) {
-            v.range(Settling.AUDIT, new byte[0], null).forEachRemaining((Found f) -> all.add(Settling.change(f)));
+            v.range(Settling.AUDIT, new byte[0], null).forEachRemaining((StoredRecord f) -> all.add(Settling.change(f)));
         }
         return all;
     }
--- a/stand/src/main/java/tallyweir/stand/StandRelay.java
+++ b/stand/src/main/java/tallyweir/stand/FaultRelay.java
@@ -17,7 +17,7 @@
  * A TCP relay between two servers that can inject network faults: reset all connections, stall one direction or both, delay or
  * damage the data. Forward is the direction from the connecting side to the target. Safe for use by several threads.
  */
-public final class StandRelay implements AutoCloseable {
+public final class FaultRelay implements AutoCloseable {
     private static final int CHUNK_BYTES = 16 << 10;
     private static final int POLL_INTERVAL_MS = 5;
     private static final int DAMAGE_OFF = Integer.MAX_VALUE;
@@ -39,7 +39,7 @@
      * @param listenAddress where the relay listens, on loopback
      * @param target where it connects to
      */
-    public StandRelay(InetSocketAddress listenAddress, InetSocketAddress target) throws IOException {
+    public FaultRelay(InetSocketAddress listenAddress, InetSocketAddress target) throws IOException {
         this.target = target;
         server = new ServerSocket(listenAddress.getPort(), 64, listenAddress.getAddress());
         startThread(this::accept);
@@ -54,7 +54,7 @@
     /** Resets all open connections, and every new one at once, until {@link #mend()}. */
     public void resetAll() {
         resetting = true;
-        openSockets.forEach(StandRelay::reset);
+        openSockets.forEach(FaultRelay::reset);
     }
 
     /** Stalls or resumes each direction: data of a stalled one is no longer passed on, but its connections stay open. */
--- a/stand/src/main/java/tallyweir/stand/StandStream.java
+++ b/stand/src/main/java/tallyweir/stand/MultiplexedSidecar.java
@@ -16,17 +16,17 @@
 import java.util.function.Consumer;
 
 /** A sidecar's FastCGI 1.0 connection with many concurrent requests. Safe for use by several threads. */
-public final class StandStream implements AutoCloseable {
+public final class MultiplexedSidecar implements AutoCloseable {
     private static final int MAX_REQUEST_ID = 60_000;
 
-    private record PendingRequest(Consumer<StandSidecar.Answer> onAnswer, ByteArrayOutputStream output) {}
+    private record PendingRequest(Consumer<StandInSidecar.Answer> onAnswer, ByteArrayOutputStream output) {}
 
     private final Socket socket = new Socket();
     private final Map<Integer, PendingRequest> pending = new HashMap<>();
     private int lastId;
 
     /** Connects to a port on loopback and starts a daemon thread that reads the answers. */
-    public StandStream(int port) throws IOException {
+    public MultiplexedSidecar(int port) throws IOException {
         socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 1_000);
         socket.setTcpNoDelay(true);
         Thread reader = new Thread(this::readRecords, "stand-in sidecar");
@@ -40,7 +40,7 @@
      * @param then called once with the answer on this connection's reader thread, or with status 0 on the thread that finds the
      *     connection broken
      */
-    public void send(Map<String, String> parameters, String body, Consumer<StandSidecar.Answer> onAnswer) {
+    public void send(Map<String, String> parameters, String body, Consumer<StandInSidecar.Answer> onAnswer) {
         byte[] encoded;
         try {
             synchronized (this) {
@@ -48,7 +48,7 @@
                     lastId = lastId % MAX_REQUEST_ID + 1;
                 } while (pending.containsKey(lastId));
                 pending.put(lastId, new PendingRequest(onAnswer, new ByteArrayOutputStream()));
-                encoded = StandSidecar.encodeRequest(lastId, parameters, body);
+                encoded = StandInSidecar.encodeRequest(lastId, parameters, body);
                 OutputStream out = socket.getOutputStream();
                 out.write(encoded);
             }
@@ -65,7 +65,7 @@
     private void readRecords() {
         try (DataInputStream in = new DataInputStream(new BufferedInputStream(socket.getInputStream(), 64 << 10))) {
             while (true) {
-                StandSidecar.FastCgiRecord read = StandSidecar.readRecord(in);
+                StandInSidecar.FastCgiRecord read = StandInSidecar.readRecord(in);
                 onRecord(read.type(), read.requestId(), read.content());
             }
         } catch (IOException e) {
@@ -76,12 +76,12 @@
     private void onRecord(int type, int id, byte[] content) {
         PendingRequest request;
         synchronized (this) {
-            request = type == StandSidecar.END_REQUEST ? pending.remove(id) : pending.get(id);
+            request = type == StandInSidecar.END_REQUEST ? pending.remove(id) : pending.get(id);
         }
-        if (request != null && type == StandSidecar.STDOUT) {
+        if (request != null && type == StandInSidecar.STDOUT) {
             request.output.writeBytes(content);
-        } else if (request != null && type == StandSidecar.END_REQUEST) {
-            request.onAnswer.accept(StandSidecar.answer(request.output.toString(StandardCharsets.UTF_8)));
+        } else if (request != null && type == StandInSidecar.END_REQUEST) {
+            request.onAnswer.accept(StandInSidecar.answer(request.output.toString(StandardCharsets.UTF_8)));
         }
     }
 
@@ -91,7 +91,7 @@
             failed = new ArrayList<>(pending.values());
             pending.clear();
         }
-        failed.forEach(request -> request.onAnswer.accept(new StandSidecar.Answer(0, "")));
+        failed.forEach(request -> request.onAnswer.accept(new StandInSidecar.Answer(0, "")));
     }
 
     @Override
--- a/stand/src/main/java/tallyweir/stand/PipelinedCaller.java
+++ b/stand/src/main/java/tallyweir/stand/PipelinedCaller.java
@@ -109,7 +109,7 @@
         private void sendRequest() {
             String id = log.newId();
             lastId = lastId % MAX_REQUEST_ID + 1;
-            byte[] request = StandSidecar.encodeRequest(lastId, settings.parameters(id, random), id + " body");
+            byte[] request = StandInSidecar.encodeRequest(lastId, settings.parameters(id, random), id + " body");
             synchronized (this) {
                 try {
                     socket.getOutputStream().write(request);
@@ -126,9 +126,9 @@
         private void readAnswers() {
             try (DataInputStream in = new DataInputStream(new BufferedInputStream(socket.getInputStream()))) {
                 while (true) {
-                    StandSidecar.FastCgiRecord read = StandSidecar.readRecord(in);
+                    StandInSidecar.FastCgiRecord read = StandInSidecar.readRecord(in);
                     onRecord(read);
-                    if (read.type() == StandSidecar.END_REQUEST && profile.maxReadDelayMs > 0) {
+                    if (read.type() == StandInSidecar.END_REQUEST && profile.maxReadDelayMs > 0) {
                         TimeUnit.MILLISECONDS.sleep(readerRandom.nextInt(profile.maxReadDelayMs));
                     }
                 }
@@ -137,22 +137,22 @@
             }
         }
 
-        private synchronized void onRecord(StandSidecar.FastCgiRecord read) {
+        private synchronized void onRecord(StandInSidecar.FastCgiRecord read) {
             OpenRequest request = open.get(read.requestId());
-            if (request != null && read.type() == StandSidecar.STDOUT) {
+            if (request != null && read.type() == StandInSidecar.STDOUT) {
                 request.output.writeBytes(read.content());
-            } else if (request != null && read.type() == StandSidecar.END_REQUEST) {
+            } else if (request != null && read.type() == StandInSidecar.END_REQUEST) {
                 open.remove(read.requestId());
                 log.onAnswered(request.id);
                 String text = request.output.toString(StandardCharsets.UTF_8);
-                logOutcome(request, classifyAnswer(request), StandSidecar.answer(text).status());
+                logOutcome(request, classifyAnswer(request), StandInSidecar.answer(text).status());
             }
         }
 
-        private RequestFate.End classifyAnswer(OpenRequest request) {
+        private RequestOutcome.End classifyAnswer(OpenRequest request) {
             long maxMs = settings.timeoutMs() + MAX_LATENESS_MS + (long) profile.maxOpen * profile.maxReadDelayMs;
             boolean late = log.exceeds(request.writtenAt, TimeUnit.MILLISECONDS.toNanos(maxMs));
-            return late ? RequestFate.End.ANSWERED_LATE : RequestFate.End.ANSWERED;
+            return late ? RequestOutcome.End.ANSWERED_LATE : RequestOutcome.End.ANSWERED;
         }
 
         private synchronized void onClosed() {
@@ -163,12 +163,12 @@
             boolean wasIdle = unanswered.stream()
                     .noneMatch(request -> log.exceeds(request.writtenAt, TimeUnit.MILLISECONDS.toNanos(CROSSING_WINDOW_MS)));
             for (OpenRequest request : unanswered) {
-                logOutcome(request, wasIdle ? RequestFate.End.CROSSED : RequestFate.End.CONNECTION_ENDED, 0);
+                logOutcome(request, wasIdle ? RequestOutcome.End.CROSSED : RequestOutcome.End.CONNECTION_ENDED, 0);
             }
         }
 
-        private void logOutcome(OpenRequest request, RequestFate.End end, int status) {
-            log.add(new RequestFate(
+        private void logOutcome(OpenRequest request, RequestOutcome.End end, int status) {
+            log.add(new RequestOutcome(
                     request.id, profile.name, connectedAt, request.writtenAt, System.nanoTime(), end, status, false));
         }
     }
--- a/stand/src/main/java/tallyweir/stand/RequestLog.java
+++ b/stand/src/main/java/tallyweir/stand/RequestLog.java
@@ -11,9 +11,9 @@
 public final class RequestLog implements AutoCloseable {
     private static final double NANOS_PER_MS = 1e6;
 
-    private final RigLag lag = new RigLag();
+    private final SchedulingLag lag = new SchedulingLag();
     private final SplittableRandom random;
-    private final List<RequestFate> outcomes = new ArrayList<>();
+    private final List<RequestOutcome> outcomes = new ArrayList<>();
     private final Map<String, Integer> answersById = new ConcurrentHashMap<>();
 
     public RequestLog(long seed) {
@@ -39,7 +39,7 @@
         return elapsed > maxNanos && elapsed - lag.maxNanosSince(startedAt) > maxNanos;
     }
 
-    synchronized void add(RequestFate outcome) {
+    synchronized void add(RequestOutcome outcome) {
         outcomes.add(outcome);
     }
 
@@ -53,7 +53,7 @@
     }
 
     /** A copy of the outcomes so far. */
-    public synchronized List<RequestFate> allOutcomes() {
+    public synchronized List<RequestOutcome> allOutcomes() {
         return List.copyOf(outcomes);
     }
 
@@ -63,23 +63,23 @@
      *
      * @param killedAt when the server was killed, by {@link System#nanoTime()}
      */
-    public List<RequestFate> lost(long killedAt) {
+    public List<RequestOutcome> lost(long killedAt) {
         return allOutcomes().stream()
-                .filter(outcome -> outcome.isLost() || outcome.end() == RequestFate.End.CROSSED && outcome.endedAt() >= killedAt)
+                .filter(outcome -> outcome.isLost() || outcome.end() == RequestOutcome.End.CROSSED && outcome.endedAt() >= killedAt)
                 .toList();
     }
 
     /** The number of requests by how they ended. */
-    public Map<RequestFate.End, Integer> countByEnd() {
-        Map<RequestFate.End, Integer> counts = new TreeMap<>();
+    public Map<RequestOutcome.End, Integer> countByEnd() {
+        Map<RequestOutcome.End, Integer> counts = new TreeMap<>();
         allOutcomes().forEach(outcome -> counts.merge(outcome.end(), 1, Integer::sum));
         return counts;
     }
 
     /** Describes each lost request on a line of its own, with times in milliseconds before {@code endedAt}. */
-    public static String describe(List<RequestFate> lost, long endedAt) {
+    public static String describe(List<RequestOutcome> lost, long endedAt) {
         StringBuilder text = new StringBuilder();
-        for (RequestFate outcome : lost) {
+        for (RequestOutcome outcome : lost) {
             text.append(String.format(
                     "%n%s by %s: connected %.1f, written %.1f, %s seen %.1f ms before the end%s",
                     outcome.id(),
--- a/stand/src/main/java/tallyweir/stand/RequestFate.java
+++ b/stand/src/main/java/tallyweir/stand/RequestOutcome.java
@@ -12,7 +12,7 @@
  * @param status the status of its answer, 0 without one
  * @param resent whether it is the single retry of a request that crossed the close of its connection
  */
-public record RequestFate(
+public record RequestOutcome(
         String id, String caller, long connectedAt, long writtenAt, long endedAt, End end, int status, boolean resent) {
     /** The ways in which a request can end. */
     public enum End {
--- a/stand/src/main/java/tallyweir/stand/RigLag.java
+++ b/stand/src/main/java/tallyweir/stand/SchedulingLag.java
@@ -7,7 +7,7 @@
  * Measures how late threads of this process are woken, so that a test can distinguish delays of the server from delays of the
  * machine. A thread sleeps for a few milliseconds repeatedly and records by how much it overslept.
  */
-public final class RigLag implements AutoCloseable {
+public final class SchedulingLag implements AutoCloseable {
     private static final long SLEEP_MS = 5;
     private static final long MIN_RECORDED_NANOS = TimeUnit.MILLISECONDS.toNanos(2);
     private static final int MAX_RECORDED = 10_000;
@@ -18,7 +18,7 @@
     private final Thread thread;
     private volatile boolean stopped;
 
-    public RigLag() {
+    public SchedulingLag() {
         thread = new Thread(this::run, "scheduling lag");
         thread.setDaemon(true);
         thread.start();
--- a/stand/src/main/java/tallyweir/stand/SteadyCaller.java
+++ b/stand/src/main/java/tallyweir/stand/SequentialCaller.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** A caller with one request at a time. It sends requests until it is stopped, also while the server is unavailable. */
-public final class SteadyCaller implements AutoCloseable {
+public final class SequentialCaller implements AutoCloseable {
     /**
      * The behaviour of a caller.
      *
@@ -42,7 +42,7 @@
     private int requestId;
 
     /** Starts a daemon thread that sends requests to the server. */
-    public SteadyCaller(InetSocketAddress server, Profile profile, LoadSettings settings, RequestLog log) {
+    public SequentialCaller(InetSocketAddress server, Profile profile, LoadSettings settings, RequestLog log) {
         this.server = server;
         this.profile = profile;
         this.settings = settings;
@@ -94,8 +94,8 @@
 
     private void sendNextRequest() throws InterruptedException {
         String id = log.newId();
-        RequestFate outcome = attempt(id, false);
-        if (outcome != null && outcome.end() == RequestFate.End.CROSSED) {
+        RequestOutcome outcome = attempt(id, false);
+        if (outcome != null && outcome.end() == RequestOutcome.End.CROSSED) {
             log.add(outcome);
             outcome = connect() ? attempt(id, true) : null;
         }
@@ -105,9 +105,9 @@
     }
 
     /** Returns null if the request could not be written completely; then the server never received all of it. */
-    private RequestFate attempt(String id, boolean resent) throws InterruptedException {
+    private RequestOutcome attempt(String id, boolean resent) throws InterruptedException {
         requestId = requestId % 30_000 + 1;
-        byte[] request = StandSidecar.encodeRequest(requestId, settings.parameters(id, random), id + " body");
+        byte[] request = StandInSidecar.encodeRequest(requestId, settings.parameters(id, random), id + " body");
         long writtenAt;
         try {
             write(request);
@@ -125,21 +125,21 @@
                 disconnect();
             }
             return outcome(
-                    id, writtenAt, endedAt, late ? RequestFate.End.ANSWERED_LATE : RequestFate.End.ANSWERED, status, resent);
+                    id, writtenAt, endedAt, late ? RequestOutcome.End.ANSWERED_LATE : RequestOutcome.End.ANSWERED, status, resent);
         } catch (SocketTimeoutException e) {
             disconnect();
-            return outcome(id, writtenAt, System.nanoTime(), RequestFate.End.UNANSWERED, 0, resent);
+            return outcome(id, writtenAt, System.nanoTime(), RequestOutcome.End.UNANSWERED, 0, resent);
         } catch (IOException e) {
             disconnect();
             long endedAt = System.nanoTime();
             boolean crossed = !resent && !log.exceeds(writtenAt, TimeUnit.MILLISECONDS.toNanos(CROSSING_WINDOW_MS));
             return outcome(
-                    id, writtenAt, endedAt, crossed ? RequestFate.End.CROSSED : RequestFate.End.CONNECTION_ENDED, 0, resent);
+                    id, writtenAt, endedAt, crossed ? RequestOutcome.End.CROSSED : RequestOutcome.End.CONNECTION_ENDED, 0, resent);
         }
     }
 
-    private RequestFate outcome(String id, long writtenAt, long endedAt, RequestFate.End end, int status, boolean resent) {
-        return new RequestFate(id, profile.name, connectedAt, writtenAt, endedAt, end, status, resent);
+    private RequestOutcome outcome(String id, long writtenAt, long endedAt, RequestOutcome.End end, int status, boolean resent) {
+        return new RequestOutcome(id, profile.name, connectedAt, writtenAt, endedAt, end, status, resent);
     }
 
     private void write(byte[] request) throws IOException, InterruptedException {
@@ -162,11 +162,11 @@
         while (true) {
             long remainingMs = TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime());
             socket.setSoTimeout((int) Math.max(1, remainingMs));
-            StandSidecar.FastCgiRecord read = StandSidecar.readRecord(in);
-            if (read.requestId() == requestId && read.type() == StandSidecar.STDOUT) {
+            StandInSidecar.FastCgiRecord read = StandInSidecar.readRecord(in);
+            if (read.requestId() == requestId && read.type() == StandInSidecar.STDOUT) {
                 text.writeBytes(read.content());
-            } else if (read.requestId() == requestId && read.type() == StandSidecar.END_REQUEST) {
-                return StandSidecar.answer(text.toString(StandardCharsets.UTF_8))
+            } else if (read.requestId() == requestId && read.type() == StandInSidecar.END_REQUEST) {
+                return StandInSidecar.answer(text.toString(StandardCharsets.UTF_8))
                         .status();
             }
         }
--- a/stand/src/main/java/tallyweir/stand/StandKernel.java
+++ b/stand/src/main/java/tallyweir/stand/StandInKernel.java
@@ -31,7 +31,7 @@
  * numbered notices, of which it retains the last 4,000, and can be killed and restarted. The first word of a request body is the
  * idempotency key. Safe for use by several threads.
  */
-public final class StandKernel implements AutoCloseable {
+public final class StandInKernel implements AutoCloseable {
     private static final int MAX_RETAINED_NOTICES = 4_000;
     private static final int SLOW_ONE_IN = 60; // one run in this many is slow
     private static final int SLOW_RUN_US = 2_200_000; // longer than any caller waits
@@ -58,7 +58,7 @@
     private volatile boolean closed;
 
     /** Creates a kernel whose runs take 1 to 40 ms, and occasionally longer than any caller waits. */
-    public StandKernel(History history, int cores, long seed) throws IOException {
+    public StandInKernel(History history, int cores, long seed) throws IOException {
         this(history, cores, seed, random -> random.nextInt(SLOW_ONE_IN) == 0 ? SLOW_RUN_US : random.nextInt(1, 40) * 1_000);
     }
 
@@ -69,7 +69,7 @@
      * @param scheduler the number of concurrent runs
      * @param runDurationUs draws the duration of a run, in microseconds
      */
-    public StandKernel(History history, int cores, long seed, ToIntFunction<SplittableRandom> runDurationUs)
+    public StandInKernel(History history, int cores, long seed, ToIntFunction<SplittableRandom> runDurationUs)
             throws IOException {
         this.history = history;
         this.runDurationUs = runDurationUs;
--- a/stand/src/main/java/tallyweir/stand/StandSidecar.java
+++ b/stand/src/main/java/tallyweir/stand/StandInSidecar.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 
 /** A sidecar's FastCGI 1.0 connection with one request at a time. Not thread-safe. */
-public final class StandSidecar implements AutoCloseable {
+public final class StandInSidecar implements AutoCloseable {
     /**
      * An answer.
      *
@@ -30,7 +30,7 @@
     private int lastId;
 
     /** Connects to a port on loopback. */
-    public StandSidecar(int port) throws IOException {
+    public StandInSidecar(int port) throws IOException {
         socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 1_000);
         socket.setTcpNoDelay(true);
     }
--- a/stand/src/main/java/tallyweir/stand/StandStore.java
+++ b/stand/src/main/java/tallyweir/stand/StandInStore.java
@@ -12,12 +12,12 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /** A stand-in for the store, on loopback: it answers every call with success and records which jobs have called. */
-public final class StandStore implements AutoCloseable {
+public final class StandInStore implements AutoCloseable {
     private final ServerSocket server = new ServerSocket(0, 256, InetAddress.getLoopbackAddress());
     private final Set<String> jobs = ConcurrentHashMap.newKeySet();
 
     /** Starts listening on a free port. */
-    public StandStore() throws IOException {
+    public StandInStore() throws IOException {
         startThread(this::accept);
     }
 
--- a/tool/src/main/java/tallyweir/tool/DurableBench.java
+++ b/tool/src/main/java/tallyweir/tool/DurableBench.java
@@ -29,15 +29,15 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 import tallyweir.durable.Batch;
-import tallyweir.durable.Both;
+import tallyweir.durable.CopyExecutor;
 import tallyweir.durable.Durable;
-import tallyweir.durable.Figures;
+import tallyweir.durable.StoreCounters;
 import tallyweir.durable.FileDisk;
 import tallyweir.durable.FileStore;
 import tallyweir.durable.Namespace;
-import tallyweir.durable.Refused;
+import tallyweir.durable.StoreRefusedException;
 import tallyweir.durable.SideBySide;
-import tallyweir.durable.Times;
+import tallyweir.durable.StepTimes;
 
 @Command(
         name = "bench",
@@ -176,8 +176,8 @@
                 longest(longest, s);
                 longest.put(
                         "batches_a_group",
-                        round((double) s.store().figures().get(Figures.Counter.BATCHES)
-                                / Math.max(1, s.store().figures().get(Figures.Counter.GROUPS))));
+                        round((double) s.store().figures().get(StoreCounters.Counter.BATCHES)
+                                / Math.max(1, s.store().figures().get(StoreCounters.Counter.GROUPS))));
             }
             ratios.add(storeRates[round] / bareRates[round]);
         }
@@ -221,7 +221,7 @@
 
     /** Into the figures, the longest of each step so far, milliseconds. */
     private static void longest(Map<String, Object> figures, FileStore s) {
-        for (Times.Step of : Times.Step.values()) {
+        for (StepTimes.Step of : StepTimes.Step.values()) {
             figures.merge(
                     of.name().toLowerCase(), s.times().maxDuration(of) / 10.0, (a, b) -> Math.max((Double) a, (Double) b));
         }
@@ -467,22 +467,22 @@
                         s.committer().write(b);
                         LockSupport.parkNanos(10_000_000); // 10,000 records a second, so that compaction is what is met
                     }
-                } catch (Refused e) {
+                } catch (StoreRefusedException e) {
                     throw new IllegalStateException(e);
                 }
             });
             churn.start();
-            long moved = s.store().figures().get(Figures.Counter.MOVED_BYTES);
-            while (s.store().figures().get(Figures.Counter.MOVED_BYTES) == moved) {
+            long moved = s.store().figures().get(StoreCounters.Counter.MOVED_BYTES);
+            while (s.store().figures().get(StoreCounters.Counter.MOVED_BYTES) == moved) {
                 Thread.sleep(10);
             }
-            moved = s.store().figures().get(Figures.Counter.MOVED_BYTES);
+            moved = s.store().figures().get(StoreCounters.Counter.MOVED_BYTES);
             Histogram busy = reads(s, many);
             Map<String, Object> of = new LinkedHashMap<>();
             of.put("idle_p99_us", round(idle.getValueAtPercentile(99) / 1e3));
             of.put("compacting_p99_us", round(busy.getValueAtPercentile(99) / 1e3));
             of.put("ratio", round((double) busy.getValueAtPercentile(99) / idle.getValueAtPercentile(99)));
-            of.put("moved_mb_meanwhile", (s.store().figures().get(Figures.Counter.MOVED_BYTES) - moved) / MB);
+            of.put("moved_mb_meanwhile", (s.store().figures().get(StoreCounters.Counter.MOVED_BYTES) - moved) / MB);
             print("reads, 2 readers, 10000 offered a second, while writes and compaction run", of);
             stop.set(true);
             churn.join();
@@ -534,8 +534,8 @@
             SplittableRandom chance = new SplittableRandom(seed);
             fill(s, many, chance);
             for (int half = 0; half < 2; half++) { // the first to settle, the second to count
-                long written = s.store().figures().get(Figures.Counter.BYTES_WRITTEN);
-                long asked = s.store().figures().get(Figures.Counter.RECORD_BYTES);
+                long written = s.store().figures().get(StoreCounters.Counter.BYTES_WRITTEN);
+                long asked = s.store().figures().get(StoreCounters.Counter.RECORD_BYTES);
                 for (int i = 0; i < 3 * many / 500; i++) {
                     Batch b = new Batch();
                     for (int n = 0; n < 500; n++) {
@@ -548,9 +548,9 @@
                     of.put("live_share", s.store().info().get("live_share"));
                     of.put(
                             "written_each_copy_per_byte_asked",
-                            round((s.store().figures().get(Figures.Counter.BYTES_WRITTEN) - written)
+                            round((s.store().figures().get(StoreCounters.Counter.BYTES_WRITTEN) - written)
                                     / 2.0
-                                    / (s.store().figures().get(Figures.Counter.RECORD_BYTES) - asked)));
+                                    / (s.store().figures().get(StoreCounters.Counter.RECORD_BYTES) - asked)));
                     print("write amplification, random overwrites", of);
                 }
             }
@@ -605,7 +605,7 @@
         Durable d = new Durable(
                 new FileDisk(dir.resolve("first")),
                 new FileDisk(dir.resolve("second")),
-                Both.SEQUENTIAL,
+                CopyExecutor.SEQUENTIAL,
                 64 * MB,
                 4_096,
                 0.5,
--- a/tool/src/main/java/tallyweir/tool/DurableCommand.java
+++ b/tool/src/main/java/tallyweir/tool/DurableCommand.java
@@ -25,8 +25,8 @@
 import tallyweir.durable.AdminSocket;
 import tallyweir.durable.Backup;
 import tallyweir.durable.Durable;
-import tallyweir.durable.Figures;
-import tallyweir.durable.Found;
+import tallyweir.durable.StoreCounters;
+import tallyweir.durable.StoredRecord;
 import tallyweir.durable.Stamp;
 import tallyweir.durable.View;
 
@@ -58,13 +58,13 @@
     /** Figures that tell of damage, by name. */
     private static Map<String, Object> damage(Durable d) {
         Map<String, Object> of = new LinkedHashMap<>();
-        for (Figures.Counter f : List.of(
-                Figures.Counter.FRAMES_READ,
-                Figures.Counter.REPAIRED,
-                Figures.Counter.FILES_REMADE,
-                Figures.Counter.UNREPAIRED,
-                Figures.Counter.LOST_FRAMES,
-                Figures.Counter.SNAPSHOTS_DISTRUSTED)) {
+        for (StoreCounters.Counter f : List.of(
+                StoreCounters.Counter.FRAMES_READ,
+                StoreCounters.Counter.REPAIRED,
+                StoreCounters.Counter.FILES_REMADE,
+                StoreCounters.Counter.UNREPAIRED,
+                StoreCounters.Counter.LOST_FRAMES,
+                StoreCounters.Counter.SNAPSHOTS_DISTRUSTED)) {
             of.put(f.name().toLowerCase(), d.figures().get(f));
         }
         return of;
@@ -82,7 +82,7 @@
         return HexFormat.of().formatHex(b);
     }
 
-    private static Map<String, Object> record(Found f, boolean value) {
+    private static Map<String, Object> record(StoredRecord f, boolean value) {
         Map<String, Object> of = new LinkedHashMap<>();
         of.put("key", printable(f.key()));
         of.put("key_hex", hex(f.key()));
@@ -211,7 +211,7 @@
         @Override
         public Integer call() throws IOException {
             byte[] k = key(key, hex);
-            Found f = store.look(
+            StoredRecord f = store.look(
                     d -> {
                         try (View view = d.view()) {
                             known(view, namespace);
@@ -219,7 +219,7 @@
                         }
                     },
                     adminSocket -> {
-                        Found[] there = new Found[1];
+                        StoredRecord[] there = new StoredRecord[1];
                         AdminSocket.sendRequest(
                                 adminSocket,
                                 List.of("get", namespace, hex(k)),
@@ -285,7 +285,7 @@
                     d -> {
                         try (View view = d.view()) {
                             known(view, namespace);
-                            Iterator<Found> in = byTime
+                            Iterator<StoredRecord> in = byTime
                                     ? view.writtenBetween(namespace, first, end)
                                     : view.range(namespace, fromKey, toKey);
                             for (long n = 0; in.hasNext() && n < limit; n++) {
@@ -320,7 +320,7 @@
             return 0;
         }
 
-        private void print(Found f) {
+        private void print(StoredRecord f) {
             Map<String, Object> of = record(f, values);
             out().println(
                             store.json()
@@ -352,15 +352,15 @@
         public Integer call() throws IOException {
             return store.look(
                     d -> {
-                        long before = d.figures().get(Figures.Counter.UNREPAIRED);
-                        long lostBefore = d.figures().get(Figures.Counter.LOST_FRAMES);
+                        long before = d.figures().get(StoreCounters.Counter.UNREPAIRED);
+                        long lostBefore = d.figures().get(StoreCounters.Counter.LOST_FRAMES);
                         d.scrubAll(progress(d));
-                        long damaged = d.figures().get(Figures.Counter.UNREPAIRED) - before;
-                        long lost = d.figures().get(Figures.Counter.LOST_FRAMES) - lostBefore;
+                        long damaged = d.figures().get(StoreCounters.Counter.UNREPAIRED) - before;
+                        long lost = d.figures().get(StoreCounters.Counter.LOST_FRAMES) - lostBefore;
                         Map<String, Object> all = new LinkedHashMap<>();
                         all.put("damaged_in_one_copy", damaged);
                         all.put("damaged_in_both_copies", lost);
-                        all.put("snapshots_distrusted", d.figures().get(Figures.Counter.SNAPSHOTS_DISTRUSTED));
+                        all.put("snapshots_distrusted", d.figures().get(StoreCounters.Counter.SNAPSHOTS_DISTRUSTED));
                         print(out(), store.json(), all);
                         return damaged + lost > 0 ? 1 : 0;
                     },
@@ -383,7 +383,7 @@
                 d.scrubAll(progress(d));
                 Map<String, Object> all = damage(d);
                 print(out(), store.json(), all);
-                return d.figures().get(Figures.Counter.LOST_FRAMES) + d.figures().get(Figures.Counter.UNREPAIRED) > 0 ? 1 : 0;
+                return d.figures().get(StoreCounters.Counter.LOST_FRAMES) + d.figures().get(StoreCounters.Counter.UNREPAIRED) > 0 ? 1 : 0;
             }
         }
     }
@@ -401,7 +401,7 @@
                 Map<String, Object> all = new LinkedHashMap<>();
                 all.put("bytes_of_each_copy_before", before);
                 all.put("bytes_of_each_copy", d.info().get("bytes_of_each_copy"));
-                all.put("moved_bytes", d.figures().get(Figures.Counter.MOVED_BYTES));
+                all.put("moved_bytes", d.figures().get(StoreCounters.Counter.MOVED_BYTES));
                 print(out(), store.json(), all);
             }
             return 0;
@@ -455,9 +455,9 @@
         public Integer call() throws IOException {
             try (Durable d = store.look()) {
                 int code = copy(this, d, to);
-                if (d.figures().get(Figures.Counter.LOST_FRAMES) > 0) {
+                if (d.figures().get(StoreCounters.Counter.LOST_FRAMES) > 0) {
                     err().println("tallyweir: the backup is damaged in both copies: "
-                            + d.figures().get(Figures.Counter.LOST_FRAMES) + " frames are lost");
+                            + d.figures().get(StoreCounters.Counter.LOST_FRAMES) + " frames are lost");
                     return 1;
                 }
                 return code;
--- a/tool/src/main/java/tallyweir/tool/FleetChange.java
+++ b/tool/src/main/java/tallyweir/tool/FleetChange.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
-import tallyweir.config.BadSetting;
+import tallyweir.config.InvalidSettingException;
 import tallyweir.fleet.Answer;
 import tallyweir.fleet.Command;
 import tallyweir.fleet.Fault;
@@ -42,7 +42,7 @@
                 return NOT_IN_TIME;
             }
             return new RevisionFollower(client, out(), until).follow(revision);
-        } catch (BadSetting e) {
+        } catch (InvalidSettingException e) {
             return FleetOptions.print(spec, new Fault.BodyFaulty(e.getMessage()));
         } catch (FleetException e) {
             return FleetOptions.print(spec, e.fault());
--- a/tool/src/main/java/tallyweir/tool/FleetChangeOptions.java
+++ b/tool/src/main/java/tallyweir/tool/FleetChangeOptions.java
@@ -2,7 +2,7 @@
 
 import java.util.UUID;
 import picocli.CommandLine.Option;
-import tallyweir.fleet.OperatorCommand;
+import tallyweir.fleet.OperatorCommandId;
 
 /** Options of every command that changes what a fleet goes by. */
 final class FleetChangeOptions {
@@ -46,8 +46,8 @@
     }
 
     /** The name of the command: the one that is given, or a new one. */
-    OperatorCommand command() {
-        return new OperatorCommand(again != null ? again : UUID.randomUUID().toString());
+    OperatorCommandId command() {
+        return new OperatorCommandId(again != null ? again : UUID.randomUUID().toString());
     }
 
     /** When following ends, by {@client System#nanoTime}. */
--- a/tool/src/main/java/tallyweir/tool/FleetDrill.java
+++ b/tool/src/main/java/tallyweir/tool/FleetDrill.java
@@ -24,8 +24,8 @@
 import picocli.CommandLine.Spec;
 import tallyweir.fleet.Guard;
 import tallyweir.stand.History;
-import tallyweir.stand.StandRelay;
-import tallyweir.stand.StandSidecar;
+import tallyweir.stand.FaultRelay;
+import tallyweir.stand.StandInSidecar;
 
 @Command(
         name = "drill",
@@ -163,14 +163,14 @@
             }
             case STOP_SHORT -> stop(at, chance.nextInt(100, LEASE_MS / 2));
             case STOP_LONG -> stop(at, 3 * LEASE_MS + chance.nextInt(LEASE_MS));
-            case RESET -> cut(stage.around(at), at, StandRelay::resetAll, store, chance);
+            case RESET -> cut(stage.around(at), at, FaultRelay::resetAll, store, chance);
             case SILENCE -> cut(stage.around(at), at, r -> r.stall(true, true), store, chance);
             case ONE_WAY -> cut(stage.around(at), at, r -> r.stall(true, false), store, chance);
             case NO_MAJORITY -> {
                 cuts++;
-                stage.all().forEach(StandRelay::resetAll);
+                stage.all().forEach(FaultRelay::resetAll);
                 TimeUnit.MILLISECONDS.sleep(LEASE_MS + chance.nextInt(LEASE_MS));
-                stage.all().forEach(StandRelay::endFaults);
+                stage.all().forEach(FaultRelay::endFaults);
             }
             case ROLLBACK -> {
                 List<Long> all = new ArrayList<>(acknowledged.keySet());
@@ -194,17 +194,17 @@
     }
 
     private interface Way {
-        void apply(StandRelay relay);
+        void apply(FaultRelay relay);
     }
 
-    private void cut(List<StandRelay> around, int at, Way how, int store, SplittableRandom chance)
+    private void cut(List<FaultRelay> around, int at, Way how, int store, SplittableRandom chance)
             throws IOException, InterruptedException {
         cuts++;
         disturbed.add(at);
         around.forEach(how::apply);
         TimeUnit.MILLISECONDS.sleep(chance.nextInt(100, 2 * LEASE_MS));
         publish(store);
-        around.forEach(StandRelay::endFaults);
+        around.forEach(FaultRelay::endFaults);
     }
 
     // ---- operators
@@ -276,7 +276,7 @@
                         Program p = stage.servers.get(server);
                         long turn = p.turn();
                         String job = stage.job();
-                        try (StandSidecar s = new StandSidecar(p.port())) {
+                        try (StandInSidecar s = new StandInSidecar(p.port())) {
                             asked.add(job);
                             history.add(History.EventType.REQUESTED, "m" + job, job, "");
                             int status =
--- a/tool/src/main/java/tallyweir/tool/FleetExploreCommand.java
+++ b/tool/src/main/java/tallyweir/tool/FleetExploreCommand.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine.Spec;
 import tallyweir.fleet.Explorer;
 import tallyweir.fleet.Guard;
-import tallyweir.search.Search;
+import tallyweir.search.ExhaustiveSearch;
 
 /** Plays every order of events over the real classes, with all guards and without each. */
 @CommandLine.Command(
@@ -40,7 +40,7 @@
     }
 
     private int one() {
-        Search.SearchResult seen = Explorer.explore(Explorer.scenesByGuard().get(without), EnumSet.of(without), most);
+        ExhaustiveSearch.SearchResult seen = Explorer.explore(Explorer.scenesByGuard().get(without), EnumSet.of(without), most);
         String found = seen.violations().isEmpty() ? "nothing wrong" : seen.violations().get(0);
         out().println("without " + without + ": " + found);
         return seen.violations().isEmpty() ? 0 : 1;
@@ -49,13 +49,13 @@
     private int all() {
         boolean good = true;
         for (Explorer.Scene scene : Explorer.Scene.values()) {
-            Search.SearchResult seen = Explorer.explore(scene, Set.of(), most);
+            ExhaustiveSearch.SearchResult seen = Explorer.explore(scene, Set.of(), most);
             out().println(scene + ": states " + seen.states() + ", steps " + seen.steps() + ", ends " + seen.quiescentStates()
                     + ", wrong " + seen.violations());
             good &= seen.violations().isEmpty();
         }
         for (Map.Entry<Guard, Explorer.Scene> guard : Explorer.scenesByGuard().entrySet()) {
-            Search.SearchResult seen = Explorer.explore(guard.getValue(), EnumSet.of(guard.getKey()), most);
+            ExhaustiveSearch.SearchResult seen = Explorer.explore(guard.getValue(), EnumSet.of(guard.getKey()), most);
             boolean missed = !seen.violations().isEmpty() && !seen.violations().get(0).startsWith("given up");
             out().println("without " + guard.getKey() + ": "
                     + (missed ? seen.violations().get(0) : "NOT MISSED"));
--- a/tool/src/main/java/tallyweir/tool/FleetOptions.java
+++ b/tool/src/main/java/tallyweir/tool/FleetOptions.java
@@ -3,8 +3,8 @@
 import java.nio.file.Path;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
-import tallyweir.config.BadSetting;
-import tallyweir.config.Operators;
+import tallyweir.config.InvalidSettingException;
+import tallyweir.config.OperatorSettings;
 import tallyweir.fleet.Fault;
 import tallyweir.fleet.ratis.RatisFleetClient;
 
@@ -24,9 +24,9 @@
 
     /** A client of the fleet that is named. */
     RatisFleetClient open() {
-        Operators read = Operators.read(operators);
+        OperatorSettings read = OperatorSettings.read(operators);
         if (!read.inFleet()) {
-            throw new BadSetting("fleet is missing in " + operators + ": it names the fleet and its voters");
+            throw new InvalidSettingException("fleet is missing in " + operators + ": it names the fleet and its voters");
         }
         return new RatisFleetClient(read.fleetName(), read.voters(), giveUpMs);
     }
--- a/tool/src/main/java/tallyweir/tool/FleetStage.java
+++ b/tool/src/main/java/tallyweir/tool/FleetStage.java
@@ -11,10 +11,10 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicInteger;
 import tallyweir.stand.History;
-import tallyweir.stand.StandKernel;
-import tallyweir.stand.StandRelay;
-import tallyweir.stand.StandSidecar;
-import tallyweir.stand.StandStore;
+import tallyweir.stand.StandInKernel;
+import tallyweir.stand.FaultRelay;
+import tallyweir.stand.StandInSidecar;
+import tallyweir.stand.StandInStore;
 
 /**
  * A fleet of processes of the program, each with a kernel of its own, some stores, and a relay on every way from a server
@@ -31,9 +31,9 @@
     private static final int HEAP_MB = 160;
 
     final List<Program> servers = new ArrayList<>();
-    final List<StandStore> stores = new ArrayList<>();
-    private final List<StandKernel> kernels = new ArrayList<>();
-    private final Map<String, StandRelay> relays = new LinkedHashMap<>(); // "0>1": from server 0 to voter 1
+    final List<StandInStore> stores = new ArrayList<>();
+    private final List<StandInKernel> kernels = new ArrayList<>();
+    private final Map<String, FaultRelay> relays = new LinkedHashMap<>(); // "0>1": from server 0 to voter 1
     private final AtomicInteger jobs = new AtomicInteger();
     private final Path dir;
     final Path operators;
@@ -48,24 +48,24 @@
         this.dir = dir;
         List<String> voters = new ArrayList<>();
         for (int i = 0; i < storesMade; i++) {
-            stores.add(new StandStore());
+            stores.add(new StandInStore());
         }
         for (int i = 0; i < VOTERS; i++) {
-            try (ServerSocket s = new ServerSocket(0, 1, StandRelay.pairAddress(i, i))) {
+            try (ServerSocket s = new ServerSocket(0, 1, FaultRelay.pairAddress(i, i))) {
                 voters.add("\"v" + i + "\":\"v" + i + ":" + s.getLocalPort() + "\"");
                 for (int from = 0; from < size; from++) {
                     if (from != i) {
                         relays.put(
                                 from + ">" + i,
-                                new StandRelay(
-                                        new InetSocketAddress(StandRelay.pairAddress(from, i), s.getLocalPort()),
-                                        new InetSocketAddress(StandRelay.pairAddress(i, i), s.getLocalPort())));
+                                new FaultRelay(
+                                        new InetSocketAddress(FaultRelay.pairAddress(from, i), s.getLocalPort()),
+                                        new InetSocketAddress(FaultRelay.pairAddress(i, i), s.getLocalPort())));
                     }
                 }
             }
         }
         for (int i = 0; i < size; i++) {
-            StandKernel kernel = new StandKernel(history, CORES, i, chance -> WORK_MS * 1_000);
+            StandInKernel kernel = new StandInKernel(history, CORES, i, chance -> WORK_MS * 1_000);
             kernel.setCallsPerRun(calls);
             kernels.add(kernel);
             Path at = Files.createDirectories(dir.resolve("v" + i));
@@ -100,7 +100,7 @@
     private static String hosts(int from) throws IOException {
         StringBuilder all = new StringBuilder("127.0.0.1 localhost\n");
         for (int to = 0; to < VOTERS; to++) {
-            all.append(StandRelay.pairAddress(from < 0 ? to : from, to).getHostAddress())
+            all.append(FaultRelay.pairAddress(from < 0 ? to : from, to).getHostAddress())
                     .append(" v")
                     .append(to)
                     .append('\n');
@@ -109,12 +109,12 @@
     }
 
     /** The way from a server to a voter, which is not itself. */
-    StandRelay relay(int server, int voter) {
+    FaultRelay relay(int server, int voter) {
         return relays.get(server + ">" + voter);
     }
 
     /** The ways from a server to the voters, but for itself. */
-    List<StandRelay> from(int server) {
+    List<FaultRelay> from(int server) {
         return relays.entrySet().stream()
                 .filter(e -> e.getKey().startsWith(server + ">"))
                 .map(Map.Entry::getValue)
@@ -122,14 +122,14 @@
     }
 
     /** The ways from a server and to it. */
-    List<StandRelay> around(int server) {
+    List<FaultRelay> around(int server) {
         return relays.entrySet().stream()
                 .filter(e -> e.getKey().startsWith(server + ">") || e.getKey().endsWith(">" + server))
                 .map(Map.Entry::getValue)
                 .toList();
     }
 
-    List<StandRelay> all() {
+    List<FaultRelay> all() {
         return List.copyOf(relays.values());
     }
 
@@ -138,7 +138,7 @@
     }
 
     /** A harmless query of a tenant. */
-    static StandSidecar.Answer ask(StandSidecar of, String job, String tenant, int patienceMs) {
+    static StandInSidecar.Answer ask(StandInSidecar of, String job, String tenant, int patienceMs) {
         return ask(of, job, tenant, "look", patienceMs);
     }
 
@@ -157,7 +157,7 @@
     static final List<String> WORKLOADS = List.of("look", "reset");
 
     /** A query of a tenant and a workload, with a mark of its own. */
-    static StandSidecar.Answer ask(StandSidecar of, String job, String tenant, String workload, int patienceMs) {
+    static StandInSidecar.Answer ask(StandInSidecar of, String job, String tenant, String workload, int patienceMs) {
         Map<String, String> p = Program.parameters("m" + job, job, 1_500);
         p.put("SCRIPT_NAME", "/do/" + workload);
         p.put("HTTP_ACCOUNT", tenant);
@@ -259,13 +259,13 @@
         for (Program p : servers) {
             p.close();
         }
-        for (StandKernel k : kernels) {
+        for (StandInKernel k : kernels) {
             k.close();
         }
-        for (StandStore s : stores) {
+        for (StandInStore s : stores) {
             s.close();
         }
-        for (StandRelay r : relays.values()) {
+        for (FaultRelay r : relays.values()) {
             r.close();
         }
     }
--- a/tool/src/main/java/tallyweir/tool/ResultsBench.java
+++ b/tool/src/main/java/tallyweir/tool/ResultsBench.java
@@ -28,10 +28,10 @@
 import tallyweir.ids.WorkloadId;
 import tallyweir.results.DurableResultStore;
 import tallyweir.results.Known;
-import tallyweir.results.Mark;
-import tallyweir.stand.StandKernel;
-import tallyweir.stand.StandSidecar;
-import tallyweir.stand.StandStream;
+import tallyweir.results.IdempotencyKey;
+import tallyweir.stand.StandInKernel;
+import tallyweir.stand.StandInSidecar;
+import tallyweir.stand.MultiplexedSidecar;
 
 @Command(
         name = "bench",
@@ -136,11 +136,11 @@
         Program.clear(dir.resolve("store/second"));
     }
 
-    private StandKernel kernel(long of) throws IOException {
-        return new StandKernel(null, CORES, of, chance -> WORK_US / 2 + chance.nextInt(WORK_US));
+    private StandInKernel kernel(long of) throws IOException {
+        return new StandInKernel(null, CORES, of, chance -> WORK_US / 2 + chance.nextInt(WORK_US));
     }
 
-    private Program program(StandKernel kernel, boolean on, long windowSeconds) throws IOException {
+    private Program program(StandInKernel kernel, boolean on, long windowSeconds) throws IOException {
         Program p = new Program(dir, on, List.of());
         Files.writeString(
                 dir.resolve("config.json"),
@@ -168,7 +168,7 @@
             for (int on = 0; on < 2; on++) {
                 clear();
                 long of = seed * 100 + round; // the same load for both
-                try (StandKernel kernel = kernel(of);
+                try (StandInKernel kernel = kernel(of);
                         Program p = program(kernel, on == 1, 3_600)) {
                     p.start();
                     Seen s = load(p, load * capacity(), seconds, new SplittableRandom(of), "r" + round + "-");
@@ -212,9 +212,9 @@
             throws IOException, InterruptedException {
         Recorder times = new Recorder(3);
         AtomicLong[] became = {new AtomicLong(), new AtomicLong(), new AtomicLong(), new AtomicLong()};
-        List<StandStream> links = new ArrayList<>();
+        List<MultiplexedSidecar> links = new ArrayList<>();
         for (int i = 0; i < LINKS; i++) {
-            links.add(new StandStream(p.port()));
+            links.add(new MultiplexedSidecar(p.port()));
         }
         double next = System.nanoTime();
         double end = next + during * 1e9;
@@ -246,9 +246,9 @@
         while (System.nanoTime() < last && links.stream().anyMatch(l -> l.pendingCount() > 0)) {
             TimeUnit.MILLISECONDS.sleep(5);
         }
-        long lost = links.stream().mapToLong(StandStream::pendingCount).sum() + became[3].get();
+        long lost = links.stream().mapToLong(MultiplexedSidecar::pendingCount).sum() + became[3].get();
         Map<String, Long> counters = counters(p);
-        for (StandStream l : links) {
+        for (MultiplexedSidecar l : links) {
             l.close();
         }
         return new Seen(
@@ -262,7 +262,7 @@
 
     private static Map<String, Long> counters(Program p) throws IOException {
         Map<String, Long> all = new LinkedHashMap<>();
-        try (StandSidecar s = new StandSidecar(p.port())) {
+        try (StandInSidecar s = new StandInSidecar(p.port())) {
             s.exchange(Map.of("REQUEST_METHOD", "GET", "SCRIPT_NAME", "/counters"), "", 2_000)
                     .body()
                     .lines()
@@ -289,7 +289,7 @@
                 for (int i = 0; i < 1_000 && n < marks; i++, n++) {
                     DurableResultStore.put(
                             b,
-                            new Mark(new WorkloadId("reset"), new SubjectId("s" + n)),
+                            new IdempotencyKey(new WorkloadId("reset"), new SubjectId("s" + n)),
                             new JobId(String.format("%016x", n)),
                             sum("s" + n + " body"),
                             Known.GOOD,
@@ -306,12 +306,12 @@
             of.put("marks", s.store().keyCount());
         }
         int heap = 48 + (int) (marks * 160L >> 20); // an index is laid out anew while the old one is still read
-        try (StandKernel kernel = kernel(seed);
+        try (StandInKernel kernel = kernel(seed);
                 Program p = program(kernel, true, 3_600)) {
             p.heap(heap);
             of.put("start_to_listening_ms", p.start());
             long asked = System.nanoTime();
-            try (StandSidecar s = new StandSidecar(p.port())) {
+            try (StandInSidecar s = new StandInSidecar(p.port())) {
                 int tries = 1; // until the kernel's link is up all are deferred
                 while (s.exchange(Program.parameters("s7", "00000000000000aa", PATIENCE_MS), "s7 body", 5_000)
                                 .status()
@@ -366,11 +366,11 @@
         for (int i = 0; i < LINKS; i++) {
             SplittableRandom chance = new SplittableRandom(seed * 31 + i);
             Thread t = new Thread(() -> {
-                try (StandSidecar s = new StandSidecar(p.port())) {
+                try (StandInSidecar s = new StandInSidecar(p.port())) {
                     while (System.nanoTime() < end) {
                         String mark = "s" + chance.nextInt(marks);
                         long began = System.nanoTime();
-                        StandSidecar.Answer a = s.exchange(
+                        StandInSidecar.Answer a = s.exchange(
                                 Program.parameters(mark, String.format("%016x", chance.nextLong()), PATIENCE_MS),
                                 mark + " body",
                                 5_000);
@@ -403,7 +403,7 @@
         Map<String, Object> of = new LinkedHashMap<>();
         long[] most = new long[QUARTERS];
         double lost = 0;
-        try (StandKernel kernel = kernel(seed);
+        try (StandInKernel kernel = kernel(seed);
                 Program p = program(kernel, true, 60)) {
             p.start();
             for (int q = 0; q < QUARTERS; q++) {
--- a/tool/src/main/java/tallyweir/tool/ResultsCommand.java
+++ b/tool/src/main/java/tallyweir/tool/ResultsCommand.java
@@ -21,14 +21,14 @@
 import picocli.CommandLine.Spec;
 import tallyweir.durable.AdminCommands;
 import tallyweir.durable.AdminSocket;
-import tallyweir.durable.Found;
+import tallyweir.durable.StoredRecord;
 import tallyweir.durable.View;
 import tallyweir.results.DurableResultStore;
 import tallyweir.results.Explorer;
-import tallyweir.results.Marks;
+import tallyweir.results.IdempotencyTracker;
 import tallyweir.results.ResultStore;
 import tallyweir.results.Settling;
-import tallyweir.search.Search;
+import tallyweir.search.ExhaustiveSearch;
 
 @Command(
         name = "results",
@@ -116,8 +116,8 @@
         @Override
         public Integer call() throws IOException {
             byte[] mark = DurableResultStore.storeKey(DurableResultStore.idempotencyKey(workload, key));
-            Found f = store.look(d -> d.get(DurableResultStore.RESULTS, mark), adminSocket -> {
-                Found[] there = new Found[1];
+            StoredRecord f = store.look(d -> d.get(DurableResultStore.RESULTS, mark), adminSocket -> {
+                StoredRecord[] there = new StoredRecord[1];
                 AdminSocket.sendRequest(
                         adminSocket,
                         List.of(
@@ -153,7 +153,7 @@
     }
 
     /** All records of a namespace, of the store or asked of the process that holds it. */
-    private static void each(StoreOptions store, String namespace, Consumer<Found> to) throws IOException {
+    private static void each(StoreOptions store, String namespace, Consumer<StoredRecord> to) throws IOException {
         store.look(
                 d -> {
                     try (View view = d.view()) {
@@ -388,7 +388,7 @@
         private int copies;
 
         @Option(names = "--without", description = "Switch a guard off: ${COMPLETION-CANDIDATES}.")
-        private Marks.Guard[] without = {};
+        private IdempotencyTracker.Guard[] without = {};
 
         @Spec
         private CommandSpec spec;
@@ -398,9 +398,9 @@
             if (copies < 1 || copies > 4) {
                 throw new ParameterException(spec.commandLine(), "--copies is " + copies + ": 1 to 4 is needed");
             }
-            Set<Marks.Guard> off = EnumSet.noneOf(Marks.Guard.class);
+            Set<IdempotencyTracker.Guard> off = EnumSet.noneOf(IdempotencyTracker.Guard.class);
             off.addAll(Set.of(without));
-            Search.SearchResult seen = Explorer.explore(copies, off, 3_000_000);
+            ExhaustiveSearch.SearchResult seen = Explorer.explore(copies, off, 3_000_000);
             seen.violations().stream()
                     .limit(5)
                     .forEach(w -> spec.commandLine().getOut().println("wrong: " + w));
