--- a/tool/src/main/java/tallyweir/tool/ResultsDrill.java
+++ b/tool/src/main/java/tallyweir/tool/ResultsDrill.java
@@ -21,15 +21,15 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
-import tallyweir.durable.Both;
+import tallyweir.durable.CopyExecutor;
 import tallyweir.durable.Durable;
 import tallyweir.durable.FileDisk;
 import tallyweir.durable.FileStore;
 import tallyweir.durable.View;
 import tallyweir.results.DurableResultStore;
 import tallyweir.stand.History;
-import tallyweir.stand.StandKernel;
-import tallyweir.stand.StandSidecar;
+import tallyweir.stand.StandInKernel;
+import tallyweir.stand.StandInSidecar;
 
 @Command(
         name = "drill",
@@ -78,7 +78,7 @@
     private volatile boolean stop;
     private volatile Program program;
     private volatile Program before; // one that was taken over from, while it still runs
-    private final StandKernel[] kernels = new StandKernel[2];
+    private final StandInKernel[] kernels = new StandInKernel[2];
     private final Map<Event, Integer> events = new EnumMap<>(Event.class);
     private int at;
     private int stayed;
@@ -117,8 +117,8 @@
             Program.clear(dir.resolve(copy));
         }
         SplittableRandom chance = new SplittableRandom(seed);
-        try (StandKernel kernel = new StandKernel(history, CORES, chance.nextLong());
-                StandKernel other = new StandKernel(history, CORES, chance.nextLong())) {
+        try (StandInKernel kernel = new StandInKernel(history, CORES, chance.nextLong());
+                StandInKernel other = new StandInKernel(history, CORES, chance.nextLong())) {
             kernel.setMaxExtraResultBytes(RESULT_BYTES);
             other.setMaxExtraResultBytes(RESULT_BYTES);
             kernels[0] = kernel;
@@ -271,7 +271,7 @@
             try (Durable d = new Durable(
                             new FileDisk(dir.resolve("store/first")),
                             new FileDisk(dir.resolve("store/second")),
-                            Both.SEQUENTIAL,
+                            CopyExecutor.SEQUENTIAL,
                             1 << 20,
                             4_096,
                             0.5,
@@ -307,7 +307,7 @@
         while (!stop) {
             Program old = before;
             Program p = old != null && chance.nextBoolean() ? old : program;
-            try (StandSidecar s = new StandSidecar(p.port())) {
+            try (StandInSidecar s = new StandInSidecar(p.port())) {
                 boolean up = true;
                 while (up && !stop) {
                     up = ask(p, s, chance);
@@ -326,7 +326,7 @@
         }
     }
 
-    private boolean ask(Program p, StandSidecar s, SplittableRandom chance) {
+    private boolean ask(Program p, StandInSidecar s, SplittableRandom chance) {
         int known = marks.get();
         int recent = Math.min(known, 400);
         boolean again = recent > 0 && chance.nextInt(3) > 0;
@@ -335,7 +335,7 @@
         Map<String, String> of = Program.parameters(mark, job, PATIENCE);
         history.add(History.EventType.REQUESTED, mark, job, "");
         long asked = System.nanoTime();
-        StandSidecar.Answer a = s.exchange(of, mark + " body", PATIENCE + SLACK);
+        StandInSidecar.Answer a = s.exchange(of, mark + " body", PATIENCE + SLACK);
         boolean wasUp = p.listening();
         History.EventType what = switch (a.status()) {
             case 200 -> History.EventType.HANDLED;
--- a/tool/src/main/java/tallyweir/tool/StoreOptions.java
+++ b/tool/src/main/java/tallyweir/tool/StoreOptions.java
@@ -9,17 +9,17 @@
 import java.util.concurrent.ThreadLocalRandom;
 import picocli.CommandLine.ArgGroup;
 import picocli.CommandLine.Option;
-import tallyweir.config.Operators;
+import tallyweir.config.OperatorSettings;
 import tallyweir.durable.AdminSocket;
-import tallyweir.durable.Both;
+import tallyweir.durable.CopyExecutor;
 import tallyweir.durable.Committer;
 import tallyweir.durable.Disk;
 import tallyweir.durable.Durable;
 import tallyweir.durable.FileDisk;
 import tallyweir.durable.FileStore;
 import tallyweir.durable.Namespace;
-import tallyweir.durable.ReadOnly;
-import tallyweir.durable.Refused;
+import tallyweir.durable.ReadOnlyDisk;
+import tallyweir.durable.StoreRefusedException;
 
 /** Which store a command is about: that of an operators' file, or one by its directories. */
 final class StoreOptions {
@@ -52,11 +52,11 @@
         return json;
     }
 
-    private Path first(Operators o) {
+    private Path first(OperatorSettings o) {
         return o != null ? o.firstCopyDir() : which.directories.dir.resolve("first");
     }
 
-    private Path second(Operators o) {
+    private Path second(OperatorSettings o) {
         return o != null
                 ? o.secondCopyDir()
                 : which.directories.second != null ? which.directories.second : which.directories.dir.resolve("second");
@@ -76,9 +76,9 @@
     <T> T look(Here<T> here, There<T> there) throws IOException {
         try (Durable d = look()) {
             return here.with(d);
-        } catch (Refused r) {
-            Operators o = which.settings == null ? null : Operators.read(which.settings);
-            if (r.reason() != Refused.Cause.IN_USE || !AdminSocket.isListening(adminSocket(o))) {
+        } catch (StoreRefusedException r) {
+            OperatorSettings o = which.settings == null ? null : OperatorSettings.read(which.settings);
+            if (r.reason() != StoreRefusedException.Cause.IN_USE || !AdminSocket.isListening(adminSocket(o))) {
                 throw r;
             }
             return there.at(adminSocket(o));
@@ -96,7 +96,7 @@
      * @param spaces what is written, where no operators' file says its bounds
      */
     void change(List<String> spaces, Writing here, There<Void> there) throws IOException {
-        Operators o = which.settings == null ? null : Operators.read(which.settings);
+        OperatorSettings o = which.settings == null ? null : OperatorSettings.read(which.settings);
         List<Namespace> all = new ArrayList<>(o == null ? List.of() : o.namespaces());
         for (String s : spaces) {
             if (all.stream().noneMatch(n -> n.name().equals(s))) {
@@ -106,15 +106,15 @@
         try (Durable d = open(false, all);
                 Committer c = new Committer(d, 64 << 20, 0, 1)) {
             here.with(d, c);
-        } catch (Refused r) {
-            if (r.reason() != Refused.Cause.IN_USE || !AdminSocket.isListening(adminSocket(o))) {
+        } catch (StoreRefusedException r) {
+            if (r.reason() != StoreRefusedException.Cause.IN_USE || !AdminSocket.isListening(adminSocket(o))) {
                 throw r;
             }
             there.at(adminSocket(o));
         }
     }
 
-    private Path adminSocket(Operators o) {
+    private Path adminSocket(OperatorSettings o) {
         return o != null ? o.adminSocket() : which.directories.dir.resolve("desk");
     }
 
@@ -133,7 +133,7 @@
     }
 
     private Durable open(boolean look, List<Namespace> spaces) throws IOException {
-        Operators o = which.settings == null ? null : Operators.read(which.settings);
+        OperatorSettings o = which.settings == null ? null : OperatorSettings.read(which.settings);
         if (o != null && !o.hasDurableStore()) {
             throw new IOException(which.settings + " has no durable part: the store is off there");
         }
@@ -145,9 +145,9 @@
         Disk one = new FileDisk(first);
         Disk other = new FileDisk(second);
         return new Durable(
-                look ? new ReadOnly(one) : one,
-                look ? new ReadOnly(other) : other,
-                Both.SEQUENTIAL,
+                look ? new ReadOnlyDisk(one) : one,
+                look ? new ReadOnlyDisk(other) : other,
+                CopyExecutor.SEQUENTIAL,
                 o == null ? 64 << 20 : o.segmentBytes(),
                 o == null ? which.directories.sector : o.sectorBytes(),
                 o == null ? 0.5 : o.deadShare(),
--- a/tool/src/main/java/tallyweir/tool/bench/BareResponder.java
+++ b/tool/src/main/java/tallyweir/tool/bench/BareResponder.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
-import tallyweir.fastcgi.Fields;
-import tallyweir.fastcgi.Reader;
+import tallyweir.fastcgi.RequestFields;
+import tallyweir.fastcgi.FastCgiReader;
 import tallyweir.fastcgi.Records;
 import tallyweir.ids.RequestId;
 
@@ -61,8 +61,8 @@
     }
 
     /** One connection: each request on it is answered when its run would have ended. */
-    private final class Connection implements Reader.Sink {
-        private final Reader reader = new Reader(this);
+    private final class Connection implements FastCgiReader.Sink {
+        private final FastCgiReader reader = new FastCgiReader(this);
         private final Socket socket;
 
         private Connection(Socket socket) {
@@ -79,7 +79,7 @@
         }
 
         @Override
-        public void onRequest(RequestId id, Fields fields, byte[] body, boolean keepConnection) {
+        public void onRequest(RequestId id, RequestFields fields, byte[] body, boolean keepConnection) {
             runPart(id, RUN_PARTS);
         }
 
@@ -102,7 +102,7 @@
         }
 
         @Override
-        public void onRefused(RequestId id, Reader.Refusal why, boolean keepConnection) {
+        public void onRefused(RequestId id, FastCgiReader.Refusal why, boolean keepConnection) {
             reader.release(id);
             write(Records.overloaded(id));
         }
--- a/tool/src/main/java/tallyweir/tool/bench/ServerProcess.java
+++ b/tool/src/main/java/tallyweir/tool/bench/ServerProcess.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import tallyweir.stand.StandSidecar;
+import tallyweir.stand.StandInSidecar;
 
 /** One {@code serve} process of the program between stand-ins of its own. */
 final class ServerProcess implements AutoCloseable {
@@ -60,9 +60,9 @@
     void awaitReady() throws IOException, InterruptedException {
         long end = System.nanoTime() + READY_NANOS;
         for (long probe = 1; System.nanoTime() < end; probe++) {
-            try (StandSidecar sidecar = new StandSidecar(port())) {
+            try (StandInSidecar sidecar = new StandInSidecar(port())) {
                 Arrival arrival = new Arrival(0, 0, probe);
-                StandSidecar.Answer answer =
+                StandInSidecar.Answer answer =
                         sidecar.exchange(SidecarTarget.parameters(arrival, 0), "probe " + probe, PROBE_MILLIS);
                 if (QueryOutcome.of(answer.status()) == QueryOutcome.HANDLED) {
                     return;
@@ -76,7 +76,7 @@
     /** Its counters by name. */
     Map<String, Long> counters() throws IOException {
         Map<String, Long> counters = new LinkedHashMap<>();
-        try (StandSidecar sidecar = new StandSidecar(port())) {
+        try (StandInSidecar sidecar = new StandInSidecar(port())) {
             Map<String, String> request = Map.of("REQUEST_METHOD", "GET", "SCRIPT_NAME", "/counters");
             String text = sidecar.exchange(request, "", PROBE_MILLIS).body();
             for (String line : text.split("\n")) {
--- a/tool/src/main/java/tallyweir/tool/bench/StandInPeers.java
+++ b/tool/src/main/java/tallyweir/tool/bench/StandInPeers.java
@@ -6,8 +6,8 @@
 import java.net.InetAddress;
 import java.util.ArrayList;
 import java.util.List;
-import tallyweir.stand.StandKernel;
-import tallyweir.stand.StandStore;
+import tallyweir.stand.StandInKernel;
+import tallyweir.stand.StandInStore;
 
 /** What a server connects to, played on loopback: a kernel with fixed run times, some stores and an announce service. */
 final class StandInPeers implements AutoCloseable {
@@ -22,15 +22,15 @@
 
     private static final int DATAGRAM_BYTES = 512;
 
-    private final StandKernel kernel;
-    private final List<StandStore> stores = new ArrayList<>();
+    private final StandInKernel kernel;
+    private final List<StandInStore> stores = new ArrayList<>();
     private final DatagramSocket announce;
 
     StandInPeers(long seed) throws IOException {
-        kernel = new StandKernel(null, ServerConfig.CORES, seed, random -> RUN_PART_MICROS);
+        kernel = new StandInKernel(null, ServerConfig.CORES, seed, random -> RUN_PART_MICROS);
         kernel.setCallsPerRun(CALLS_PER_RUN);
         for (int i = 0; i < STORES; i++) {
-            stores.add(new StandStore());
+            stores.add(new StandInStore());
         }
         announce = new DatagramSocket(0, InetAddress.getLoopbackAddress());
         Thread reader = new Thread(this::readReports, "stand-in announce service");
@@ -55,7 +55,7 @@
 
     /** Of all stores; any of them answers every call. */
     List<String> storeAddresses() {
-        return stores.stream().map(StandStore::address).toList();
+        return stores.stream().map(StandInStore::address).toList();
     }
 
     String announceAddress() {
@@ -65,7 +65,7 @@
     @Override
     public void close() throws IOException {
         kernel.close();
-        for (StandStore store : stores) {
+        for (StandInStore store : stores) {
             store.close();
         }
         announce.close();
--- a/tool/src/main/java/tallyweir/tool/scale/EntryOperator.java
+++ b/tool/src/main/java/tallyweir/tool/scale/EntryOperator.java
@@ -6,7 +6,7 @@
 import java.util.SplittableRandom;
 import tallyweir.fleet.Answer;
 import tallyweir.fleet.Command;
-import tallyweir.fleet.OperatorCommand;
+import tallyweir.fleet.OperatorCommandId;
 import tallyweir.fleet.RevisionId;
 
 /** An operator who changes entries by key. */
@@ -25,8 +25,8 @@
         random = new SplittableRandom(seed);
     }
 
-    private OperatorCommand next() {
-        return new OperatorCommand("change " + ++commands);
+    private OperatorCommandId next() {
+        return new OperatorCommandId("change " + ++commands);
     }
 
     @Override
--- a/tool/src/main/java/tallyweir/tool/scale/StateFleet.java
+++ b/tool/src/main/java/tallyweir/tool/scale/StateFleet.java
@@ -16,7 +16,7 @@
 import tallyweir.fleet.Gate;
 import tallyweir.fleet.Incarnation;
 import tallyweir.fleet.Need;
-import tallyweir.fleet.OperatorCommand;
+import tallyweir.fleet.OperatorCommandId;
 import tallyweir.fleet.RevisionId;
 import tallyweir.fleet.RevisionRoot;
 import tallyweir.fleet.ServerId;
@@ -124,8 +124,8 @@
         return new Timed(new Cost(System.nanoTime() - began, 0), answer);
     }
 
-    private OperatorCommand next() {
-        return new OperatorCommand("command " + ++commands);
+    private OperatorCommandId next() {
+        return new OperatorCommandId("command " + ++commands);
     }
 
     @Override
--- a/tool/src/main/java/tallyweir/tool/soak/SoakBackend.java
+++ b/tool/src/main/java/tallyweir/tool/soak/SoakBackend.java
@@ -17,9 +17,9 @@
 import tallyweir.stand.PipelinedCaller;
 import tallyweir.stand.RequestLog;
 import tallyweir.stand.SilentClient;
-import tallyweir.stand.StandKernel;
-import tallyweir.stand.StandRelay;
-import tallyweir.stand.SteadyCaller;
+import tallyweir.stand.StandInKernel;
+import tallyweir.stand.FaultRelay;
+import tallyweir.stand.SequentialCaller;
 import tallyweir.tool.Program;
 
 /** One backend of a soak with its kernel, the relays between them, and its callers. */
@@ -42,8 +42,8 @@
     private final History history = new History();
     private final RequestLog log;
     private final BackendLife life = new BackendLife();
-    private final StandKernel kernel;
-    private final List<StandRelay> relays = new ArrayList<>();
+    private final StandInKernel kernel;
+    private final List<FaultRelay> relays = new ArrayList<>();
     private final List<Integer> relayPorts = new ArrayList<>();
     private final FailingCalls calls;
     private final Program program;
@@ -57,10 +57,10 @@
         this.directory = Files.createDirectories(directory);
         this.seed = seed;
         log = new RequestLog(seed);
-        kernel = new StandKernel(history, CORES, seed, chance -> chance.nextInt(1, RUN_MOST_MS) * 1_000);
+        kernel = new StandInKernel(history, CORES, seed, chance -> chance.nextInt(1, RUN_MOST_MS) * 1_000);
         for (int i = 0; i < 2; i++) {
             InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), freePort());
-            relays.add(new StandRelay(at, SteadyCaller.loopback(kernel.port())));
+            relays.add(new FaultRelay(at, SequentialCaller.loopback(kernel.port())));
             relayPorts.add(at.getPort());
         }
         calls = FailingCalls.create(directory);
@@ -92,20 +92,20 @@
 
     /** Callers of every manner within the bounds of the protocol, and silent clients. */
     void beginCallers() {
-        InetSocketAddress at = SteadyCaller.loopback(program.port());
-        steady(at, 8, READS, new SteadyCaller.Profile("new connections", true, 1, 0, 10));
-        steady(at, 8, READS, new SteadyCaller.Profile("kept connections", false, 1, 0, 25));
-        steady(at, 4, READS, new SteadyCaller.Profile("in pieces", false, 4, 4, 25));
-        steady(at, 4, KEYED, new SteadyCaller.Profile("keyed", false, 1, 0, 25));
+        InetSocketAddress at = SequentialCaller.loopback(program.port());
+        steady(at, 8, READS, new SequentialCaller.Profile("new connections", true, 1, 0, 10));
+        steady(at, 8, READS, new SequentialCaller.Profile("kept connections", false, 1, 0, 25));
+        steady(at, 4, READS, new SequentialCaller.Profile("in pieces", false, 4, 4, 25));
+        steady(at, 4, KEYED, new SequentialCaller.Profile("keyed", false, 1, 0, 25));
         for (int i = 0; i < 2; i++) {
             callers.add(new PipelinedCaller(at, new PipelinedCaller.Profile("pipelined", 8, 5, 0), READS, log));
         }
         callers.add(new SilentClient(at, 10));
     }
 
-    private void steady(InetSocketAddress at, int number, LoadSettings settings, SteadyCaller.Profile manner) {
+    private void steady(InetSocketAddress at, int number, LoadSettings settings, SequentialCaller.Profile manner) {
         for (int i = 0; i < number; i++) {
-            callers.add(new SteadyCaller(at, manner, settings, log));
+            callers.add(new SequentialCaller(at, manner, settings, log));
         }
     }
 
@@ -178,14 +178,14 @@
     }
 
     private void breakLink() {
-        relays.forEach(StandRelay::resetAll);
-        relays.forEach(StandRelay::endFaults);
+        relays.forEach(FaultRelay::resetAll);
+        relays.forEach(FaultRelay::endFaults);
     }
 
     private void holdLink(int milliseconds) throws InterruptedException {
         relays.forEach(of -> of.stall(true, true));
         TimeUnit.MILLISECONDS.sleep(milliseconds);
-        relays.forEach(StandRelay::endFaults);
+        relays.forEach(FaultRelay::endFaults);
     }
 
     private void refuseFolder(int milliseconds) throws InterruptedException {
@@ -212,7 +212,7 @@
             caller.close();
         }
         program.close();
-        for (StandRelay of : relays) {
+        for (FaultRelay of : relays) {
             of.close();
         }
         kernel.close();
--- a/tool/src/main/java/tallyweir/tool/soak/SoakCommand.java
+++ b/tool/src/main/java/tallyweir/tool/soak/SoakCommand.java
@@ -13,7 +13,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 import tallyweir.stand.FailingCalls;
-import tallyweir.stand.RequestFate;
+import tallyweir.stand.RequestOutcome;
 import tallyweir.stand.RequestLog;
 
 /** Plays signals, failing system calls, broken links and bad clients against whole processes, and judges what callers saw. */
@@ -92,9 +92,9 @@
         }
     }
 
-    private static void describe(PrintWriter out, String what, List<RequestFate> fates) {
+    private static void describe(PrintWriter out, String what, List<RequestOutcome> fates) {
         if (!fates.isEmpty()) {
-            long last = fates.stream().mapToLong(RequestFate::endedAt).max().orElse(0);
+            long last = fates.stream().mapToLong(RequestOutcome::endedAt).max().orElse(0);
             out.println(what + RequestLog.describe(fates, last));
         }
     }
--- a/tool/src/main/java/tallyweir/tool/soak/SoakJudge.java
+++ b/tool/src/main/java/tallyweir/tool/soak/SoakJudge.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import tallyweir.stand.History;
-import tallyweir.stand.RequestFate;
+import tallyweir.stand.RequestOutcome;
 import tallyweir.stand.RequestLog;
 
 /** Holds the rules by what callers and the kernel saw; knows nothing of how the program works. */
@@ -24,7 +24,7 @@
     }
 
     SoakVerdict verdict(long failedCalls, long otherFaults) {
-        List<RequestFate> all = log.allOutcomes();
+        List<RequestOutcome> all = log.allOutcomes();
         Map<String, Integer> runs = kernel.runsByJob();
         return new SoakVerdict(
                 all.size(),
@@ -39,12 +39,12 @@
                 all.stream().filter(fate -> ranAfterGrace(fate, runs)).count());
     }
 
-    private static boolean isAnswered(RequestFate fate) {
-        return fate.end() == RequestFate.End.ANSWERED || fate.end() == RequestFate.End.ANSWERED_LATE;
+    private static boolean isAnswered(RequestOutcome fate) {
+        return fate.end() == RequestOutcome.End.ANSWERED || fate.end() == RequestOutcome.End.ANSWERED_LATE;
     }
 
     /** A kill without notice frees what was with the backend; the end at a kill after one is no end of a connection at rest. */
-    private boolean isLost(RequestFate fate) {
+    private boolean isLost(RequestOutcome fate) {
         if (isAnswered(fate)) {
             return false;
         }
@@ -54,11 +54,11 @@
         return fate.isLost() || life.wasKilledAfterNotice(fate.writtenAt(), fate.endedAt());
     }
 
-    private boolean isLate(RequestFate fate) {
-        return fate.end() == RequestFate.End.ANSWERED_LATE && !life.stoodDuring(fate.writtenAt(), fate.endedAt());
+    private boolean isLate(RequestOutcome fate) {
+        return fate.end() == RequestOutcome.End.ANSWERED_LATE && !life.stoodDuring(fate.writtenAt(), fate.endedAt());
     }
 
-    private boolean ranAfterGrace(RequestFate fate, Map<String, Integer> runs) {
+    private boolean ranAfterGrace(RequestOutcome fate, Map<String, Integer> runs) {
         long notice = life.noticeAt(fate.writtenAt());
         return notice != 0
                 && runs.containsKey(fate.id())
--- a/tool/src/main/java/tallyweir/tool/soak/SoakVerdict.java
+++ b/tool/src/main/java/tallyweir/tool/soak/SoakVerdict.java
@@ -1,7 +1,7 @@
 package tallyweir.tool.soak;
 
 import java.util.List;
-import tallyweir.stand.RequestFate;
+import tallyweir.stand.RequestOutcome;
 
 /**
  * What a soak has shown of one backend, or of all.
@@ -18,9 +18,9 @@
         long drains,
         long failedCalls,
         long otherFaults,
-        List<RequestFate> lost,
+        List<RequestOutcome> lost,
         long twice,
-        List<RequestFate> late,
+        List<RequestOutcome> late,
         long afterGrace) {
     boolean isVoid() {
         return requests == 0 || drains == 0 || failedCalls == 0;
--- a/tool/src/test/java/tallyweir/tool/FleetOperatorsTest.java
+++ b/tool/src/test/java/tallyweir/tool/FleetOperatorsTest.java
@@ -16,7 +16,7 @@
 import tallyweir.fleet.Answer;
 import tallyweir.fleet.Command;
 import tallyweir.fleet.Fault;
-import tallyweir.fleet.OperatorCommand;
+import tallyweir.fleet.OperatorCommandId;
 import tallyweir.fleet.RevisionId;
 import tallyweir.fleet.table.Change;
 import tallyweir.fleet.table.Key;
@@ -32,7 +32,7 @@
     private static Command.ChangeEntries cap(String command, String tenant, int before, int after) {
         Change change = new Change(
                 new Key(Kind.CAP, tenant), Optional.of(new Value.Cap(before)), Optional.of(new Value.Cap(after)));
-        return new Command.ChangeEntries(new OperatorCommand(command), List.of(change), command, "at once", false);
+        return new Command.ChangeEntries(new OperatorCommandId(command), List.of(change), command, "at once", false);
     }
 
     private Value capOf(String tenant) {
--- a/tool/src/test/java/tallyweir/tool/FleetProcesses.java
+++ b/tool/src/test/java/tallyweir/tool/FleetProcesses.java
@@ -13,9 +13,9 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.io.TempDir;
-import tallyweir.config.Operators;
+import tallyweir.config.OperatorSettings;
 import tallyweir.fleet.ratis.RatisFleetClient;
-import tallyweir.stand.StandSidecar;
+import tallyweir.stand.StandInSidecar;
 
 /** A fleet of processes for a test, and what operators do to it. */
 abstract class FleetProcesses {
@@ -32,7 +32,7 @@
 
     void start(int servers, int stores) throws Exception {
         stage = new FleetStage(dir, servers, stores, null, 1, LEASE_MS, List.of());
-        Operators operators = Operators.read(stage.operators);
+        OperatorSettings operators = OperatorSettings.read(stage.operators);
         link = new RatisFleetClient(operators.fleetName(), operators.voters(), GIVE_UP_MS);
         until("all are in", () -> acting(0) == servers);
     }
@@ -124,8 +124,8 @@
         int store = -1;
         for (String workload : FleetStage.WORKLOADS) {
             String job = stage.job();
-            try (StandSidecar sidecar =
-                    new StandSidecar(stage.servers.get(server).port())) {
+            try (StandInSidecar sidecar =
+                    new StandInSidecar(stage.servers.get(server).port())) {
                 assertEquals(
                         200,
                         FleetStage.ask(sidecar, job, FleetStage.FREE, workload, 5_000)
--- a/tool/src/test/java/tallyweir/tool/FleetTest.java
+++ b/tool/src/test/java/tallyweir/tool/FleetTest.java
@@ -23,10 +23,10 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import tallyweir.config.Operators;
+import tallyweir.config.OperatorSettings;
 import tallyweir.fleet.ratis.RatisFleetClient;
-import tallyweir.stand.StandRelay;
-import tallyweir.stand.StandSidecar;
+import tallyweir.stand.FaultRelay;
+import tallyweir.stand.StandInSidecar;
 
 /**
  * Three processes of the program that keep a fleet's log and serve, killed while revisions change. Each revision routes
@@ -49,7 +49,7 @@
         stage = new FleetStage(dir, SERVERS, SERVERS, null, 1, 2_000, List.of());
         operators = stage.operators;
         servers = stage.servers;
-        Operators o = Operators.read(operators);
+        OperatorSettings o = OperatorSettings.read(operators);
         link = new RatisFleetClient(o.fleetName(), o.voters(), 10_000);
         until("all are in", () -> acting(0, SERVERS));
     }
@@ -113,7 +113,7 @@
 
     /** The store that a query read by this server now calls. */
     private int storeOf(int server) throws Exception {
-        try (StandSidecar s = new StandSidecar(servers.get(server).port())) {
+        try (StandInSidecar s = new StandInSidecar(servers.get(server).port())) {
             String job = stage.job();
             assertEquals(200, FleetStage.ask(s, job, FleetStage.FREE, 5_000).status(), "server " + server);
             assertEquals(1, stage.storesOf(job).size());
@@ -168,7 +168,7 @@
         List<Thread> all = new ArrayList<>();
         for (int i = 0; i < queries; i++) {
             Thread t = new Thread(() -> {
-                try (StandSidecar s = new StandSidecar(servers.get(server).port())) {
+                try (StandInSidecar s = new StandInSidecar(servers.get(server).port())) {
                     taken.addAndGet(
                             FleetStage.ask(s, stage.job(), tenant, 5_000).status() == 200 ? 1 : 0);
                 } catch (IOException e) {
@@ -209,15 +209,15 @@
                 assertEquals(i == alone ? 0 : 1, storeOf(i));
             }
         }
-        stage.around(alone).forEach(StandRelay::endFaults);
-        Operators o = Operators.read(operators);
+        stage.around(alone).forEach(FaultRelay::endFaults);
+        OperatorSettings o = OperatorSettings.read(operators);
         link = new RatisFleetClient(o.fleetName(), o.voters(), 10_000);
         until("it is brought up", () -> acting(2, SERVERS));
         assertEquals(1, storeOf(alone));
     }
 
     private Map<String, String> others(int alone) {
-        Map<String, String> all = new LinkedHashMap<>(Operators.read(operators).voters());
+        Map<String, String> all = new LinkedHashMap<>(OperatorSettings.read(operators).voters());
         all.remove("v" + alone);
         return all;
     }
@@ -237,14 +237,14 @@
     @Test
     void withoutAnyMajorityEveryServerGoesOnAndNothingIsAcknowledged() throws Exception {
         assertEquals(0, publish(0, ""));
-        stage.all().forEach(StandRelay::resetAll);
+        stage.all().forEach(FaultRelay::resetAll);
         TimeUnit.MILLISECONDS.sleep(3_000);
         for (int i = 0; i < SERVERS; i++) {
             assertEquals(4, taken(i, "free", 4), "server " + i);
             assertEquals(0, storeOf(i));
         }
         assertEquals(10, publish(1, ""), "nobody leads");
-        stage.all().forEach(StandRelay::endFaults);
+        stage.all().forEach(FaultRelay::endFaults);
         until("somebody leads again", () -> acting(1, SERVERS));
         assertEquals(0, publish(1, ""));
         for (int i = 0; i < SERVERS; i++) {
@@ -257,7 +257,7 @@
             int server, String tenant, List<FleetStage.Open> opened, AtomicInteger turnedDown, AtomicBoolean stop) {
         Thread t = new Thread(() -> {
             while (!stop.get()) {
-                try (StandSidecar s = new StandSidecar(servers.get(server).port())) {
+                try (StandInSidecar s = new StandInSidecar(servers.get(server).port())) {
                     int status = FleetStage.ask(s, stage.job(), tenant, 5_000).status();
                     long now = System.nanoTime();
                     if (status == 200) {
--- a/tool/src/test/java/tallyweir/tool/FleetTransferTest.java
+++ b/tool/src/test/java/tallyweir/tool/FleetTransferTest.java
@@ -15,13 +15,13 @@
 import tallyweir.fleet.Command;
 import tallyweir.fleet.Digest;
 import tallyweir.fleet.Fault;
-import tallyweir.fleet.OperatorCommand;
+import tallyweir.fleet.OperatorCommandId;
 import tallyweir.fleet.RevisionId;
 import tallyweir.fleet.table.Change;
 import tallyweir.fleet.table.Key;
 import tallyweir.fleet.table.Kind;
 import tallyweir.fleet.table.Value;
-import tallyweir.stand.StandRelay;
+import tallyweir.stand.FaultRelay;
 
 /**
  * Revisions whose tables take many pieces, and faults between the pieces. Each revision routes both workloads to a store of its
@@ -42,7 +42,7 @@
     }
 
     private long replied(int server) {
-        return stage.from(server).stream().mapToLong(StandRelay::repliedBytes).sum();
+        return stage.from(server).stream().mapToLong(FaultRelay::repliedBytes).sum();
     }
 
     private void untilMidway(int server, long before) throws Exception {
@@ -60,11 +60,11 @@
         stage.servers.get(3).kill();
         before = restartSlowly(4);
         untilMidway(4, before);
-        stage.from(4).forEach(StandRelay::resetAll);
+        stage.from(4).forEach(FaultRelay::resetAll);
         command("publish", stage.largeRevision(1, CAPS).toString(), "--why", "second", "--follow-s", "5");
         until("the second is in force", () -> acting(2) >= 3);
-        stage.from(3).forEach(StandRelay::endFaults);
-        stage.from(4).forEach(StandRelay::endFaults);
+        stage.from(3).forEach(FaultRelay::endFaults);
+        stage.from(4).forEach(FaultRelay::endFaults);
         stage.servers.get(3).start();
         until("all act on the second", () -> acting(2) == 5);
         for (int i = 0; i < 5; i++) {
@@ -102,7 +102,7 @@
         stage.servers.get(serving).kill();
         until("it has all pieces", () -> timesActing(3) == 2);
         stage.servers.get(serving).start();
-        stage.from(3).forEach(StandRelay::endFaults);
+        stage.from(3).forEach(FaultRelay::endFaults);
         until("all act on it", () -> acting(1) == 4);
         watcher.assertStores(List.of(0));
     }
@@ -114,10 +114,10 @@
         List<RouteWatcher> watchers = watchAll(4);
         stage.from(3).forEach(relay -> relay.damageReplies(1_000));
         assertEquals(0, publish(stage.largeRevision(1, 3_000)), "one of four cannot have it, and is shut out");
-        assertTrue(stage.from(3).stream().mapToInt(StandRelay::damagedChunks).sum() > 0, "nothing was damaged");
+        assertTrue(stage.from(3).stream().mapToInt(FaultRelay::damagedChunks).sum() > 0, "nothing was damaged");
         assertEquals(0, storeOf(3), "it goes on under the one before");
         assertEquals(1, timesActing(3));
-        stage.from(3).forEach(StandRelay::endFaults);
+        stage.from(3).forEach(FaultRelay::endFaults);
         until("it has it at last", () -> acting(2) == 4);
         for (RouteWatcher watcher : watchers) {
             watcher.assertStores(List.of(0, 1));
@@ -132,17 +132,17 @@
         for (int i = 0; i < 1_000; i++) {
             Key key = new Key(Kind.CAP, "tenant-0-" + i);
             Change change = new Change(key, Optional.of(new Value.Cap(i + 1)), Optional.of(new Value.Cap(i + 2)));
-            ask(new Command.ChangeEntries(new OperatorCommand("c" + i), List.of(change), "test", "change " + i, false));
+            ask(new Command.ChangeEntries(new OperatorCommandId("c" + i), List.of(change), "test", "change " + i, false));
         }
         assertEquals(0, command("change", stage.largeMove(0, 1).toString(), "--why", "moves"));
         long last = link.audit().inForce().value();
         until("all act on the last", () -> acting(last) == 3);
         int aside = 2;
-        stage.around(aside).forEach(StandRelay::resetAll);
+        stage.around(aside).forEach(FaultRelay::resetAll);
         until("it is silent", () -> acting(last) == 2);
         assertEquals(0, command("rollback", "--to", "1", "--why", "worse"));
         assertEquals(1, storeOf(aside), "it cannot know yet");
-        stage.around(aside).forEach(StandRelay::endFaults);
+        stage.around(aside).forEach(FaultRelay::endFaults);
         until("all act as on the first", () -> acting(last + 1) == 3);
         assertEquals(root(1), root(last + 1));
         assertNotEquals(root(1), root(last));
--- a/tool/src/test/java/tallyweir/tool/LostAtTheStopTest.java
+++ b/tool/src/test/java/tallyweir/tool/LostAtTheStopTest.java
@@ -13,16 +13,16 @@
 import tallyweir.stand.FailingCalls.Call;
 import tallyweir.stand.FailingCalls.Errno;
 import tallyweir.stand.PipelinedCaller;
-import tallyweir.stand.SteadyCaller;
+import tallyweir.stand.SequentialCaller;
 
 /** Requests that were with a stopping server must have an answer before its process is killed, whatever system calls fail. */
 @Timeout(60)
 class LostAtTheStopTest {
-    private static final SteadyCaller.Profile NEW_CONNECTIONS =
-            new SteadyCaller.Profile("new connections", true, 1, 0, 5);
-    private static final SteadyCaller.Profile KEPT_CONNECTIONS =
-            new SteadyCaller.Profile("kept connections", false, 1, 0, 20);
-    private static final SteadyCaller.Profile IN_PIECES = new SteadyCaller.Profile("in pieces", false, 4, 5, 20);
+    private static final SequentialCaller.Profile NEW_CONNECTIONS =
+            new SequentialCaller.Profile("new connections", true, 1, 0, 5);
+    private static final SequentialCaller.Profile KEPT_CONNECTIONS =
+            new SequentialCaller.Profile("kept connections", false, 1, 0, 20);
+    private static final SequentialCaller.Profile IN_PIECES = new SequentialCaller.Profile("in pieces", false, 4, 5, 20);
     private static final int RUN_MS = 1_500;
     private static final int LISTENER_CLOSES_MS = StoppingServer.EARLIEST_STOP_MS - 2 * 60 - 500; // after the notice
 
--- a/tool/src/test/java/tallyweir/tool/LostReportsTest.java
+++ b/tool/src/test/java/tallyweir/tool/LostReportsTest.java
@@ -14,7 +14,7 @@
 import tallyweir.stand.FailingCalls;
 import tallyweir.stand.FailingCalls.Call;
 import tallyweir.stand.FailingCalls.Errno;
-import tallyweir.stand.StandKernel;
+import tallyweir.stand.StandInKernel;
 
 /** Reports to the announce service go on, whatever system calls fail. */
 class LostReportsTest {
@@ -30,7 +30,7 @@
     @Timeout(60)
     void connectIsInterruptedForTheFirstReport() throws Exception {
         FailingCalls calls = FailingCalls.create(directory);
-        try (StandKernel kernel = new StandKernel(null, CORES, 1);
+        try (StandInKernel kernel = new StandInKernel(null, CORES, 1);
                 DatagramSocket announce = new DatagramSocket(0, InetAddress.getLoopbackAddress());
                 Program program = new Program(directory, false, List.of())) {
             String config = Program.config(kernel.port(), 1, CORES, WINDOW_US, 256, 2_000);
--- a/tool/src/test/java/tallyweir/tool/MainTest.java
+++ b/tool/src/test/java/tallyweir/tool/MainTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import tallyweir.durable.Batch;
-import tallyweir.durable.Both;
+import tallyweir.durable.CopyExecutor;
 import tallyweir.durable.Durable;
 import tallyweir.durable.FileDisk;
 import tallyweir.durable.FileStore;
@@ -41,7 +41,7 @@
         try (Durable d = new Durable(
                 new FileDisk(dir.resolve("first")),
                 new FileDisk(dir.resolve("second")),
-                Both.SEQUENTIAL,
+                CopyExecutor.SEQUENTIAL,
                 64 << 10,
                 4_096,
                 0.5,
--- a/tool/src/test/java/tallyweir/tool/RouteWatcher.java
+++ b/tool/src/test/java/tallyweir/tool/RouteWatcher.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import tallyweir.stand.StandSidecar;
+import tallyweir.stand.StandInSidecar;
 
 /**
  * Asks a server for its workloads in turn, one query after the other, and notes which store each query's call reached. Where
@@ -35,7 +35,7 @@
     private void run() {
         for (int turn = 0; !stop; turn++) {
             String workload = FleetStage.WORKLOADS.get(turn % FleetStage.WORKLOADS.size());
-            try (StandSidecar sidecar = new StandSidecar(server.port())) {
+            try (StandInSidecar sidecar = new StandInSidecar(server.port())) {
                 ask(sidecar, workload);
             } catch (IOException e) {
                 pause(); // it does not listen at the moment
@@ -43,7 +43,7 @@
         }
     }
 
-    private void ask(StandSidecar sidecar, String workload) {
+    private void ask(StandInSidecar sidecar, String workload) {
         String job = stage.job();
         int status = FleetStage.ask(sidecar, job, FleetStage.FREE, workload, ANSWER_MS)
                 .status();
--- a/tool/src/test/java/tallyweir/tool/StoppingServer.java
+++ b/tool/src/test/java/tallyweir/tool/StoppingServer.java
@@ -11,11 +11,11 @@
 import tallyweir.stand.FailingCalls;
 import tallyweir.stand.LoadSettings;
 import tallyweir.stand.PipelinedCaller;
-import tallyweir.stand.RequestFate;
+import tallyweir.stand.RequestOutcome;
 import tallyweir.stand.RequestLog;
 import tallyweir.stand.SilentClient;
-import tallyweir.stand.StandKernel;
-import tallyweir.stand.SteadyCaller;
+import tallyweir.stand.StandInKernel;
+import tallyweir.stand.SequentialCaller;
 
 /** One server in a process of its own whose system calls may fail, under callers that go on until it is killed. */
 final class StoppingServer implements AutoCloseable {
@@ -28,7 +28,7 @@
     private static final LoadSettings READS = new LoadSettings("look", false, PATIENCE_MS);
 
     private final Path directory;
-    private final StandKernel kernel;
+    private final StandInKernel kernel;
     private final Program program;
     private final FailingCalls calls;
     private final RequestLog log;
@@ -41,7 +41,7 @@
         this.directory = directory;
         this.stopMs = stopMs;
         log = new RequestLog(seed);
-        kernel = new StandKernel(null, CORES, seed, chance -> chance.nextInt(1, 40) * 1_000);
+        kernel = new StandInKernel(null, CORES, seed, chance -> chance.nextInt(1, 40) * 1_000);
         calls = FailingCalls.create(directory);
         Files.writeString(
                 directory.resolve("config.json"),
@@ -60,12 +60,12 @@
     }
 
     private InetSocketAddress address() {
-        return SteadyCaller.loopback(program.port());
+        return SequentialCaller.loopback(program.port());
     }
 
-    void callers(int number, SteadyCaller.Profile manner) {
+    void callers(int number, SequentialCaller.Profile manner) {
         for (int i = 0; i < number; i++) {
-            callers.add(new SteadyCaller(address(), manner, READS, log));
+            callers.add(new SequentialCaller(address(), manner, READS, log));
         }
     }
 
@@ -106,7 +106,7 @@
     }
 
     /** What callers were owed and did not get. */
-    List<RequestFate> lost() {
+    List<RequestOutcome> lost() {
         return log.lost(killed);
     }
 
--- a/tool/src/test/java/tallyweir/tool/soak/SoakCommandTest.java
+++ b/tool/src/test/java/tallyweir/tool/soak/SoakCommandTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import tallyweir.stand.RequestFate;
+import tallyweir.stand.RequestOutcome;
 import tallyweir.tool.Main;
 
 /** The soak on fixed seeds, and that its judge bites. */
@@ -51,7 +51,7 @@
 
     @Test
     void aLossALateAnswerASecondRunAndARunAfterTheGraceEachFailIt() {
-        RequestFate fate = new RequestFate("a", "test", 0, 1, 2, RequestFate.End.UNANSWERED, 0, false);
+        RequestOutcome fate = new RequestOutcome("a", "test", 0, 1, 2, RequestOutcome.End.UNANSWERED, 0, false);
         assertTrue(verdict(List.of(), 0, List.of(), 0).holds());
         assertFalse(verdict(List.of(fate), 0, List.of(), 0).holds());
         assertFalse(verdict(List.of(), 1, List.of(), 0).holds());
@@ -60,7 +60,7 @@
         assertFalse(new SoakVerdict(9, 9, 0, 0, 5, 1, List.of(), 0, List.of(), 0).holds(), "no drain: it is void");
     }
 
-    private static SoakVerdict verdict(List<RequestFate> lost, long twice, List<RequestFate> late, long afterGrace) {
+    private static SoakVerdict verdict(List<RequestOutcome> lost, long twice, List<RequestOutcome> late, long afterGrace) {
         return new SoakVerdict(9, 9, 0, 1, 5, 1, lost, twice, late, afterGrace);
     }
 
