--- a/consensus/src/main/java/tallyweir/fleet/ratis/RatisFleetClient.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/RatisFleetClient.java
@@ -201,7 +201,8 @@
 
     /** Returns the values of entries in the revision in force; a key without an entry has no value. */
     public EntryValues values(List<Key> keys) {
-        ReadResponse.Values response = request(new ReadRequest.Values(new ArrayList<>(keys)), ReadResponse.Values.class);
+        ReadResponse.Values response =
+                request(new ReadRequest.Values(new ArrayList<>(keys)), ReadResponse.Values.class);
         Map<Key, Value> values = new LinkedHashMap<>();
         response.entries().forEach(entry -> values.put(entry.key(), entry.value()));
         return new EntryValues(response.revision(), values);
--- a/consensus/src/main/java/tallyweir/fleet/ratis/SnapshotStore.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/SnapshotStore.java
@@ -61,7 +61,9 @@
             } catch (SnapshotDamagedException e) {
                 LOG.atError().setCause(e).addKeyValue("file", file).log("snapshot is damaged; trying the previous one");
                 Files.move(
-                        file, file.resolveSibling(DAMAGED_PREFIX + file.getFileName()), StandardCopyOption.REPLACE_EXISTING);
+                        file,
+                        file.resolveSibling(DAMAGED_PREFIX + file.getFileName()),
+                        StandardCopyOption.REPLACE_EXISTING);
             }
         }
         if (!newestFirst.isEmpty()) {
--- a/consensus/src/main/java/tallyweir/fleet/ratis/TableFetch.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/TableFetch.java
@@ -141,7 +141,8 @@
         return ((ReadRequest.Chunk) request).root().value();
     }
 
-    private static <T extends ReadResponse> T requireType(Class<T> type, ReadResponse response) throws MalformedMessageException {
+    private static <T extends ReadResponse> T requireType(Class<T> type, ReadResponse response)
+            throws MalformedMessageException {
         if (!type.isInstance(response)) {
             throw new MalformedMessageException(
                     response.getClass().getSimpleName() + " is not a response to this request");
--- a/consensus/src/main/java/tallyweir/fleet/ratis/Voter.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/Voter.java
@@ -32,7 +32,8 @@
 /** One of the servers that replicate the log: a Ratis server with the replicated state, and the thread with the leader's periodic work. */
 public final class Voter implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Voter.class);
-    private static final long MIN_ELECTION_TIMEOUT_MS = 300; // an election starts after one to two times this without a heartbeat
+    private static final long MIN_ELECTION_TIMEOUT_MS =
+            300; // an election starts after one to two times this without a heartbeat
     private static final long SNAPSHOT_INTERVAL_ENTRIES = 20_000; // entries
     private static final int RETAINED_SNAPSHOTS = 2;
     private static final int POLL_INTERVAL_MS = 10;
@@ -66,7 +67,8 @@
         machine = new FleetStateMachine(clock, wall);
         RaftProperties properties = new RaftProperties();
         RaftServerConfigKeys.setStorageDir(properties, List.of(dir.toFile()));
-        RaftServerConfigKeys.Rpc.setTimeoutMin(properties, TimeDuration.valueOf(MIN_ELECTION_TIMEOUT_MS, TimeUnit.MILLISECONDS));
+        RaftServerConfigKeys.Rpc.setTimeoutMin(
+                properties, TimeDuration.valueOf(MIN_ELECTION_TIMEOUT_MS, TimeUnit.MILLISECONDS));
         RaftServerConfigKeys.Rpc.setTimeoutMax(
                 properties, TimeDuration.valueOf(2 * MIN_ELECTION_TIMEOUT_MS, TimeUnit.MILLISECONDS));
         RaftServerConfigKeys.Rpc.setFirstElectionTimeoutMin(
--- a/consensus/src/main/java/tallyweir/fleet/ratis/VoterGroup.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/VoterGroup.java
@@ -48,7 +48,8 @@
         RetryPolicy retries = ExponentialBackoffRetry.newBuilder()
                 .setBaseSleepTime(milliseconds(MIN_RETRY_DELAY_MS))
                 .setMaxSleepTime(milliseconds(MAX_RETRY_DELAY_MS))
-                .setMaxAttempts((int) Math.max(REQUESTS_PER_TIMEOUT, timeoutMs / MAX_RETRY_DELAY_MS + REQUESTS_PER_TIMEOUT))
+                .setMaxAttempts(
+                        (int) Math.max(REQUESTS_PER_TIMEOUT, timeoutMs / MAX_RETRY_DELAY_MS + REQUESTS_PER_TIMEOUT))
                 .build();
         return client(fleet, voters, timeoutMs, retries);
     }
--- a/consensus/src/test/java/tallyweir/fleet/ratis/FleetClientsTest.java
+++ b/consensus/src/test/java/tallyweir/fleet/ratis/FleetClientsTest.java
@@ -54,7 +54,8 @@
             Command join = new Command.Join("one", SERVER, "127.0.0.1:1", 1);
             await().atMost(VoterCluster.TIMEOUT).until(() -> send(client, join).orElse(null) instanceof Answer.Joined);
             List<Change> changes = VoterCluster.caps(3, -1, 1);
-            Command publish = new Command.Publish(new OperatorCommandId("c"), RevisionId.NONE, changes, "ann", "", false);
+            Command publish =
+                    new Command.Publish(new OperatorCommandId("c"), RevisionId.NONE, changes, "ann", "", false);
             assertEquals(Optional.of(new Answer.Done(new RevisionId(1))), send(client, publish));
             Table table = Table.EMPTY.apply(changes);
             CompletableFuture<Object> fetched = new CompletableFuture<>();
--- a/consensus/src/test/java/tallyweir/fleet/ratis/VoterCluster.java
+++ b/consensus/src/test/java/tallyweir/fleet/ratis/VoterCluster.java
@@ -124,7 +124,8 @@
     }
 
     /** Reports that the server acts on a revision, and that it can adopt the one it has checked. */
-    Answer.ReportAccepted report(Incarnation as, long number, RevisionRoot acting, long checked, Map<TenantId, Need> needs)
+    Answer.ReportAccepted report(
+            Incarnation as, long number, RevisionRoot acting, long checked, Map<TenantId, Need> needs)
             throws Exception {
         Command report = new Command.Report(
                 SERVER, as, number, acting.id(), acting.root(), 0, new RevisionId(checked), "", 0, 0, needs);
--- a/consensus/src/test/java/tallyweir/fleet/ratis/VotersTest.java
+++ b/consensus/src/test/java/tallyweir/fleet/ratis/VotersTest.java
@@ -151,7 +151,8 @@
                     new OperatorCommandId("c"), RevisionId.NONE, new RevisionId(1), "ann", "", false);
             assertEquals(
                     "c",
-                    refused(Fault.OutcomeUnknown.class, withoutMajority.request(rollback)).command());
+                    refused(Fault.OutcomeUnknown.class, withoutMajority.request(rollback))
+                            .command());
         }
         cluster.startVoter("v1");
         assertEquals(RevisionId.NONE, cluster.client().audit().inForce());
--- a/core/src/main/java/tallyweir/Choice.java
+++ b/core/src/main/java/tallyweir/Choice.java
@@ -171,17 +171,26 @@
         rules.add(() -> incoming != null && isTooLateToAnswer(incoming), () -> deferIncoming(maxRetryAfter, true));
         rules.add(() -> incoming != null && onLastConnection, () -> deferIncoming(adviseRetryAfter(), false));
         rules.add(
-                () -> incoming != null && incoming.leader == null && (incomingDraw < refusalProbability(incoming) || wouldBeLate(incoming)),
+                () -> incoming != null
+                        && incoming.leader == null
+                        && (incomingDraw < refusalProbability(incoming) || wouldBeLate(incoming)),
                 () -> deferIncoming(adviseRetryAfter(), isFinalRefusal(incoming)));
-        rules.add(() -> incoming != null && !fitsMemoryToAdmit(incoming), () -> deferIncoming(adviseRetryAfter(), false));
+        rules.add(
+                () -> incoming != null && !fitsMemoryToAdmit(incoming), () -> deferIncoming(adviseRetryAfter(), false));
         rules.add(() -> incoming != null && incoming.leader != null, this::followLeader);
         rules.add(() -> incoming != null, () -> admitIncoming(HELD));
         rules.add(() -> !replayQueue.isEmpty(), this::replayNext);
         rules.add(this::isNextCallHopeless, this::giveUpNextCall);
         rules.add(this::fitsNextCall, this::startNextCall);
-        rules.add(() -> !waitingQueue.isEmpty() && canNoLongerBeInTime(waitingQueue.peek()), () -> giveUp(waitingQueue.peek()));
-        rules.add(() -> !waitingQueue.isEmpty() && hasFreeCore() && fitsMemoryToRun(waitingQueue.peek()), this::startNext);
-        rules.add(() -> !waitingQueue.isEmpty() && maySuspend() && suspensionCandidate() != null, () -> suspend(suspensionCandidate()));
+        rules.add(
+                () -> !waitingQueue.isEmpty() && canNoLongerBeInTime(waitingQueue.peek()),
+                () -> giveUp(waitingQueue.peek()));
+        rules.add(
+                () -> !waitingQueue.isEmpty() && hasFreeCore() && fitsMemoryToRun(waitingQueue.peek()),
+                this::startNext);
+        rules.add(
+                () -> !waitingQueue.isEmpty() && maySuspend() && suspensionCandidate() != null,
+                () -> suspend(suspensionCandidate()));
         rules.add(() -> gaugesPending, this::evaluateGauges);
         rules.add(() -> !deadlines.isEmpty() && deadlines.peek().dueAt() < deadlineTimerAt, this::setDeadlineTimer);
     }
@@ -219,7 +228,9 @@
 
     /** Concurrent runs that the server survives now. A cold server is taken to warm up linearly, the worst case. */
     private double survivableConcurrency() {
-        double warm = coldDuration <= 0 ? 1 : coldStartShare + (1 - coldStartShare) * Math.min(1, (now - startedAt) / (double) coldDuration);
+        double warm = coldDuration <= 0
+                ? 1
+                : coldStartShare + (1 - coldStartShare) * Math.min(1, (now - startedAt) / (double) coldDuration);
         return cores * (1 + (collapseMultiple - 1) * warm);
     }
 
@@ -241,7 +252,8 @@
      * @param linger time for which an abandoned call still occupies the store
      */
     public void configureCalls(double maxCallsInFlight, long shareWindow, long linger) {
-        callBudget = new CallBudget(shareWindow, SECOND_TENTHS_MS, MEASUREMENT_WINDOW_TENTHS_MS, WINDOW_BUCKETS, linger);
+        callBudget =
+                new CallBudget(shareWindow, SECOND_TENTHS_MS, MEASUREMENT_WINDOW_TENTHS_MS, WINDOW_BUCKETS, linger);
         callShare = maxCallsInFlight <= 0 ? Double.MAX_VALUE : maxCallsInFlight;
         callLimit = callShare;
         callWindow = shareWindow;
@@ -279,7 +291,11 @@
 
     /** Adds a tenant whose quota is divided evenly among this many servers. */
     public void addTenant(TenantId id, double quotaPerSecond, int servers) {
-        tenants.put(id, new Tenant(quotaPerSecond / Math.max(1, servers), new SlidingWindow(MEASUREMENT_WINDOW_TENTHS_MS, WINDOW_BUCKETS)));
+        tenants.put(
+                id,
+                new Tenant(
+                        quotaPerSecond / Math.max(1, servers),
+                        new SlidingWindow(MEASUREMENT_WINDOW_TENTHS_MS, WINDOW_BUCKETS)));
     }
 
     /**
@@ -419,7 +435,10 @@
             end(q);
         } else {
             boolean wasAnswered = q.answered;
-            boolean suspended = cancellation == CancellationMode.SUSPEND && outcome == Outcome.RECALLED && !wasAnswered && q.isHarmless();
+            boolean suspended = cancellation == CancellationMode.SUSPEND
+                    && outcome == Outcome.RECALLED
+                    && !wasAnswered
+                    && q.isHarmless();
             endRun(q, outcome, suspended);
             if (suspended) {
                 nextSuspendAt = now;
@@ -460,7 +479,9 @@
         // A call that timed out had too little time reserved, if calls have become longer than the reservation.
         callReservation = outcome == Outcome.OVERDUE
                 ? Math.min(callTimeShare, 2 * callReservation)
-                : outcome == Outcome.COMPLETED ? Math.max(callTimeShare * INITIAL_RESERVATION_SHARE, callReservation * CALL_LIMIT_DECAY) : callReservation;
+                : outcome == Outcome.COMPLETED
+                        ? Math.max(callTimeShare * INITIAL_RESERVATION_SHARE, callReservation * CALL_LIMIT_DECAY)
+                        : callReservation;
         if (outcome == Outcome.COMPLETED) { // a lost reply does not mean that the store is slow
             callBudget.recentDurations.add(now, duration);
             callBudget.usualDurations.add(now, duration);
@@ -546,12 +567,14 @@
         // more retries.
         double load = Math.min(1, Math.max(readingCost(), runQueue / cores));
         double penalty = Math.max(surplus, q.retry ? RETRY_PENALTY_BANDS * excessRetryShare() * load : 0);
-        return bandRefusalProbability(revenues.headSet(q.workload.revenue).size() - penalty, wait, q.workload.callsStore);
+        return bandRefusalProbability(
+                revenues.headSet(q.workload.revenue).size() - penalty, wait, q.workload.callsStore);
     }
 
     /** The part of a tenant's queries read here that exceeds this server's part of its share by more than chance. */
     private double surplusShare(Tenant tenant) {
-        double share = tenant.quotaPerSecond() * MEASUREMENT_WINDOW_TENTHS_MS / SECOND_TENTHS_MS * TENANT_SHARE_TOLERANCE;
+        double share =
+                tenant.quotaPerSecond() * MEASUREMENT_WINDOW_TENTHS_MS / SECOND_TENTHS_MS * TENANT_SHARE_TOLERANCE;
         double maxByChance = share + CHANCE_DEVIATIONS * Math.sqrt(share);
         return Math.max(0, 1 - maxByChance / Math.max(1, tenant.reads().count(now)));
     }
@@ -565,7 +588,8 @@
         double ended = lateRuns.count(now) + (callsStore ? lateCallingRuns.count(now) : 0);
         double lateShare = (lateRuns.sum(now) + (callsStore ? lateCallingRuns.sum(now) : 0)) / Math.max(ended, cores);
         return Math.max(
-                ramp(wait, WAIT_SHARE_REFUSE_FROM, WAIT_SHARE_REFUSE_ALL, band), Math.max(busy, ramp(lateShare, LATE_SHARE_REFUSE_FROM, LATE_SHARE_REFUSE_ALL, band)));
+                ramp(wait, WAIT_SHARE_REFUSE_FROM, WAIT_SHARE_REFUSE_ALL, band),
+                Math.max(busy, ramp(lateShare, LATE_SHARE_REFUSE_FROM, LATE_SHARE_REFUSE_ALL, band)));
     }
 
     /** Rises linearly from 0 to 1 over the band's part of the range between the two bounds. */
@@ -580,12 +604,15 @@
      * retries. The advice does harm if only this server is overloaded.
      */
     private boolean isFinalRefusal(Query q) {
-        return q.retry || excessRetryShare() > 0 || refusals.count(now) > MAX_USUAL_REFUSAL_SHARE * Math.max(cores, readsAndRetries.count(now));
+        return q.retry
+                || excessRetryShare() > 0
+                || refusals.count(now) > MAX_USUAL_REFUSAL_SHARE * Math.max(cores, readsAndRetries.count(now));
     }
 
     /** By how much the share of retries exceeds what the trouble of one server alone explains. */
     private double excessRetryShare() {
-        return Math.max(0, readsAndRetries.sum(now) / Math.max(cores, readsAndRetries.count(now)) - MAX_USUAL_RETRY_SHARE);
+        return Math.max(
+                0, readsAndRetries.sum(now) / Math.max(cores, readsAndRetries.count(now)) - MAX_USUAL_RETRY_SHARE);
     }
 
     /**
@@ -606,7 +633,8 @@
         if (callBudget.usualDurations.count(now) > WINDOW_BUCKETS) {
             usualCallDuration = Math.min(usualCallDuration, callBudget.usualDurations.mean(now));
         }
-        double recent = callBudget.recentDurations.sum(now) / Math.max(MIN_CALLS_FOR_MEAN, callBudget.recentDurations.count(now));
+        double recent = callBudget.recentDurations.sum(now)
+                / Math.max(MIN_CALLS_FOR_MEAN, callBudget.recentDurations.count(now));
         // An overloaded store gets less done, so fewer calls are sent while they take far longer than usual. This
         // also covers a store that is slow for other reasons; it does harm if calls have become longer for good. A
         // share that is used up is taken as a sign of slowness too, since calls may have been slow from the start.
@@ -674,11 +702,14 @@
     }
 
     private boolean fitsMemoryToRun(Query q) {
-        return q.suspended || memoryUse.usedKb(now) + q.sizeKb * (memoryUse.runMemoryFactor - 1) <= memoryUse.limitKb * MAX_MEMORY_SHARE_TO_RUN;
+        return q.suspended
+                || memoryUse.usedKb(now) + q.sizeKb * (memoryUse.runMemoryFactor - 1)
+                        <= memoryUse.limitKb * MAX_MEMORY_SHARE_TO_RUN;
     }
 
     private boolean hasFreeCore() {
-        return concurrency.running < runLimit && concurrency.started + 1 <= survivableConcurrency() * MAX_CONCURRENCY_SHARE;
+        return concurrency.running < runLimit
+                && concurrency.started + 1 <= survivableConcurrency() * MAX_CONCURRENCY_SHARE;
     }
 
     /** A repeat is answered from the query that it repeats, at once or as soon as that query starts. */
@@ -754,7 +785,8 @@
         for (Workload w : workloads.values()) {
             active += w.revenue >= revenue ? w.startedRuns : 0;
         }
-        boolean startsAtOnce = cancellation == CancellationMode.SUSPEND && ahead + active <= runLimit; // the others can be suspended
+        boolean startsAtOnce =
+                cancellation == CancellationMode.SUSPEND && ahead + active <= runLimit; // the others can be suspended
         return startsAtOnce ? 0 : (long) (ahead * meanRunDuration() / Math.max(concurrency.running, runLimit));
     }
 
@@ -764,7 +796,8 @@
      */
     private boolean wouldBeLate(Query q) {
         long wait = estimateWait(q.workload.revenue);
-        return now >= q.fullRevenueUntil || (wait > 0 || q.workload.startedRuns > 0) && now + wait + estimateRunTime(q) > q.fullRevenueUntil;
+        return now >= q.fullRevenueUntil
+                || (wait > 0 || q.workload.startedRuns > 0) && now + wait + estimateRunTime(q) > q.fullRevenueUntil;
     }
 
     private boolean canNoLongerBeInTime(Query q) {
@@ -788,7 +821,8 @@
             return;
         }
         boolean finalDeadline = q.answerDeadline <= now;
-        boolean canCancel = q.state == BLOCKED_ON_CALL || q.isHarmless() && (q.state != RUNNING || cancellation != CancellationMode.OFF);
+        boolean canCancel = q.state == BLOCKED_ON_CALL
+                || q.isHarmless() && (q.state != RUNNING || cancellation != CancellationMode.OFF);
         if (finalDeadline || canCancel || !q.hasRun) {
             giveUp(q);
         } else {
@@ -892,7 +926,10 @@
     }
 
     private boolean maySuspend() {
-        return cancellation == CancellationMode.SUSPEND && now >= nextSuspendAt && !hasFreeCore() && fitsMemoryToRun(waitingQueue.peek());
+        return cancellation == CancellationMode.SUSPEND
+                && now >= nextSuspendAt
+                && !hasFreeCore()
+                && fitsMemoryToRun(waitingQueue.peek());
     }
 
     /** The latest run of the lowest revenue, if below that of the first waiting query; else null. */
@@ -937,7 +974,8 @@
             q.workload.predictedRunTimes.add(now, q.predictedRunTime);
         }
         if (outcome != Outcome.SUPERSEDED) {
-            (q.wasBlocked ? lateCallingRuns : lateRuns).add(now, failed || now - q.arrivedAt > q.workload.expectedTime ? 1 : 0);
+            (q.wasBlocked ? lateCallingRuns : lateRuns)
+                    .add(now, failed || now - q.arrivedAt > q.workload.expectedTime ? 1 : 0);
         }
     }
 
@@ -971,7 +1009,8 @@
                 && (q.state != BLOCKED_ON_CALL
                         || q.answered
                         || q.callAttempts >= MAX_CALL_ATTEMPTS
-                        || q.workload.degradedValue > 0 && (q.callAttempts > 0 || callLimit < callShare && !fitsNextCall()));
+                        || q.workload.degradedValue > 0
+                                && (q.callAttempts > 0 || callLimit < callShare && !fitsNextCall()));
     }
 
     private void giveUpNextCall() {
@@ -1025,7 +1064,8 @@
     private boolean fitsNextCall() {
         return !callQueue.isEmpty()
                 && callBudget.inFlight < Math.max(1, callLimit)
-                && Math.min(callTimeout(callQueue.peek()), callTimeShare * callTimeFactor() * INITIAL_RESERVATION_SHARE) <= availableCallTime();
+                && Math.min(callTimeout(callQueue.peek()), callTimeShare * callTimeFactor() * INITIAL_RESERVATION_SHARE)
+                        <= availableCallTime();
     }
 
     /**
--- a/core/src/main/java/tallyweir/ring/SlidingWindow.java
+++ b/core/src/main/java/tallyweir/ring/SlidingWindow.java
@@ -37,7 +37,9 @@
     public long countSince(long now, long from) {
         advance(now);
         long total = 0;
-        for (long b = Math.max(Math.max(0, from / bucketWidth), currentBucket - counts.length + 1); b <= currentBucket; b++) {
+        for (long b = Math.max(Math.max(0, from / bucketWidth), currentBucket - counts.length + 1);
+                b <= currentBucket;
+                b++) {
             total += counts[(int) (b % counts.length)];
         }
         return total;
--- a/core/src/test/java/tallyweir/ColdFleetTest.java
+++ b/core/src/test/java/tallyweir/ColdFleetTest.java
@@ -70,7 +70,8 @@
             startedAt = cold ? now : now - 600_000;
             choice = new Choice(this, random.nextLong(), startedAt);
             choice.setTime(now);
-            choice.configureMachine(CORES, COLLAPSE_MULTIPLE, cold, COLD_START_SHARE, COLD_DURATION_TENTHS_MS, CancellationMode.ABORT);
+            choice.configureMachine(
+                    CORES, COLLAPSE_MULTIPLE, cold, COLD_START_SHARE, COLD_DURATION_TENTHS_MS, CancellationMode.ABORT);
             choice.configureMemory(1e6, 4, 30);
             choice.configureCalls(maxCallsInFlight, WINDOW_TENTHS_MS, LINGER_TENTHS_MS);
             choice.addWorkload(CALLS, Effect.HARMLESS, 18_000, 46_000, 1, 0, 0, true, 0);
@@ -84,7 +85,14 @@
             return CORES
                     * (1
                             + (COLLAPSE_MULTIPLE - 1)
-                                    * (cold ? Math.min(1, COLD_START_SHARE + (1 - COLD_START_SHARE) * (now - startedAt) / COLD_DURATION_TENTHS_MS) : 1));
+                                    * (cold
+                                            ? Math.min(
+                                                    1,
+                                                    COLD_START_SHARE
+                                                            + (1 - COLD_START_SHARE)
+                                                                    * (now - startedAt)
+                                                                    / COLD_DURATION_TENTHS_MS)
+                                            : 1));
         }
 
         @Override
@@ -134,7 +142,19 @@
             now = time;
             choice.setTime(now);
             for (double i = random.nextDouble(); i < load; i++) {
-                choice.onQueryRead(new QueryId(++lastQueryId), null, new CallerId(1), null, CALLS, 1, 0, 0.5, 20_000, false, null, 0);
+                choice.onQueryRead(
+                        new QueryId(++lastQueryId),
+                        null,
+                        new CallerId(1),
+                        null,
+                        CALLS,
+                        1,
+                        0,
+                        0.5,
+                        20_000,
+                        false,
+                        null,
+                        0);
             }
             for (QueryId q : List.copyOf(onCores.keySet())) {
                 if (onCores.get(q) <= now) {
--- a/core/src/test/java/tallyweir/FailuresTest.java
+++ b/core/src/test/java/tallyweir/FailuresTest.java
@@ -58,7 +58,8 @@
         ModelQuery q = model.read(0, 0, 40_000, 10, false, null);
         model.pass(18_050, 0.2, 1);
         assertTrue(q.answered);
-        assertEquals(List.of("defer " + q.id, "cancel " + q.id), model.log.subList(model.log.size() - 2, model.log.size()));
+        assertEquals(
+                List.of("defer " + q.id, "cancel " + q.id), model.log.subList(model.log.size() - 2, model.log.size()));
     }
 
     @Test
@@ -222,7 +223,10 @@
         IdleTimeoutChooser timeouts = new IdleTimeoutChooser(0, spans, 4_000, 12);
         readFromManyCallers(timeouts, 1_000, 0);
         readFromManyCallers(timeouts, 3_000, 10_000);
-        assertEquals(1_002, timeouts.rememberedCallers(), "the callers within the longest timeout, and the one that returns");
+        assertEquals(
+                1_002,
+                timeouts.rememberedCallers(),
+                "the callers within the longest timeout, and the one that returns");
         assertEquals(200, timeouts.bestTimeout(13_000), "decided by the caller that returns after 100");
     }
 
@@ -350,7 +354,8 @@
         for (int i = 0; i < 30; i++) {
             ModelQuery q = reads(1, 0).get(0);
             model.blockOnCall(q);
-            assertTrue(q.callDeadline - model.now < 5_000, "limited by its part of the share, not by half the time left");
+            assertTrue(
+                    q.callDeadline - model.now < 5_000, "limited by its part of the share, not by half the time left");
             model.pass(200, 0.1, 1);
             model.callEnded(q, Outcome.COMPLETED, i < 20 ? 100 : 400);
             model.runEnded(q, Outcome.COMPLETED);
@@ -373,7 +378,8 @@
         all.forEach(model::blockOnCall);
         model.pass(2_100, 0.1, 1);
         assertTrue(
-                model.log.contains("degrade " + all.get(1).id) && model.log.contains("degrade " + all.get(2).id), "" + model.log);
+                model.log.contains("degrade " + all.get(1).id) && model.log.contains("degrade " + all.get(2).id),
+                "" + model.log);
     }
 
     /** Reading a query during a run can fill a few cores by chance, which caused refusals of the lowest revenue. */
@@ -397,7 +403,9 @@
         for (int i = 0; i < 60; i++) {
             ModelQuery top = model.read(3, 0, 4_500, 10, false, null);
             assertEquals(
-                    "cancel " + last.id, model.log.get(model.log.size() - 1), "a run of 4,000 is in time only without a wait");
+                    "cancel " + last.id,
+                    model.log.get(model.log.size() - 1),
+                    "a run of 4,000 is in time only without a wait");
             model.runEnded(last, Outcome.RECALLED);
             assertEquals(
                     List.of("running", "held"), List.of(top.state, last.state), "memory is released, repetition " + i);
--- a/core/src/test/java/tallyweir/Model.java
+++ b/core/src/test/java/tallyweir/Model.java
@@ -70,13 +70,20 @@
     boolean lastFinalRefusal;
     long caller = 1;
 
-    Model(long seed, boolean cold, CancellationMode cancellation, LoadAdvice loadAdvice, double maxCallsInFlight, long resultShareDuration) {
+    Model(
+            long seed,
+            boolean cold,
+            CancellationMode cancellation,
+            LoadAdvice loadAdvice,
+            double maxCallsInFlight,
+            long resultShareDuration) {
         this.cold = cold;
         this.cancellation = cancellation;
         this.loadAdvice = loadAdvice;
         this.maxCallsInFlight = maxCallsInFlight;
         choice = new Choice(this, seed, now);
-        choice.configureMachine(CORES, COLLAPSE_MULTIPLE, cold, COLD_START_SHARE, COLD_DURATION_TENTHS_MS, cancellation);
+        choice.configureMachine(
+                CORES, COLLAPSE_MULTIPLE, cold, COLD_START_SHARE, COLD_DURATION_TENTHS_MS, cancellation);
         choice.configureMemory(LIMIT_KB, RUN_MEMORY_FACTOR, ENTRY_KB);
         choice.configureCalls(maxCallsInFlight, CALL_WINDOW_TENTHS_MS, LINGER_TENTHS_MS);
         Effect[] effects = {Effect.HARMLESS, Effect.STAMPED, Effect.ONE_SHOT, Effect.HARMLESS};
@@ -216,13 +223,22 @@
         int running = 0;
         for (ModelQuery q : queries.values()) {
             boolean started = List.of("running", "blocked", "calling").contains(q.state);
-            usedKb += started || q.suspended && q.state.equals("held") ? q.sizeKb * RUN_MEMORY_FACTOR : q.state.equals("over") ? 0 : q.sizeKb;
+            usedKb += started || q.suspended && q.state.equals("held")
+                    ? q.sizeKb * RUN_MEMORY_FACTOR
+                    : q.state.equals("over") ? 0 : q.sizeKb;
             running += q.state.equals("running") ? 1 : 0;
-            deny(!q.answered && !q.state.equals("over") && now > Math.min(q.deadline + ANSWER_SLACK_TENTHS_MS, stopDeadline), "unanswered " + q.id);
+            deny(
+                    !q.answered
+                            && !q.state.equals("over")
+                            && now > Math.min(q.deadline + ANSWER_SLACK_TENTHS_MS, stopDeadline),
+                    "unanswered " + q.id);
         }
         retainedUntil.values().removeIf(until -> until < now);
         deny(usedKb + retainedUntil.size() * ENTRY_KB > LIMIT_KB, "memory limit exceeded");
-        double warm = cold ? COLD_START_SHARE + (1 - COLD_START_SHARE) * Math.min(1, (now - startedAt) / (double) COLD_DURATION_TENTHS_MS) : 1;
+        double warm = cold
+                ? COLD_START_SHARE
+                        + (1 - COLD_START_SHARE) * Math.min(1, (now - startedAt) / (double) COLD_DURATION_TENTHS_MS)
+                : 1;
         deny(running > CORES * (1 + (COLLAPSE_MULTIPLE - 1) * warm), "too many concurrent runs");
         double callTime = 0;
         for (long[] c : calls) {
@@ -260,13 +276,18 @@
         deny(
                 q.workload.equals("stamp")
                         && queries.values().stream()
-                                .anyMatch(o ->
-                                        o != q && o.hasRun && original(o) == original(q) && q.arrivedAt <= o.arrivedAt + REPEAT_WINDOW_TENTHS_MS),
+                                .anyMatch(o -> o != q
+                                        && o.hasRun
+                                        && original(o) == original(q)
+                                        && q.arrivedAt <= o.arrivedAt + REPEAT_WINDOW_TENTHS_MS),
                 "second run within the repeat window " + q.id);
         deny(
-                q.workload.equals("stamp") && retainedUntil.getOrDefault(q.id, 0L) < q.arrivedAt + REPEAT_WINDOW_TENTHS_MS,
+                q.workload.equals("stamp")
+                        && retainedUntil.getOrDefault(q.id, 0L) < q.arrivedAt + REPEAT_WINDOW_TENTHS_MS,
                 "run of a stamped query that is not retained for its window " + q.id);
-        deny(drainStartedAt >= 0 && q.arrivedAt > drainStartedAt + DRAIN_GRACE_TENTHS_MS, "run after the drain grace " + q.id);
+        deny(
+                drainStartedAt >= 0 && q.arrivedAt > drainStartedAt + DRAIN_GRACE_TENTHS_MS,
+                "run after the drain grace " + q.id);
         q.state = "running";
         q.hasRun = true;
     }
--- a/core/src/test/java/tallyweir/RulesTest.java
+++ b/core/src/test/java/tallyweir/RulesTest.java
@@ -54,7 +54,8 @@
         }
         if (s.kind < 35) {
             ModelQuery earlier = s.index % 3 == 0 ? repeatable(m, s.index) : null;
-            int workload = earlier == null ? s.index % 4 : List.of(Model.WORKLOADS).indexOf(earlier.workload);
+            int workload =
+                    earlier == null ? s.index % 4 : List.of(Model.WORKLOADS).indexOf(earlier.workload);
             m.read(workload, s.duration, s.index % 5 == 0 ? 0 : s.duration * 12 + 1, s.size, s.index % 7 == 0, earlier);
         } else if (s.kind < 50) {
             pick(m.inState("running"), s)
@@ -64,7 +65,9 @@
         } else if (s.kind < 68) {
             pick(m.inState("calling"), s).ifPresent(q -> m.callEnded(q, Outcome.values()[s.index % 6]));
         } else if (s.kind < 72) {
-            pick(m.inState("blocked", "calling"), s).filter(q -> q.answered).ifPresent(q -> m.runEnded(q, Outcome.RECALLED));
+            pick(m.inState("blocked", "calling"), s)
+                    .filter(q -> q.answered)
+                    .ifPresent(q -> m.runEnded(q, Outcome.RECALLED));
         } else if (s.kind < 75) {
             pick(m.inState("waiting for replay"), s).ifPresent(q -> m.runEnded(q, Outcome.COMPLETED));
         } else if (s.kind < 78) {
--- a/daemon/src/main/java/tallyweir/backend/Connections.java
+++ b/daemon/src/main/java/tallyweir/backend/Connections.java
@@ -12,9 +12,9 @@
 import tallyweir.Effect;
 import tallyweir.backend.Counters.Count;
 import tallyweir.config.Settings;
-import tallyweir.fastcgi.RequestFields;
 import tallyweir.fastcgi.FastCgiReader;
 import tallyweir.fastcgi.Records;
+import tallyweir.fastcgi.RequestFields;
 import tallyweir.ids.CallerId;
 import tallyweir.ids.ConnectionId;
 import tallyweir.ids.JobId;
@@ -35,8 +35,10 @@
     private static final long MAX_HALF_READ_TENTHS_MS =
             20_000; // a silent connection or incomplete request is ended within three seconds
     private static final int MAX_HALF_READ_REQUESTS = 1_024;
-    private static final long CLOSE_RETRY_INTERVAL_TENTHS_MS = 100; // pending input and output are handled before the close
-    private static final long FIRST_REQUEST_WINDOW_TENTHS_MS = 1_000; // 0.1 s, in which the first request may be on its way
+    private static final long CLOSE_RETRY_INTERVAL_TENTHS_MS =
+            100; // pending input and output are handled before the close
+    private static final long FIRST_REQUEST_WINDOW_TENTHS_MS =
+            1_000; // 0.1 s, in which the first request may be on its way
     private static final long MAX_DRAIN_TENTHS_MS = 10_000; // 1 s: a peer that heeds the half-close does so sooner
     private static final int DRAINING_DIVISOR = 8; // one in so many connections may be draining
     private static final byte[] EMPTY_BODY = {};
@@ -115,7 +117,8 @@
         }
         if (drainingConnections.size() > maxDraining()) {
             drainingConnections.peek().drop();
-        } else if (drainingConnections.isEmpty() && slots.all().stream().noneMatch(Connection::isOpenWithoutPendingAnswer)) {
+        } else if (drainingConnections.isEmpty()
+                && slots.all().stream().noneMatch(Connection::isOpenWithoutPendingAnswer)) {
             counters.add(Count.CONNECTIONS_WAITED);
         } else if (drainingConnections.isEmpty() && makeRoomRetry == null) {
             makeRoomRetry = deadlines.set(queries.now() + CLOSE_RETRY_INTERVAL_TENTHS_MS, this::retryMakeRoom);
@@ -294,7 +297,9 @@
         private boolean closesBefore(Connection other) {
             return receivedRequest != other.receivedRequest
                     ? !receivedRequest
-                    : (idleDeadline != null) != (other.idleDeadline != null) ? idleDeadline != null : idleStartedAt < other.idleStartedAt;
+                    : (idleDeadline != null) != (other.idleDeadline != null)
+                            ? idleDeadline != null
+                            : idleStartedAt < other.idleStartedAt;
         }
 
         private void setIdleDeadline(long timeout) {
@@ -320,7 +325,8 @@
         }
 
         private void onIdleDeadline() {
-            long remaining = receivedBytes && reader.betweenRecords() ? idleStartedAt + idleTimeout() - queries.now() : 0;
+            long remaining =
+                    receivedBytes && reader.betweenRecords() ? idleStartedAt + idleTimeout() - queries.now() : 0;
             if (remaining > 0) {
                 setIdleDeadline(remaining);
             } else if (!tryCloseIdle()) {
@@ -469,7 +475,10 @@
             String path = fields.string(RequestFields.PATH);
             if (CHECK_PATH.equals(path)) {
                 counters.add(Count.CHECKS);
-                write(id, Records.answer(id, healthy && !withdrawn && !queries.isDraining() ? 200 : 503, "", EMPTY_BODY), keep);
+                write(
+                        id,
+                        Records.answer(id, healthy && !withdrawn && !queries.isDraining() ? 200 : 503, "", EMPTY_BODY),
+                        keep);
             } else if (COUNTERS_PATH.equals(path)) {
                 byte[] text = counters.text().getBytes(UTF_8);
                 write(id, Records.answer(id, 200, "Content-Type: text/plain\r\n", text), keep);
@@ -503,7 +512,9 @@
                 job = new JobId(fields.string(fields.requirePresent(RequestFields.ID)));
                 tenant = !tenants.isEmpty() ? fields.string(fields.requirePresent(RequestFields.TENANT)) : null;
                 subject = fields.string(RequestFields.SUBJECT);
-                key = effect == Effect.STAMPED ? fields.string(fields.requirePresent(RequestFields.IDEMPOTENCY_KEY)) : subject;
+                key = effect == Effect.STAMPED
+                        ? fields.string(fields.requirePresent(RequestFields.IDEMPOTENCY_KEY))
+                        : subject;
                 size = fields.number(RequestFields.SIZE_KB);
                 rank = fields.number(RequestFields.RANK);
                 receivedAt = fields.integer(RequestFields.RECEIVED_AT) * 10;
--- a/daemon/src/main/java/tallyweir/backend/FleetMembership.java
+++ b/daemon/src/main/java/tallyweir/backend/FleetMembership.java
@@ -27,8 +27,10 @@
  */
 final class FleetMembership implements MemberActions {
     private static final Logger LOG = LoggerFactory.getLogger(FleetMembership.class);
-    private static final long URGENT_REPORT_DELAY_TENTHS_MS = 500; // a tenant that was turned away is reported within this time
-    private static final long BACK_OFF_TENTHS_MS = 2_500; // for callers turned away; leaves time for the answer to that report
+    private static final long URGENT_REPORT_DELAY_TENTHS_MS =
+            500; // a tenant that was turned away is reported within this time
+    private static final long BACK_OFF_TENTHS_MS =
+            2_500; // for callers turned away; leaves time for the answer to that report
     private static final long QUERIES_READ_WINDOW_TENTHS_MS = 600_000;
     private static final int QUERIES_READ_BUCKETS = 600;
     private static final int MAX_FETCH_ATTEMPTS =
@@ -46,7 +48,8 @@
     private final RevisionPreparer preparer;
     private final RevisionParts parts;
     private final SlidingWindow queriesRead = new SlidingWindow(QUERIES_READ_WINDOW_TENTHS_MS, QUERIES_READ_BUCKETS);
-    private final long processStartedAt; // by the wall clock, so that it is higher for each later process of this server
+    private final long
+            processStartedAt; // by the wall clock, so that it is higher for each later process of this server
     private final boolean pinsRoutes;
     private RevisionId proposedRevision = RevisionId.NONE; // the proposed revision that is being checked
     private PreparedRevision checkedRevision; // the last one that was checked, null once it is in use
@@ -96,7 +99,15 @@
         parts = new RevisionParts(queries, links, gate);
         preparer = new RevisionPreparer(client, this::runOnDecidingThread, serverName, queries.workloads());
         member = new Member(
-                this, gate, new ServerId(serverName), listen, minRetryInterval, withdrawWhenOut, seed, now, disabledGuards);
+                this,
+                gate,
+                new ServerId(serverName),
+                listen,
+                minRetryInterval,
+                withdrawWhenOut,
+                seed,
+                now,
+                disabledGuards);
     }
 
     /**
@@ -290,7 +301,9 @@
 
     private void onAnswer(Answer answer) {
         if (answer instanceof Answer.Joined joined) {
-            LOG.atInfo().addKeyValue("incarnation", joined.incarnation().value()).log("joined the fleet");
+            LOG.atInfo()
+                    .addKeyValue("incarnation", joined.incarnation().value())
+                    .log("joined the fleet");
         } else if (answer instanceof Answer.ReportAccepted told) {
             noteNewerRevision(told);
         } else if (answer instanceof Answer.Refused refused) {
--- a/daemon/src/main/java/tallyweir/backend/InFlight.java
+++ b/daemon/src/main/java/tallyweir/backend/InFlight.java
@@ -32,7 +32,8 @@
     final List<LinkId> callLinks = new ArrayList<>(0); // store links that have carried its calls
     Deadlines.Deadline deadline;
     long expectedDeadline; // end of its expected time; counted as late after that. Set only in a fleet
-    InetSocketAddress storeAddress; // where it calls, by the revision it was read under; null for the configured address
+    InetSocketAddress
+            storeAddress; // where it calls, by the revision it was read under; null for the configured address
     Repeats.Entry repeatEntry; // shared by all queries with the same key; null for none
     IdempotencyKey resultKey; // key of its retained result; null if none is retained
     boolean recordingResult; // its run has ended and its answer waits until the result is on the disk
--- a/daemon/src/main/java/tallyweir/backend/Kernel.java
+++ b/daemon/src/main/java/tallyweir/backend/Kernel.java
@@ -206,13 +206,19 @@
      */
     private void resendAfterReconnect() {
         for (InFlight inFlight : queries.runningQueries()) {
-            if (inFlight.pendingCall == null && inFlight.runLinkGeneration < linkGeneration && queries.isHarmless(inFlight)) {
+            if (inFlight.pendingCall == null
+                    && inFlight.runLinkGeneration < linkGeneration
+                    && queries.isHarmless(inFlight)) {
                 run(inFlight);
             }
-            if (inFlight.lastReply != null && inFlight.replyLinkGeneration < linkGeneration && inFlight.replySentAt >= lastUpAt - MAYBE_LOST_WINDOW_TENTHS_MS) {
+            if (inFlight.lastReply != null
+                    && inFlight.replyLinkGeneration < linkGeneration
+                    && inFlight.replySentAt >= lastUpAt - MAYBE_LOST_WINDOW_TENTHS_MS) {
                 reply(inFlight, inFlight.lastReply);
             }
-            if (inFlight.stopLinkGeneration > 0 && inFlight.stopLinkGeneration < linkGeneration && inFlight.stopSentAt >= lastUpAt - MAYBE_LOST_WINDOW_TENTHS_MS) {
+            if (inFlight.stopLinkGeneration > 0
+                    && inFlight.stopLinkGeneration < linkGeneration
+                    && inFlight.stopSentAt >= lastUpAt - MAYBE_LOST_WINDOW_TENTHS_MS) {
                 stop(inFlight);
             }
         }
--- a/daemon/src/main/java/tallyweir/backend/Queries.java
+++ b/daemon/src/main/java/tallyweir/backend/Queries.java
@@ -247,13 +247,15 @@
         if (fleet != null) {
             inFlight.storeAddress = routes.pickStore(workload, routingRandom);
             fleet.onQueryRead(now);
-            inFlight.expectedDeadline =
-                    now - Math.max(0, wall - receivedAt) + expectedTimes.getOrDefault(workload, settings.maxHardLimit());
+            inFlight.expectedDeadline = now
+                    - Math.max(0, wall - receivedAt)
+                    + expectedTimes.getOrDefault(workload, settings.maxHardLimit());
         }
         // A clock that was set back must not give a negative age or a longer timeout than the caller sent.
         long age = Math.max(0, wall - receivedAt);
         long left = callerTimeout < 0 ? 0 : Math.max(1, Math.min(callerTimeout, receivedAt + callerTimeout - wall));
-        inFlight.deadline = deadlines.set(now + (left > 0 ? left : settings.maxHardLimit()), () -> deadlinePassed(inFlight));
+        inFlight.deadline =
+                deadlines.set(now + (left > 0 ? left : settings.maxHardLimit()), () -> deadlinePassed(inFlight));
         boolean stamped = effect(workload) == Effect.STAMPED;
         if (stamped && repeats.hasConflictingBody(inFlight, key, now - age)) {
             counters.add(Count.MARKS_OTHER_BODY);
@@ -355,7 +357,8 @@
     void runEnded(JobId job, String state, byte[] result) {
         InFlight inFlight = queriesByJob.get(job);
         if (inFlight == null || !inFlight.running) {
-            if (retainedResults != null && retainedResults.previousRunEnded(job, state.equals("good") ? Known.GOOD : Known.BAD, result)) {
+            if (retainedResults != null
+                    && retainedResults.previousRunEnded(job, state.equals("good") ? Known.GOOD : Known.BAD, result)) {
                 counters.add(Count.MARKS_SETTLED);
             }
             return;
@@ -451,7 +454,8 @@
                 answerErrored(inFlight);
             }
         } else {
-            deadlines.set(now, () -> answerRepeat(inFlight, result)); // deferred: the decisions are still handling this input
+            deadlines.set(
+                    now, () -> answerRepeat(inFlight, result)); // deferred: the decisions are still handling this input
         }
     }
 
@@ -639,7 +643,8 @@
         InFlight inFlight = find(query);
         if (inFlight != null && inFlight.pendingCall != null) {
             if (fleet != null && !fleet.pinsRoutes()) {
-                inFlight.storeAddress = routes.pickStore(inFlight.workload, routingRandom); // only if a drill has disabled this guard
+                inFlight.storeAddress =
+                        routes.pickStore(inFlight.workload, routingRandom); // only if a drill has disabled this guard
             }
             store.call(inFlight, inFlight.pendingCall, timeout);
         }
@@ -679,7 +684,9 @@
         if (inFlight != null && inFlight.resultKey != null) {
             retainedResults.awaitOutcome(inFlight);
         } else if (inFlight != null && repeats.endedOrEnqueue(inFlight)) {
-            deadlines.set(now, () -> answerRepeatFromEntry(inFlight)); // deferred: the decisions are still handling this input
+            deadlines.set(
+                    now,
+                    () -> answerRepeatFromEntry(inFlight)); // deferred: the decisions are still handling this input
         }
     }
 
--- a/daemon/src/main/java/tallyweir/backend/RetainedResults.java
+++ b/daemon/src/main/java/tallyweir/backend/RetainedResults.java
@@ -8,9 +8,9 @@
 import tallyweir.ids.QueryId;
 import tallyweir.ids.SubjectId;
 import tallyweir.results.IdempotencyActions;
-import tallyweir.results.Known;
 import tallyweir.results.IdempotencyKey;
 import tallyweir.results.IdempotencyTracker;
+import tallyweir.results.Known;
 import tallyweir.results.ResultStore;
 import tallyweir.results.RunId;
 import tallyweir.results.Verdict;
@@ -75,8 +75,8 @@
     /** Looks up the key of an incoming query: whether it is new, a repeat, or in conflict with an earlier body. */
     Verdict lookUp(InFlight inFlight, SubjectId key) {
         inFlight.resultKey = new IdempotencyKey(inFlight.workload, key);
-        Verdict verdict =
-                keys.onCopyRead(runId(inFlight), inFlight.resultKey, inFlight.bodyDigest(), resultStore.contains(inFlight.resultKey));
+        Verdict verdict = keys.onCopyRead(
+                runId(inFlight), inFlight.resultKey, inFlight.bodyDigest(), resultStore.contains(inFlight.resultKey));
         return verdict == Verdict.NEW && !resultStore.hasRoom(jobsByRun.size()) ? Verdict.NO_ROOM : verdict;
     }
 
@@ -178,7 +178,8 @@
             if (kept == null) {
                 keys.onReadFailed(mark);
             } else {
-                keys.onRecordRead(mark, kept.body(), kept.known() == null ? Known.UNKNOWN : kept.known(), kept.result());
+                keys.onRecordRead(
+                        mark, kept.body(), kept.known() == null ? Known.UNKNOWN : kept.known(), kept.result());
             }
         });
     }
--- a/daemon/src/main/java/tallyweir/backend/Routes.java
+++ b/daemon/src/main/java/tallyweir/backend/Routes.java
@@ -20,7 +20,8 @@
     private final int storeCount; // number of stores, also of those for workloads of other servers
     private final StoreGroup forAllWorkloads; // stores without a list of workloads, which serve all of them
     private final Map<WorkloadId, StoreGroup> byWorkload; // stores with a list of workloads, by those of this server
-    private final Map<WorkloadId, Integer> unknownWorkloads; // number of stores by workload that this server does not have
+    private final Map<WorkloadId, Integer>
+            unknownWorkloads; // number of stores by workload that this server does not have
 
     /** Called by {@link RoutesBuilder}. */
     Routes(
@@ -98,7 +99,9 @@
             return null;
         }
         int position = random.nextInt(weight);
-        return position < forAllWorkloads.totalWeight() ? forAllWorkloads.storeAt(position) : some.storeAt(position - forAllWorkloads.totalWeight());
+        return position < forAllWorkloads.totalWeight()
+                ? forAllWorkloads.storeAt(position)
+                : some.storeAt(position - forAllWorkloads.totalWeight());
     }
 
     /** The reason why this server cannot use these routes; empty if it can. */
--- a/daemon/src/main/java/tallyweir/backend/ShadowedChoice.java
+++ b/daemon/src/main/java/tallyweir/backend/ShadowedChoice.java
@@ -356,7 +356,10 @@
         List<Action> onlyShadow = new ArrayList<>(shadowRecorder.actions);
         List<Action> onlyInForce = new ArrayList<>();
         for (Action act : inForceRecorder.actions) {
-            Action same = onlyShadow.stream().filter(act::isSameExceptValues).findFirst().orElse(null);
+            Action same = onlyShadow.stream()
+                    .filter(act::isSameExceptValues)
+                    .findFirst()
+                    .orElse(null);
             if (same == null) {
                 onlyInForce.add(act);
             } else {
--- a/daemon/src/main/java/tallyweir/backend/Store.java
+++ b/daemon/src/main/java/tallyweir/backend/Store.java
@@ -222,7 +222,8 @@
         private void send() {
             call.sent = true;
             counters.add(Count.CALLS_SENT);
-            links.sendToPeer(id, Calls.call(call.query.job, Math.max(1, (call.deadline - queries.now() + 9) / 10), call.body));
+            links.sendToPeer(
+                    id, Calls.call(call.query.job, Math.max(1, (call.deadline - queries.now() + 9) / 10), call.body));
         }
 
         private void drop() {
--- a/daemon/src/main/java/tallyweir/cli/ConfigReloader.java
+++ b/daemon/src/main/java/tallyweir/cli/ConfigReloader.java
@@ -9,8 +9,8 @@
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tallyweir.config.InvalidSettingException;
 import tallyweir.config.Config;
+import tallyweir.config.InvalidSettingException;
 import tallyweir.config.OperatorSettings;
 import tallyweir.config.Settings;
 import tallyweir.net.Server;
@@ -94,7 +94,8 @@
                 } else if (consecutiveFaults == 0) {
                     requests.acquire();
                 } else {
-                    requests.tryAcquire(RETRY_INTERVAL_MS << Math.min(MAX_DOUBLINGS, consecutiveFaults - 1), TimeUnit.MILLISECONDS);
+                    requests.tryAcquire(
+                            RETRY_INTERVAL_MS << Math.min(MAX_DOUBLINGS, consecutiveFaults - 1), TimeUnit.MILLISECONDS);
                 }
                 requests.drainPermits();
                 boolean alwaysLog = signalled;
@@ -126,7 +127,9 @@
     private void logFault(Throwable e) {
         String message = e instanceof InvalidSettingException ? e.getMessage() : e.toString();
         if (consecutiveFaults++ == 0 || !message.equals(lastFault)) {
-            LOG.atWarn().addKeyValue("fault", message).log("the configuration was not reloaded, the old one stays in force");
+            LOG.atWarn()
+                    .addKeyValue("fault", message)
+                    .log("the configuration was not reloaded, the old one stays in force");
         }
         lastFault = message;
     }
--- a/daemon/src/main/java/tallyweir/cli/Serve.java
+++ b/daemon/src/main/java/tallyweir/cli/Serve.java
@@ -13,8 +13,8 @@
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 import tallyweir.backend.WarmUp;
-import tallyweir.config.InvalidSettingException;
 import tallyweir.config.Config;
+import tallyweir.config.InvalidSettingException;
 import tallyweir.config.OperatorSettings;
 import tallyweir.config.Settings;
 import tallyweir.durable.FileStore;
@@ -72,7 +72,8 @@
         try {
             joinFleet(server, config, operators);
         } catch (FleetException e) {
-            err.println("tallyweir: " + e.fault().description() + "; " + e.fault().advice());
+            err.println(
+                    "tallyweir: " + e.fault().description() + "; " + e.fault().advice());
             return 1;
         } catch (InvalidSettingException e) {
             err.println("tallyweir: " + e.getMessage());
--- a/daemon/src/main/java/tallyweir/config/ChangeFile.java
+++ b/daemon/src/main/java/tallyweir/config/ChangeFile.java
@@ -82,7 +82,8 @@
         }
     }
 
-    private static void readNameRemovals(FaultList faults, SettingsObject tree, String section, Kind kind, Set<Key> removed) {
+    private static void readNameRemovals(
+            FaultList faults, SettingsObject tree, String section, Kind kind, Set<Key> removed) {
         faults.collect(section, () -> {
             for (String name : tree.strings(section)) {
                 faults.collect(REMOVE + "." + section + "." + name, () -> removed.add(new Key(kind, name)));
--- a/daemon/src/main/java/tallyweir/config/EntryReader.java
+++ b/daemon/src/main/java/tallyweir/config/EntryReader.java
@@ -103,7 +103,8 @@
 
     private void put(String key, Key entry, Value value) {
         if (entries.put(entry, value) != null) {
-            throw new InvalidSettingException(key + " is a duplicate: the entry " + entry.name() + " is already defined");
+            throw new InvalidSettingException(
+                    key + " is a duplicate: the entry " + entry.name() + " is already defined");
         }
     }
 
--- a/daemon/src/main/java/tallyweir/config/OperatorSettings.java
+++ b/daemon/src/main/java/tallyweir/config/OperatorSettings.java
@@ -279,7 +279,8 @@
             namespace.rejectUnknownKeys("name", "bound_mb", "at_bound");
             String whenFull = namespace.string("at_bound", "refuse");
             if (!whenFull.equals("refuse") && !whenFull.equals("drop_oldest")) {
-                throw new InvalidSettingException(path + ".at_bound is '" + whenFull + "': refuse or drop_oldest is needed");
+                throw new InvalidSettingException(
+                        path + ".at_bound is '" + whenFull + "': refuse or drop_oldest is needed");
             }
             try {
                 namespaces.add(new Namespace(
@@ -297,7 +298,8 @@
                         path + ".name is '" + namespace.string("name") + "', which belongs to the results part");
             }
             if (!names.add(namespace.string("name"))) {
-                throw new InvalidSettingException(path + ".name is '" + namespace.string("name") + "', which is already defined");
+                throw new InvalidSettingException(
+                        path + ".name is '" + namespace.string("name") + "', which is already defined");
             }
         }
         if (results != null) {
@@ -310,8 +312,8 @@
             namespaces.add(new Namespace(Settling.AUDIT, Long.MAX_VALUE, false));
         }
         if (namespaces.size() > Namespace.MAX_NAMESPACES) {
-            throw new InvalidSettingException(
-                    "durable.namespaces has " + namespaces.size() + " entries, the maximum is " + Namespace.MAX_NAMESPACES);
+            throw new InvalidSettingException("durable.namespaces has " + namespaces.size()
+                    + " entries, the maximum is " + Namespace.MAX_NAMESPACES);
         }
         return namespaces;
     }
@@ -332,7 +334,8 @@
                 "upkeep_mb_per_s",
                 "namespaces");
         if (firstCopyDir().equals(secondCopyDir())) {
-            throw new InvalidSettingException("durable.second_dir is where the first copy is: another directory is needed");
+            throw new InvalidSettingException(
+                    "durable.second_dir is where the first copy is: another directory is needed");
         }
         segmentBytes();
         sectorBytes();
--- a/daemon/src/main/java/tallyweir/config/Settings.java
+++ b/daemon/src/main/java/tallyweir/config/Settings.java
@@ -6,11 +6,11 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
+import tallyweir.CancellationMode;
 import tallyweir.Choice;
 import tallyweir.Effect;
-import tallyweir.CancellationMode;
-import tallyweir.Outgoing;
 import tallyweir.LoadAdvice;
+import tallyweir.Outgoing;
 import tallyweir.ids.TenantId;
 import tallyweir.ids.WorkloadId;
 
@@ -83,8 +83,12 @@
                         "ShareSpanUs",
                         "Signal",
                         "TellsGone");
-        overrides.child("Rules").rejectUnknownKeys("AnswerSlackUs", "ColdFrom", "ColdUs", "DrainGraceUs", "FallMultiple", "FallUs");
-        overrides.child("Permissions").rejectUnknownKeys("CpuUsPerRequest", "CpuUsPerS", "MaxRetryAfterUs", "RetryAfter");
+        overrides
+                .child("Rules")
+                .rejectUnknownKeys("AnswerSlackUs", "ColdFrom", "ColdUs", "DrainGraceUs", "FallMultiple", "FallUs");
+        overrides
+                .child("Permissions")
+                .rejectUnknownKeys("CpuUsPerRequest", "CpuUsPerS", "MaxRetryAfterUs", "RetryAfter");
         overrides.child("Callers").rejectUnknownKeys("MarksRetry");
         family.requireOneOf("Halt", "off", "abort", "suspend");
         family.requireOneOf("Signal", "off", "threshold", "window", "share_of");
@@ -111,10 +115,14 @@
             c.requireAtLeast("RepeatWindowUs", 0);
         }
         Settings shadow = new Settings(
-                merged, !family.hasSameValue("Halt", info), !family.hasSameValue("ClassSkipWorth", info), !family.hasSameValue("Signal", info));
+                merged,
+                !family.hasSameValue("Halt", info),
+                !family.hasSameValue("ClassSkipWorth", info),
+                !family.hasSameValue("Signal", info));
         for (WorkloadId id : effects().keySet()) {
             if (!shadow.effects().containsKey(id)) {
-                throw new InvalidSettingException("watch.settings.Classes lacks the class " + id.value() + " that is in force");
+                throw new InvalidSettingException(
+                        "watch.settings.Classes lacks the class " + id.value() + " that is in force");
             }
         }
         shadow.startShadow(new Choice(Outgoing.ignoring(), 0, 0), false);
@@ -163,7 +171,8 @@
                 rules.timeTenthsMs("ColdUs"),
                 mode == CancellationMode.SUSPEND && !canSuspend ? CancellationMode.OFF : mode);
         choice.configureMemory(info.number("MemLimitKb"), info.number("RunMemFactor", 1), info.number("EntryKb", 0));
-        choice.configureCalls(info.number("CallsOut", 0), info.timeTenthsMs("ShareSpanUs"), info.timeTenthsMs("LingerUs") + 1);
+        choice.configureCalls(
+                info.number("CallsOut", 0), info.timeTenthsMs("ShareSpanUs"), info.timeTenthsMs("LingerUs") + 1);
         List<SettingsObject> classes = root.children("Classes");
         for (int i = 0; i < classes.size(); i++) {
             SettingsObject c = classes.get(i);
@@ -179,7 +188,8 @@
                     canDegrade ? info.numberAt("ClassSkipWorth", i) : 0);
         }
         for (SettingsObject t : root.children("Projects")) {
-            choice.addTenant(new TenantId(t.string("Name", "")), t.number("QuotaPerS", 0), (int) root.number("Servers", 1));
+            choice.addTenant(
+                    new TenantId(t.string("Name", "")), t.number("QuotaPerS", 0), (int) root.number("Servers", 1));
         }
         choice.configureAnswers(
                 (long) Math.ceil(root.number("RoundUs", 0) / 100),
@@ -197,7 +207,9 @@
     /** The expected time of each workload, after which a query is late. */
     public Map<WorkloadId, Long> expectedTimes() {
         Map<WorkloadId, Long> times = new HashMap<>();
-        this.root.children("Classes").forEach(c -> times.put(new WorkloadId(c.string("Name", "")), c.timeTenthsMs("TargetUs")));
+        this.root
+                .children("Classes")
+                .forEach(c -> times.put(new WorkloadId(c.string("Name", "")), c.timeTenthsMs("TargetUs")));
         return times;
     }
 
--- a/daemon/src/main/java/tallyweir/config/SettingsObject.java
+++ b/daemon/src/main/java/tallyweir/config/SettingsObject.java
@@ -102,7 +102,8 @@
         List<Object> list = list(name);
         for (int i = 0; i < list.size(); i++) {
             String at = name + "[" + i + "]";
-            children.add(new SettingsObject(qualifiedKey(at), require(cast(Map.class, "an object", list.get(i), at), "an object", at)));
+            children.add(new SettingsObject(
+                    qualifiedKey(at), require(cast(Map.class, "an object", list.get(i), at), "an object", at)));
         }
         return children;
     }
@@ -151,7 +152,8 @@
     public int integer(String name, int min, int max) {
         double d = number(name);
         if (d != Math.rint(d) || d < min || d > max) {
-            throw new InvalidSettingException(qualifiedKey(name) + " is " + d + ": an integer from " + min + " to " + max + " is needed");
+            throw new InvalidSettingException(
+                    qualifiedKey(name) + " is " + d + ": an integer from " + min + " to " + max + " is needed");
         }
         return (int) d;
     }
@@ -182,7 +184,8 @@
     /** Refuses a key that is not among the known ones. */
     void rejectUnknownKey(String name, String... names) {
         if (!List.of(names).contains(name)) {
-            throw new InvalidSettingException(qualifiedKey(name) + " is unknown: known keys are " + String.join(", ", names));
+            throw new InvalidSettingException(
+                    qualifiedKey(name) + " is unknown: known keys are " + String.join(", ", names));
         }
     }
 
@@ -215,7 +218,8 @@
     public void requireOneOf(String name, String... words) {
         String is = string(name, words[0]);
         if (!List.of(words).contains(is)) {
-            throw new InvalidSettingException(qualifiedKey(name) + " is '" + is + "': one of " + String.join(", ", words) + " is needed");
+            throw new InvalidSettingException(
+                    qualifiedKey(name) + " is '" + is + "': one of " + String.join(", ", words) + " is needed");
         }
     }
 
--- a/daemon/src/main/java/tallyweir/fastcgi/FastCgiReader.java
+++ b/daemon/src/main/java/tallyweir/fastcgi/FastCgiReader.java
@@ -180,7 +180,8 @@
         }
         skippedBytes += Records.HEADER_BYTES;
         if (skippedBytes > MAX_SKIPPED_BYTES) {
-            invalidStream("over " + MAX_SKIPPED_BYTES + " bytes that belong to no request"); // for example a body without end
+            invalidStream(
+                    "over " + MAX_SKIPPED_BYTES + " bytes that belong to no request"); // for example a body without end
             return;
         }
         Request request = openRequests.get(id());
@@ -209,7 +210,8 @@
         try {
             sink.onManagementReply(
                     type() == Records.GET_VALUES
-                            ? Records.getValuesResult(RequestFields.parsePairs(recordContent.copy()).keySet())
+                            ? Records.getValuesResult(RequestFields.parsePairs(recordContent.copy())
+                                    .keySet())
                             : Records.unknownType(type()));
         } catch (IllegalArgumentException e) {
             invalidStream("a management record: " + e.getMessage());
--- a/daemon/src/main/java/tallyweir/fastcgi/RequestFields.java
+++ b/daemon/src/main/java/tallyweir/fastcgi/RequestFields.java
@@ -30,8 +30,8 @@
 
     public static final String PATH = "SCRIPT_NAME";
     public static final String METHOD = "REQUEST_METHOD";
-    private static final Set<String> USED_NAMES =
-            Set.of(ID, RECEIVED_AT, CALLER, TENANT, TIMEOUT_MS, RETRY, SIZE_KB, RANK, SUBJECT, IDEMPOTENCY_KEY, PATH, METHOD);
+    private static final Set<String> USED_NAMES = Set.of(
+            ID, RECEIVED_AT, CALLER, TENANT, TIMEOUT_MS, RETRY, SIZE_KB, RANK, SUBJECT, IDEMPOTENCY_KEY, PATH, METHOD);
     private static final int MAX_VALUE_LENGTH = 256;
 
     private final Map<String, String> values = new HashMap<>();
--- a/daemon/src/main/java/tallyweir/net/EventQueue.java
+++ b/daemon/src/main/java/tallyweir/net/EventQueue.java
@@ -22,7 +22,8 @@
         private final Runnable suspend;
         private final Runnable resume;
         private int queuedChunks; // chunks of a caller not taken yet, or of a peer not processed yet
-        private final AtomicInteger unprocessedChunks = new AtomicInteger(); // of a caller: queued, or taken and not processed
+        private final AtomicInteger unprocessedChunks =
+                new AtomicInteger(); // of a caller: queued, or taken and not processed
         private volatile boolean readInProgress; // bytes may have left the socket and are not queued yet
         private boolean outputBacklogged; // too much of its output has not been sent
         private boolean suspended;
--- a/daemon/src/main/java/tallyweir/net/GatedAcceptor.java
+++ b/daemon/src/main/java/tallyweir/net/GatedAcceptor.java
@@ -20,14 +20,16 @@
     private static final long REGISTRATION_CHECK_MS = 100;
     private static final long NO_TIMEOUT = 0;
     private static final int FAILURES_BEFORE_EVICTION = 20; // consecutive; another connection then has to be closed
-    private static final int EMPTY_ACCEPTS_BEFORE_CLOSE = 2; // an interrupted accept also returns null, as for an empty queue
+    private static final int EMPTY_ACCEPTS_BEFORE_CLOSE =
+            2; // an interrupted accept also returns null, as for an empty queue
 
     private final IoProcessor<NioSession> processor;
     private final int maxOpen;
     private final Runnable onFull;
     private final SocketFailures failures;
     private final AtomicInteger openCount = new AtomicInteger();
-    private volatile boolean registrationConfirmed; // a caller was accepted since the listener was registered with epoll
+    private volatile boolean
+            registrationConfirmed; // a caller was accepted since the listener was registered with epoll
     private int consecutiveFailures; // belongs to the accepting thread
     private volatile SelectionKey suspendedKey; // the listener's key while accepting is suspended, else null
 
@@ -166,7 +168,9 @@
     private void acceptQueued(ServerSocketChannel listener) {
         long deadlineNanos = System.nanoTime() + SocketFailures.MAX_RETRY_NANOS;
         int emptyAccepts = 0;
-        while (emptyAccepts < EMPTY_ACCEPTS_BEFORE_CLOSE && openCount.get() < maxOpen && System.nanoTime() - deadlineNanos < 0) {
+        while (emptyAccepts < EMPTY_ACCEPTS_BEFORE_CLOSE
+                && openCount.get() < maxOpen
+                && System.nanoTime() - deadlineNanos < 0) {
             consecutiveFailures = 0;
             NioSession session = accept(listener);
             if (session != null) {
--- a/daemon/src/main/java/tallyweir/net/Server.java
+++ b/daemon/src/main/java/tallyweir/net/Server.java
@@ -66,7 +66,8 @@
     private static final int MAX_READ_BYTES = 8 << 10; // per chunk; only a few chunks of each caller are queued
     private static final int MAX_UNWRITTEN_BYTES =
             64 << 10; // per connection; above it the connection is not read until the output has been sent
-    private static final int MAX_TOTAL_UNWRITTEN_BYTES = 4 << 20; // of all callers; above it the connection with the most is closed
+    private static final int MAX_TOTAL_UNWRITTEN_BYTES =
+            4 << 20; // of all callers; above it the connection with the most is closed
     private static final int WRITE_TIMEOUT_SECONDS = 10; // for a peer that reads nothing
     private static final int MIN_STALL_MS = 1_000; // a caller that reads nothing for longer may be closed
     private static final int CONNECT_TIMEOUT_MS = 2_000;
@@ -77,7 +78,8 @@
     private final EventQueue eventQueue = new EventQueue();
     private final ArrayDeque<Runnable> ownEvents = new ArrayDeque<>(); // queued by the decision thread itself
     private final Map<ConnectionId, IoSession> callers = new HashMap<>();
-    private final Map<LinkId, Long> connectingSince = new LinkedHashMap<>(); // start of each connection attempt, oldest first
+    private final Map<LinkId, Long> connectingSince =
+            new LinkedHashMap<>(); // start of each connection attempt, oldest first
     private final Map<LinkId, IoSession> peers = new HashMap<>();
     private final Map<IoSession, ByteArrayOutputStream> pendingOutput = new LinkedHashMap<>();
     private final Set<IoSession> pendingHalfCloses = new LinkedHashSet<>();
@@ -169,7 +171,8 @@
      */
     private void replaceStuckConnectors() {
         long before = now() - 2 * 10L * CONNECT_TIMEOUT_MS;
-        boolean stuck = !connectingSince.isEmpty() && connectingSince.values().iterator().next() < before
+        boolean stuck = !connectingSince.isEmpty()
+                        && connectingSince.values().iterator().next() < before
                 || reportConnectingSince > 0 && reportConnectingSince < before;
         if (stuck) {
             LOG.error("connecting to the peers hangs; the connectors are replaced");
@@ -269,7 +272,8 @@
 
     private void writeOutput() {
         pendingOutput.forEach((session, bytes) -> {
-            session.setAttribute(BYTES_BEFORE_LAST_WRITE, session.getScheduledWriteBytes() == 0 ? session.getWrittenBytes() : -1L);
+            session.setAttribute(
+                    BYTES_BEFORE_LAST_WRITE, session.getScheduledWriteBytes() == 0 ? session.getWrittenBytes() : -1L);
             if (pendingHalfCloses.contains(session)) {
                 session.setAttribute(WAKE_WHEN_SENT);
             }
@@ -289,7 +293,8 @@
     /** Whether no byte of the last output for this session has left the process. */
     private boolean nothingSent(IoSession session) {
         return pendingOutput.remove(session) != null
-                || session.getAttribute(BYTES_BEFORE_LAST_WRITE) instanceof Long before && before == session.getWrittenBytes();
+                || session.getAttribute(BYTES_BEFORE_LAST_WRITE) instanceof Long before
+                        && before == session.getWrittenBytes();
     }
 
     /**
@@ -304,8 +309,9 @@
             }
             return resumed;
         });
-        long totalBytes =
-                backloggedCallers.stream().mapToLong(IoSession::getScheduledWriteBytes).sum();
+        long totalBytes = backloggedCallers.stream()
+                .mapToLong(IoSession::getScheduledWriteBytes)
+                .sum();
         if (totalBytes > MAX_TOTAL_UNWRITTEN_BYTES) {
             IoSession largest = backloggedCallers.stream()
                     .max(Comparator.comparingLong(IoSession::getScheduledWriteBytes))
@@ -363,7 +369,8 @@
             @Override
             public void exceptionCaught(IoSession session, Throwable cause) {
                 if (!channel(session).socket().isOutputShutdown()) {
-                    enqueue(backend::connectionReset); // after our half-close some callers reply with a reset, which is not counted
+                    enqueue(backend::connectionReset); // after our half-close some callers reply with a reset, which
+                    // is not counted
                 }
                 super.exceptionCaught(session, cause);
             }
@@ -529,7 +536,8 @@
 
     private void to(IoSession session, byte[] bytes) {
         if (session != null) {
-            pendingOutput.computeIfAbsent(session, s -> new ByteArrayOutputStream(bytes.length))
+            pendingOutput
+                    .computeIfAbsent(session, s -> new ByteArrayOutputStream(bytes.length))
                     .writeBytes(bytes);
         }
     }
@@ -537,8 +545,9 @@
     @Override
     public void connect(LinkId link, Peer peer, InetSocketAddress at) {
         connectingSince.put(link, now());
-        SocketAddress to =
-                at != null ? at : peer == Peer.STORE ? config.store : fleetKernelAddress != null ? fleetKernelAddress : config.kernel;
+        SocketAddress to = at != null
+                ? at
+                : peer == Peer.STORE ? config.store : fleetKernelAddress != null ? fleetKernelAddress : config.kernel;
         if (to == null) { // no store is configured as no workload was expected to call it, but a run does
             enqueue(() -> connectFailed(link));
             return;
@@ -671,7 +680,12 @@
      * @param without guards that are disabled, for drills only
      */
     public void joinFleet(
-            FleetClient client, String fleet, long lingerDuration, long minRetryInterval, boolean withdrawnWhenOut, Set<Guard> disabledGuards) {
+            FleetClient client,
+            String fleet,
+            long lingerDuration,
+            long minRetryInterval,
+            boolean withdrawnWhenOut,
+            Set<Guard> disabledGuards) {
         backend.joinFleet(
                 client,
                 fleet,
--- a/daemon/src/main/java/tallyweir/net/SocketError.java
+++ b/daemon/src/main/java/tallyweir/net/SocketError.java
@@ -31,7 +31,8 @@
             EnumSet.of(EINTR, EPROTO, EPERM, ECONNABORTED, ECONNRESET, ETIMEDOUT, EHOSTUNREACH, ENETUNREACH);
     private static final Set<SocketError> DISCONNECTS =
             EnumSet.of(EPIPE, ECONNRESET, ETIMEDOUT, ECONNREFUSED, EHOSTUNREACH, ENETUNREACH);
-    private static final Set<SocketError> TRANSIENT_ERRORS = EnumSet.of(EINTR, EIO, ENOMEM, ENFILE, EMFILE, ENOSPC, ENOBUFS);
+    private static final Set<SocketError> TRANSIENT_ERRORS =
+            EnumSet.of(EINTR, EIO, ENOMEM, ENFILE, EMFILE, ENOSPC, ENOBUFS);
 
     private final String message;
 
--- a/daemon/src/main/java/tallyweir/net/SocketProcessor.java
+++ b/daemon/src/main/java/tallyweir/net/SocketProcessor.java
@@ -141,8 +141,9 @@
         }
         nextCheckAtNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(CHECK_INTERVAL_MS);
         for (NioSession session : List.copyOf(unconfirmed.keySet())) {
-            SelectionKey key =
-                    session instanceof SocketSession socketSession ? socketSession.getChannel().keyFor(selector) : null;
+            SelectionKey key = session instanceof SocketSession socketSession
+                    ? socketSession.getChannel().keyFor(selector)
+                    : null;
             try {
                 if (key != null && key.isValid()) {
                     checkRegistration(session, key);
--- a/daemon/src/main/java/tallyweir/wirehost/Event.java
+++ b/daemon/src/main/java/tallyweir/wirehost/Event.java
@@ -149,7 +149,8 @@
                         predictedUs == ABSENT ? 0 : (predictedUs + 99) / 100);
             case "Settled" -> choice.onRunEnded(query(), outcome());
             case "NeedsDep" -> choice.onBlockedOnCall(query());
-            case "DepReply" -> choice.onCallEnded(query(), outcome(), durationUs == ABSENT ? 0 : (durationUs + 99) / 100);
+            case "DepReply" ->
+                choice.onCallEnded(query(), outcome(), durationUs == ABSENT ? 0 : (durationUs + 99) / 100);
             case "Lapsed" -> choice.onCallerDisconnected(query());
             case "Quiesce" -> choice.drain(require(budgetUs, "BudgetUs") / 100);
             case "Fired" -> {
--- a/daemon/src/test/java/tallyweir/BackendTest.java
+++ b/daemon/src/test/java/tallyweir/BackendTest.java
@@ -197,8 +197,9 @@
         }
 
         void sendNotice(String type, String job, String state, String data) {
-            sendFromKernel("{\"type\":\"" + type + "\",\"n\":" + ++lastNotice + ",\"job\":\"" + job + "\",\"state\":\"" + state
-                    + "\",\"took\":3,\"data\":\"" + Base64.getEncoder().encodeToString(data.getBytes(UTF_8)) + "\"}");
+            sendFromKernel("{\"type\":\"" + type + "\",\"n\":" + ++lastNotice + ",\"job\":\"" + job + "\",\"state\":\""
+                    + state + "\",\"took\":3,\"data\":\"" + Base64.getEncoder().encodeToString(data.getBytes(UTF_8))
+                    + "\"}");
         }
 
         void sendFromStore(String text) {
@@ -395,9 +396,11 @@
                 String job = text.substring(5, 21);
                 String body = text.substring(text.indexOf("\r\n") + 2, text.length() - 2);
                 violationIf(!("call of " + job).equals(body), "a call's body was changed");
-                violationIf(!requestOf(job).callAllowed && !requestOf(job).workload.equals("c"), "call repeated " + job);
+                violationIf(
+                        !requestOf(job).callAllowed && !requestOf(job).workload.equals("c"), "call repeated " + job);
                 requestOf(job).callAllowed = false;
-                violationIf(calls.keySet().stream().anyMatch(o -> callLinks.get(o).equals(link)), "two calls on one link");
+                violationIf(
+                        calls.keySet().stream().anyMatch(o -> callLinks.get(o).equals(link)), "two calls on one link");
                 calls.put(job, body);
                 violationIf(
                         link.equals(callLinks.put(job, link)),
@@ -411,7 +414,9 @@
                 return;
             }
             if (text.contains("OPEN")) {
-                violationIf(!text.contains("\"n\":" + lastNotice + "}"), "OPEN does not carry the number of the last notice");
+                violationIf(
+                        !text.contains("\"n\":" + lastNotice + "}"),
+                        "OPEN does not carry the number of the last notice");
                 return;
             }
             String job = field(text, "job");
@@ -732,7 +737,8 @@
         sim.endRun(a.job, "good", "made");
         assertEquals("made", onlyAnswer(a).body());
         assertEquals(
-                List.of(1L, 1), List.of(logged("close " + conn), sim.answers(conn).size()));
+                List.of(1L, 1),
+                List.of(logged("close " + conn), sim.answers(conn).size()));
         sim.closePending();
         assertEquals(List.of(0L, 1L), List.of(sim.counter("queries_gone"), sim.counter("connections_closed_bad")));
     }
@@ -745,7 +751,12 @@
         sim.endRun(a.job, "good", "made");
         Request c = sim.request(a.conn, "k", "b", 20_000, "m");
         sim.advance(10);
-        assertEquals(List.of("made", "made", "made"), List.of(onlyAnswer(a).body(), onlyAnswer(b).body(), onlyAnswer(c).body()));
+        assertEquals(
+                List.of("made", "made", "made"),
+                List.of(
+                        onlyAnswer(a).body(),
+                        onlyAnswer(b).body(),
+                        onlyAnswer(c).body()));
         assertEquals(1, logged("KERNEL {\"type\":\"SCHED\""));
     }
 
@@ -775,7 +786,9 @@
         sim.jobs.remove(a.job);
         Request b = sim.request(a.conn, "k", "the body of the key's owner", 20_000, "m");
         sim.endRun(b.job, "good", "made");
-        assertEquals(List.of(500, "made"), List.of(onlyAnswer(a).status(), onlyAnswer(b).body()));
+        assertEquals(
+                List.of(500, "made"),
+                List.of(onlyAnswer(a).status(), onlyAnswer(b).body()));
     }
 
     /** Guards against running a repeat that arrived within the window but was read after it. */
@@ -786,7 +799,8 @@
         advanceWithGauges(50_000);
         sim.advance(100);
         sim.sendGauges();
-        Request inTime = sim.request(a.conn, "k", "b", 20_000, "m", "HTTP_RECEIVED_AT", "" + (sim.now + 100_000_000 - 150) / 10);
+        Request inTime =
+                sim.request(a.conn, "k", "b", 20_000, "m", "HTTP_RECEIVED_AT", "" + (sim.now + 100_000_000 - 150) / 10);
         Request after = sim.request(a.conn, "k", "b", 20_000, "m");
         sim.advance(10);
         assertEquals("made", onlyAnswer(inTime).body());
@@ -816,7 +830,8 @@
         Request a = running("k");
         Request b = sim.request(a.conn, "k", "b", 20_000, "m");
         sim.endRun(a.job, "cut", "");
-        assertEquals(List.of(500, 500), List.of(onlyAnswer(a).status(), onlyAnswer(b).status()));
+        assertEquals(
+                List.of(500, 500), List.of(onlyAnswer(a).status(), onlyAnswer(b).status()));
         assertEquals(1, logged("KERNEL {\"type\":\"SCHED\""));
     }
 
@@ -907,7 +922,8 @@
         assertEquals(List.of("runs", false), List.of(sim.jobs.get(next.job), sim.jobs.containsKey(repeat.job)));
         sim.endRun(next.job, "good", "made");
         assertEquals(
-                List.of("made", "made"), List.of(onlyAnswer(next).body(), onlyAnswer(repeat).body()));
+                List.of("made", "made"),
+                List.of(onlyAnswer(next).body(), onlyAnswer(repeat).body()));
     }
 
     @Test
@@ -991,7 +1007,8 @@
         sim.endRun(b.job, "good", "made");
         sim.advance(1_000);
         sim.sendGauges();
-        assertEquals(List.of(500, 200), List.of(onlyAnswer(a).status(), onlyAnswer(b).status()));
+        assertEquals(
+                List.of(500, 200), List.of(onlyAnswer(a).status(), onlyAnswer(b).status()));
         assertEquals(List.of(1L, 2L), List.of(logged("drop STORE"), logged("STORE CALL")));
     }
 
@@ -1009,7 +1026,8 @@
         sim.sendNotice("IOREQ", a.job, "", "call of " + a.job);
         sim.openLink(Peer.STORE);
         sim.backend.read(first, ByteBuffer.wrap((a.job + " OK 5\r\nreply\r\n").getBytes(UTF_8)));
-        assertEquals(List.of(1L, 3L), List.of(logged("KERNEL {\"type\":\"IODONE\""), sim.counter("replies_of_nothing")));
+        assertEquals(
+                List.of(1L, 3L), List.of(logged("KERNEL {\"type\":\"IODONE\""), sim.counter("replies_of_nothing")));
         Request b = sim.request(a.conn, "c", "b", 20_000, null);
         sim.sendNotice("IOREQ", b.job, "", "call of " + b.job);
         assertEquals(first, sim.callLinks.get(b.job));
@@ -1036,7 +1054,8 @@
         sim.endRun(b.job, "good", "made");
         sim.advance(1_000);
         sim.sendGauges();
-        assertEquals(List.of(500, 200), List.of(onlyAnswer(a).status(), onlyAnswer(b).status()));
+        assertEquals(
+                List.of(500, 200), List.of(onlyAnswer(a).status(), onlyAnswer(b).status()));
         assertEquals(List.of(1L, 2L), List.of(logged("KERNEL {\"type\":\"IODONE\""), logged("STORE CALL")));
     }
 
@@ -1055,7 +1074,9 @@
         sim.lastNotice--;
         sim.sendNotice("REAP", a.job, "bad", "");
         assertEquals("made", onlyAnswer(a).body());
-        assertEquals(List.of(0L, 1L), List.of(sim.counter("kernel_notices_unknown"), sim.counter("kernel_notices_repeated")));
+        assertEquals(
+                List.of(0L, 1L),
+                List.of(sim.counter("kernel_notices_unknown"), sim.counter("kernel_notices_repeated")));
     }
 
     /** The store may drop an idle link without notice, so an idle link is closed early. */
@@ -1200,7 +1221,8 @@
         sim.advance(45_000);
         assertEquals(0, logged("close "));
         sim.advance(2_000);
-        assertEquals(1, logged("close " + MAX_CALLERS / 2), "only the connection beyond half of the table may be closed");
+        assertEquals(
+                1, logged("close " + MAX_CALLERS / 2), "only the connection beyond half of the table may be closed");
         sim.advance(250_000);
         assertEquals(1, logged("close "));
         sim.advance(10_000);
--- a/daemon/src/test/java/tallyweir/ParsersTest.java
+++ b/daemon/src/test/java/tallyweir/ParsersTest.java
@@ -17,8 +17,8 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
 import org.junit.jupiter.api.Test;
-import tallyweir.fastcgi.RequestFields;
 import tallyweir.fastcgi.FastCgiReader;
+import tallyweir.fastcgi.RequestFields;
 import tallyweir.ids.JobId;
 import tallyweir.ids.RequestId;
 import tallyweir.kernel.Commands;
@@ -51,8 +51,8 @@
 
             @Override
             public void onRequest(RequestId id, RequestFields fields, byte[] body, boolean keep) {
-                out.add("request " + id.value() + " " + fields.string(RequestFields.PATH) + " " + new String(body, ISO_8859_1)
-                        + " " + keep);
+                out.add("request " + id.value() + " " + fields.string(RequestFields.PATH) + " "
+                        + new String(body, ISO_8859_1) + " " + keep);
                 done(id);
             }
 
@@ -171,10 +171,13 @@
         String accepted = "request 1 /do/a x true";
         assertEquals(
                 List.of("refused 1 TOO_BIG", accepted),
-                parseRequests(Model.request(1, new byte[FastCgiReader.MAX_BODY_BYTES + 1], false, 9, "SCRIPT_NAME", "/do/a"), next));
+                parseRequests(
+                        Model.request(1, new byte[FastCgiReader.MAX_BODY_BYTES + 1], false, 9, "SCRIPT_NAME", "/do/a"),
+                        next));
         assertEquals(
                 List.of("refused 1 TOO_BIG", accepted),
-                parseRequests(Model.request(1, new byte[0], true, 0, "A", "a".repeat(FastCgiReader.MAX_PARAMS_BYTES)), next));
+                parseRequests(
+                        Model.request(1, new byte[0], true, 0, "A", "a".repeat(FastCgiReader.MAX_PARAMS_BYTES)), next));
         byte[] begin = Model.record(1, 1, 0, new byte[] {0, 1, 1, 0, 0, 0, 0, 0});
         assertEquals(
                 List.of("refused 1 PARAMS", accepted),
@@ -184,7 +187,8 @@
                         Model.record(4, 1, 0, new byte[0]),
                         Model.record(5, 1, 0, new byte[0]),
                         next));
-        assertEquals(List.of("refused 1 PARAMS", accepted), parseRequests(begin, Model.record(5, 1, 0, new byte[0]), next));
+        assertEquals(
+                List.of("refused 1 PARAMS", accepted), parseRequests(begin, Model.record(5, 1, 0, new byte[0]), next));
         assertEquals(
                 List.of("refused 1 ROLE", accepted),
                 parseRequests(Model.record(1, 1, 0, new byte[] {0, 2, 1, 0, 0, 0, 0, 0}), next));
--- a/daemon/src/test/java/tallyweir/ProcessTest.java
+++ b/daemon/src/test/java/tallyweir/ProcessTest.java
@@ -6,14 +6,14 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static tallyweir.ServerTest.TIMEOUT_MS;
 import static tallyweir.ServerTest.answer;
+import static tallyweir.ServerTest.awaitAddress;
+import static tallyweir.ServerTest.awaitLine;
 import static tallyweir.ServerTest.check;
 import static tallyweir.ServerTest.dial;
 import static tallyweir.ServerTest.listener;
-import static tallyweir.ServerTest.awaitAddress;
-import static tallyweir.ServerTest.awaitLine;
-import static tallyweir.ServerTest.startProgram;
 import static tallyweir.ServerTest.query;
 import static tallyweir.ServerTest.signal;
+import static tallyweir.ServerTest.startProgram;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -210,11 +210,12 @@
             }
             List<CompletableFuture<Long>> ready = new ArrayList<>();
             for (Process p : backends) {
-                ready.add(CompletableFuture.supplyAsync(() -> millisUntilReady(p, from), Executors.newCachedThreadPool(r -> {
-                    Thread t = new Thread(r);
-                    t.setDaemon(true);
-                    return t;
-                })));
+                ready.add(CompletableFuture.supplyAsync(
+                        () -> millisUntilReady(p, from), Executors.newCachedThreadPool(r -> {
+                            Thread t = new Thread(r);
+                            t.setDaemon(true);
+                            return t;
+                        })));
             }
             for (CompletableFuture<Long> r : ready) {
                 millis.add(r.get(60, TimeUnit.SECONDS));
--- a/daemon/src/test/java/tallyweir/RetainedResultsTest.java
+++ b/daemon/src/test/java/tallyweir/RetainedResultsTest.java
@@ -13,8 +13,8 @@
 import tallyweir.BackendTest.Request;
 import tallyweir.BackendTest.Simulation;
 import tallyweir.ids.JobId;
-import tallyweir.results.Known;
 import tallyweir.results.IdempotencyKey;
+import tallyweir.results.Known;
 import tallyweir.results.ResultStore;
 
 /** The backend with results retained over restarts, between simulated kernel, sidecars and disk. */
@@ -60,7 +60,13 @@
 
         @Override
         public void record(
-                IdempotencyKey key, JobId job, long body, Known known, byte[] result, long until, Consumer<Boolean> done) {
+                IdempotencyKey key,
+                JobId job,
+                long body,
+                Known known,
+                byte[] result,
+                long until,
+                Consumer<Boolean> done) {
             write(key, new StoredResult(key, job, body, known, result, now, until), done);
         }
 
--- a/daemon/src/test/java/tallyweir/ServerTest.java
+++ b/daemon/src/test/java/tallyweir/ServerTest.java
@@ -27,8 +27,8 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import tallyweir.config.InvalidSettingException;
 import tallyweir.config.Config;
+import tallyweir.config.InvalidSettingException;
 import tallyweir.net.Server;
 
 /** The configuration, and one server on loopback sockets whose kernel is played by the test. */
@@ -57,7 +57,8 @@
     private static void assertFaulty(String from, String to, String key) {
         String text = BackendTest.CONFIG.replace(from, to);
         assertTrue(!text.equals(BackendTest.CONFIG), from);
-        InvalidSettingException e = assertThrows(InvalidSettingException.class, () -> Config.parse(text.getBytes(UTF_8), Map.of()));
+        InvalidSettingException e =
+                assertThrows(InvalidSettingException.class, () -> Config.parse(text.getBytes(UTF_8), Map.of()));
         assertTrue(e.getMessage().contains(key), e.getMessage());
     }
 
@@ -466,7 +467,8 @@
 
     static InetSocketAddress awaitAddress(BufferedReader log) throws IOException {
         return new InetSocketAddress(
-                "127.0.0.1", Integer.parseInt(awaitLine(log, "listens").replaceAll(".*address=\\S*:([0-9]+) .*", "$1")));
+                "127.0.0.1",
+                Integer.parseInt(awaitLine(log, "listens").replaceAll(".*address=\\S*:([0-9]+) .*", "$1")));
     }
 
     static String awaitLine(BufferedReader log, String what) throws IOException {
--- a/daemon/src/test/java/tallyweir/ShadowSettingsTest.java
+++ b/daemon/src/test/java/tallyweir/ShadowSettingsTest.java
@@ -18,8 +18,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import tallyweir.BackendTest.Simulation;
-import tallyweir.config.InvalidSettingException;
 import tallyweir.config.Config;
+import tallyweir.config.InvalidSettingException;
 import tallyweir.config.OperatorSettings;
 import tallyweir.config.Settings;
 
@@ -31,7 +31,9 @@
               "ClassSkipWorth":[0.3,0,0],"IdleUs":3000000,"MemLimitKb":1500}}""";
 
     private static Settings parseShadow(String shadowSettings) {
-        return OperatorSettings.parse((shadowSettings == null ? "{}" : "{\"watch\":{\"settings\":" + shadowSettings + "}}").getBytes(UTF_8))
+        return OperatorSettings.parse(
+                        (shadowSettings == null ? "{}" : "{\"watch\":{\"settings\":" + shadowSettings + "}}")
+                                .getBytes(UTF_8))
                 .shadowSettings(Config.parse(BackendTest.CONFIG.getBytes(UTF_8), Map.of()).settings);
     }
 
@@ -167,7 +169,8 @@
             {"Classes":[{"Name":"c","Effect":"safe"}]};  watch.settings.Classes lacks the class
             """)
     void aFaultyKeyIsNamed(String shadowSettings, String expected) {
-        String message = assertThrows(InvalidSettingException.class, () -> parseShadow(shadowSettings)).getMessage();
+        String message = assertThrows(InvalidSettingException.class, () -> parseShadow(shadowSettings))
+                .getMessage();
         assertTrue(message.contains(expected), message);
     }
 }
--- a/daemon/src/test/java/tallyweir/SocketRaceTest.java
+++ b/daemon/src/test/java/tallyweir/SocketRaceTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static tallyweir.ServerTest.TIMEOUT_MS;
 import static tallyweir.ServerTest.answer;
+import static tallyweir.ServerTest.awaitCommand;
 import static tallyweir.ServerTest.dial;
 import static tallyweir.ServerTest.listener;
-import static tallyweir.ServerTest.awaitCommand;
 import static tallyweir.ServerTest.query;
 
 import java.io.BufferedReader;
--- a/daemon/src/test/java/tallyweir/backend/FleetMembershipTest.java
+++ b/daemon/src/test/java/tallyweir/backend/FleetMembershipTest.java
@@ -88,7 +88,16 @@
         } else {
             Command.Report report = assertInstanceOf(Command.Report.class, sent.command());
             reports.add(report);
-            sent.answer(new Answer.ReportAccepted(report.reportNumber(), LEASE_TENTHS_MS, LEASE_TENTHS_MS, true, inForce, 0, proposed, Map.of(), REPORT_INTERVAL_TENTHS_MS));
+            sent.answer(new Answer.ReportAccepted(
+                    report.reportNumber(),
+                    LEASE_TENTHS_MS,
+                    LEASE_TENTHS_MS,
+                    true,
+                    inForce,
+                    0,
+                    proposed,
+                    Map.of(),
+                    REPORT_INTERVAL_TENTHS_MS));
         }
     }
 
@@ -100,7 +109,10 @@
     void aRevisionInForceIsFetchedUsedAndReportedByTheRootOfItsTable() {
         inForce = revision(1, FIRST_TABLE);
         runRounds(5_000);
-        assertEquals(RevisionId.NONE, lastReport().actingRevision(), "it does not act on a revision before it has its table");
+        assertEquals(
+                RevisionId.NONE,
+                lastReport().actingRevision(),
+                "it does not act on a revision before it has its table");
         RecordingFleetClient.Fetch fetch = client.fetches.poll();
         assertEquals(Table.EMPTY.root(), fetch.have().root());
         assertEquals(inForce, fetch.wanted());
@@ -143,7 +155,9 @@
         client.fetches.poll().answer(unknown);
         runRounds(5_000);
         assertEquals(proposed.id(), lastReport().checkedRevision());
-        assertTrue(lastReport().rejectReason().contains("z is unknown"), lastReport().rejectReason());
+        assertTrue(
+                lastReport().rejectReason().contains("z is unknown"),
+                lastReport().rejectReason());
         inForce = proposed; // although this server rejected it
         runRounds(5_000);
         assertEquals(RevisionId.NONE, lastReport().actingRevision());
@@ -152,8 +166,8 @@
     @Test
     void aFailedFetchIsRetriedBeforeTheRevisionIsReportedUnusable() {
         proposed = revision(1, FIRST_TABLE);
-        Fault damaged =
-                new Fault.DigestMismatch(FIRST_TABLE.root().value(), Digest.of("x").value());
+        Fault damaged = new Fault.DigestMismatch(
+                FIRST_TABLE.root().value(), Digest.of("x").value());
         int fetches = 0;
         for (int i = 0; i < 100 && reportedReason().equals(""); i++) {
             runRounds(1_000);
@@ -163,7 +177,8 @@
             }
         }
         assertEquals(5, fetches);
-        assertTrue(lastReport().rejectReason().contains("hashes to"), lastReport().rejectReason());
+        assertTrue(
+                lastReport().rejectReason().contains("hashes to"), lastReport().rejectReason());
         inForce = proposed;
         runRounds(2_000);
         client.fetches.poll().fail(damaged);
--- a/daemon/src/test/java/tallyweir/backend/RecordingFleetClient.java
+++ b/daemon/src/test/java/tallyweir/backend/RecordingFleetClient.java
@@ -23,7 +23,8 @@
     }
 
     /** A fetch without a result yet. */
-    record Fetch(Table have, RevisionRoot wanted, Executor executor, Consumer<Table> onTable, Consumer<Fault> onFailure) {
+    record Fetch(
+            Table have, RevisionRoot wanted, Executor executor, Consumer<Table> onTable, Consumer<Fault> onFailure) {
         void answer(Table table) {
             executor.execute(() -> onTable.accept(table));
         }
--- a/daemon/src/test/java/tallyweir/backend/RoutesTest.java
+++ b/daemon/src/test/java/tallyweir/backend/RoutesTest.java
@@ -83,7 +83,8 @@
         Routes routes = routes("{\"stores\":[{\"address\":\"250.1.2.3:65535\"},{\"address\":\"[fe80::1]:80\"}]}");
         assertEquals(
                 Set.of(new InetSocketAddress("250.1.2.3", 65_535), new InetSocketAddress("fe80::1", 80)),
-                Set.copyOf(routes.storesFor(A).stream().map(WeightedStore::address).toList()));
+                Set.copyOf(
+                        routes.storesFor(A).stream().map(WeightedStore::address).toList()));
     }
 
     @Test
--- a/daemon/src/test/java/tallyweir/config/OperatorSettingsTest.java
+++ b/daemon/src/test/java/tallyweir/config/OperatorSettingsTest.java
@@ -73,7 +73,8 @@
             {;                                                             not valid JSON
             """)
     void reportsTheInvalidKey(String json, String expected) {
-        String message = assertThrows(InvalidSettingException.class, () -> parse(json)).getMessage();
+        String message =
+                assertThrows(InvalidSettingException.class, () -> parse(json)).getMessage();
         assertTrue(message.contains(expected), message);
     }
 
--- a/durable/src/main/java/tallyweir/durable/AdminCommands.java
+++ b/durable/src/main/java/tallyweir/durable/AdminCommands.java
@@ -169,7 +169,8 @@
                 TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
                 progress.accept(f.get(StoreCounters.Counter.SCRUBBED_BYTES) - bytes);
                 if (store.isClosed()) {
-                    throw new StoreRefusedException(StoreRefusedException.Cause.CLOSED, "the store was closed before all was compared");
+                    throw new StoreRefusedException(
+                            StoreRefusedException.Cause.CLOSED, "the store was closed before all was compared");
                 }
             }
         } catch (InterruptedException e) {
--- a/durable/src/main/java/tallyweir/durable/AdminSocket.java
+++ b/durable/src/main/java/tallyweir/durable/AdminSocket.java
@@ -173,10 +173,13 @@
                     done -> writeLine(out, "*" + done, true));
             writeLine(out, ".", true);
         } catch (IOException | RuntimeException e) {
-            if (e instanceof UncheckedIOException disconnected && disconnected.getMessage().equals(CLIENT_DISCONNECTED)) {
+            if (e instanceof UncheckedIOException disconnected
+                    && disconnected.getMessage().equals(CLIENT_DISCONNECTED)) {
                 throw disconnected;
             }
-            String reason = e instanceof StoreRefusedException r ? r.reason() + ": " + r.getMessage() : String.valueOf(e.getMessage());
+            String reason = e instanceof StoreRefusedException r
+                    ? r.reason() + ": " + r.getMessage()
+                    : String.valueOf(e.getMessage());
             writeLine(out, "!" + reason.replace('\n', ' '), true);
         }
     }
--- a/durable/src/main/java/tallyweir/durable/Backup.java
+++ b/durable/src/main/java/tallyweir/durable/Backup.java
@@ -73,7 +73,9 @@
      */
     public static long copy(View from, Durable to, LongConsumer progress) throws IOException {
         if (to.keyCount() > 0) {
-            throw new StoreRefusedException(StoreRefusedException.Cause.AT_BOUND, "the store to copy to is not empty: " + to.keyCount() + " keys");
+            throw new StoreRefusedException(
+                    StoreRefusedException.Cause.AT_BOUND,
+                    "the store to copy to is not empty: " + to.keyCount() + " keys");
         }
         long copied = 0;
         for (String namespace : from.namespaces()) {
--- a/durable/src/main/java/tallyweir/durable/Committer.java
+++ b/durable/src/main/java/tallyweir/durable/Committer.java
@@ -20,7 +20,8 @@
     private static final int UPKEEP_STEP_BYTES = 64 << 10;
     private static final int UPKEEP_REST_FACTOR =
             3; // pause after an upkeep step while writers wait, in multiples of the step's duration
-    private static final long IDLE_POLL_INTERVAL_NANOS = 20_000_000; // between checks for upkeep while nothing is written
+    private static final long IDLE_POLL_INTERVAL_NANOS =
+            20_000_000; // between checks for upkeep while nothing is written
 
     private record PendingBatch(Batch batch, CompletableFuture<Void> answer) {}
 
@@ -48,7 +49,12 @@
     }
 
     /** Also records how long groups and upkeep steps take. */
-    Committer(Durable store, long maxPendingBytes, long minGroupIntervalNanos, long upkeepBytesPerSecond, StepTimes times) {
+    Committer(
+            Durable store,
+            long maxPendingBytes,
+            long minGroupIntervalNanos,
+            long upkeepBytesPerSecond,
+            StepTimes times) {
         this.store = store;
         this.times = times;
         this.maxPendingBytes = maxPendingBytes;
@@ -72,7 +78,8 @@
                 refused = new StoreRefusedException(Cause.CLOSED, "the store is closed");
             } else if (pendingBytes > 0 && pendingBytes + batch.bytes() > maxPendingBytes) {
                 refused = new StoreRefusedException(
-                        Cause.BUSY, pendingBytes + " bytes are waiting for the disk, the maximum is " + maxPendingBytes);
+                        Cause.BUSY,
+                        pendingBytes + " bytes are waiting for the disk, the maximum is " + maxPendingBytes);
             } else {
                 pendingBytes += batch.bytes();
                 pendingBatches.add(new PendingBatch(batch, answer));
@@ -121,7 +128,8 @@
         double allowanceBytes = UPKEEP_STEP_BYTES;
         boolean upkeepPending = true;
         while (true) {
-            ArrayDeque<PendingBatch> group = takeGroup(lastGroupAt, upkeepPending && allowanceBytes >= UPKEEP_STEP_BYTES ? 0 : IDLE_POLL_INTERVAL_NANOS);
+            ArrayDeque<PendingBatch> group = takeGroup(
+                    lastGroupAt, upkeepPending && allowanceBytes >= UPKEEP_STEP_BYTES ? 0 : IDLE_POLL_INTERVAL_NANOS);
             if (group == null) {
                 return;
             }
@@ -135,7 +143,8 @@
                 times.record(StepTimes.Step.GROUP, lastGroupAt, System.nanoTime());
             }
             long now = System.nanoTime();
-            allowanceBytes = Math.min(4.0 * UPKEEP_STEP_BYTES, allowanceBytes + (now - lastUpkeepAt) * upkeepBytesPerNano);
+            allowanceBytes =
+                    Math.min(4.0 * UPKEEP_STEP_BYTES, allowanceBytes + (now - lastUpkeepAt) * upkeepBytesPerNano);
             lastUpkeepAt = now;
             if (allowanceBytes >= UPKEEP_STEP_BYTES && (group.isEmpty() || now >= upkeepRestUntil)) {
                 upkeepPending = upkeep();
@@ -167,7 +176,8 @@
             if (pendingBatches.isEmpty() && !closing && maxWaitNanos > 0) {
                 wakeUp.awaitNanos(maxWaitNanos);
             }
-            long remainingNanos = pendingBatches.isEmpty() ? 0 : lastGroupAt + minGroupIntervalNanos - System.nanoTime();
+            long remainingNanos =
+                    pendingBatches.isEmpty() ? 0 : lastGroupAt + minGroupIntervalNanos - System.nanoTime();
             while (remainingNanos > 0 && !closing) {
                 wakeUp.awaitNanos(remainingNanos);
                 remainingNanos = lastGroupAt + minGroupIntervalNanos - System.nanoTime();
--- a/durable/src/main/java/tallyweir/durable/Compaction.java
+++ b/durable/src/main/java/tallyweir/durable/Compaction.java
@@ -76,7 +76,8 @@
         } else if (isExpired && (current || e == null)) {
             foundExpired = true;
             // Without a tombstone, an older version that never expires would be read again once this one is dropped.
-            if (log.isEnabled(Defence.EXPIRY_TOMBSTONE) && Upkeep.mayHideOlderValue(r.stamp(), victim, log.segments())) {
+            if (log.isEnabled(Defence.EXPIRY_TOMBSTONE)
+                    && Upkeep.mayHideOlderValue(r.stamp(), victim, log.segments())) {
                 g.tombstone(r.namespace(), r.key(), r.stamp());
             } else if (current) {
                 g.removeFromIndex(key);
--- a/durable/src/main/java/tallyweir/durable/Drill.java
+++ b/durable/src/main/java/tallyweir/durable/Drill.java
@@ -286,7 +286,8 @@
         return t;
     }
 
-    private static void playTakeover(SplittableRandom chance, Tally t, Set<Defence> without, String when) throws IOException {
+    private static void playTakeover(SplittableRandom chance, Tally t, Set<Defence> without, String when)
+            throws IOException {
         Machine m = new Machine(chance.nextLong());
         long seed = chance.nextLong();
         List<Durable> holders = new ArrayList<>();
@@ -504,7 +505,8 @@
         }
     }
 
-    private static void playDamage(DamagedCopies rig, Damage c, History h, Tally t, Set<Defence> without) throws IOException {
+    private static void playDamage(DamagedCopies rig, Damage c, History h, Tally t, Set<Defence> without)
+            throws IOException {
         Disk[] disks = rig.disksWith(c);
         try {
             t.countOpening();
--- a/durable/src/main/java/tallyweir/durable/Durable.java
+++ b/durable/src/main/java/tallyweir/durable/Durable.java
@@ -232,8 +232,10 @@
             for (int i = from; i < to; i++) {
                 if (answers[i] == null) {
                     figures.add(StoreCounters.Counter.BATCHES);
-                    figures.add(StoreCounters.Counter.RECORDS, batches.get(i).writes.size());
-                    figures.add(StoreCounters.Counter.RECORD_BYTES, batches.get(i).bytes());
+                    figures.add(
+                            StoreCounters.Counter.RECORDS, batches.get(i).writes.size());
+                    figures.add(
+                            StoreCounters.Counter.RECORD_BYTES, batches.get(i).bytes());
                 } else {
                     figures.countRefusal(answers[i]);
                 }
@@ -342,7 +344,8 @@
     }
 
     /** Writes records of another store unchanged, including their stamps. */
-    synchronized void importRecords(String namespace, List<StoredRecord> records, long bytes) throws StoreRefusedException {
+    synchronized void importRecords(String namespace, List<StoredRecord> records, long bytes)
+            throws StoreRefusedException {
         Group g = new Group(state, log.segmentFor(bytes), namespaces, bytes + 2 * Format.FRAME_HEADER_BYTES);
         int n = namespaceNumbers.get(namespace);
         for (StoredRecord f : records) {
@@ -478,7 +481,8 @@
             case DELETE -> log.deleteRetired();
             case MEND -> repair(damagedSegments.poll());
             case COMPACT -> compact(bytes, now);
-            case CHOOSE -> compaction = new Compaction(log, upkeep.compactionCandidate(log.segments(), log.active(), false));
+            case CHOOSE ->
+                compaction = new Compaction(log, upkeep.compactionCandidate(log.segments(), log.active(), false));
             case SWEEP -> upkeep.onSweepStep(sweep((int) Math.max(1, bytes / 256), now));
             case SNAPSHOT -> snapshot();
             case SCRUB -> scrub(bytes);
@@ -646,7 +650,10 @@
         snapshotInProgress = true;
         Map<Integer, IndexSnapshot.SegmentState> segments = new HashMap<>();
         for (Segment s : log.segments()) {
-            segments.put(s.number, new IndexSnapshot.SegmentState(s.endFrame, s.endOffset, s.valueCount, s.tombstoneBytes, s.lastTombstoneStamp));
+            segments.put(
+                    s.number,
+                    new IndexSnapshot.SegmentState(
+                            s.endFrame, s.endOffset, s.valueCount, s.tombstoneBytes, s.lastTombstoneStamp));
         }
         Log.FrameLocation last = log.lastFrame();
         IndexSnapshot f = new IndexSnapshot(
--- a/durable/src/main/java/tallyweir/durable/Fence.java
+++ b/durable/src/main/java/tallyweir/durable/Fence.java
@@ -85,7 +85,8 @@
      */
     void increment() throws IOException {
         if (highestNumber() > numberAtOpening) {
-            throw new StoreRefusedException(StoreRefusedException.Cause.FENCED, "another process has opened the store since: open it again");
+            throw new StoreRefusedException(
+                    StoreRefusedException.Cause.FENCED, "another process has opened the store since: open it again");
         }
         ByteBuffer b = ByteBuffer.allocate(SIZE_BYTES).putInt(0, MAGIC).putLong(4, numberAtOpening + 1);
         b.putInt(12, checksum(b));
--- a/durable/src/main/java/tallyweir/durable/FileDisk.java
+++ b/durable/src/main/java/tallyweir/durable/FileDisk.java
@@ -62,7 +62,8 @@
     @Override
     public Handle open(String name) throws IOException {
         try {
-            return newHandle(name, FileChannel.open(directory.resolve(name), StandardOpenOption.READ, StandardOpenOption.WRITE));
+            return newHandle(
+                    name, FileChannel.open(directory.resolve(name), StandardOpenOption.READ, StandardOpenOption.WRITE));
         } catch (NoSuchFileException e) {
             throw e;
         } catch (FileSystemException e) {
@@ -98,7 +99,9 @@
         return new FileHandle(
                 channel,
                 times,
-                !isLogFile ? StepTimes.Step.SNAPSHOT : secondCopy ? StepTimes.Step.FORCE_SECOND : StepTimes.Step.FORCE_FIRST,
+                !isLogFile
+                        ? StepTimes.Step.SNAPSHOT
+                        : secondCopy ? StepTimes.Step.FORCE_SECOND : StepTimes.Step.FORCE_FIRST,
                 !isLogFile ? null : secondCopy ? StepTimes.Step.WRITE_SECOND : StepTimes.Step.WRITE_FIRST);
     }
 
@@ -111,7 +114,8 @@
     public void forceDirectory() throws IOException {
         long startedAt = System.nanoTime();
         force(directory);
-        times.record(secondCopy ? StepTimes.Step.NAMES_SECOND : StepTimes.Step.NAMES_FIRST, startedAt, System.nanoTime());
+        times.record(
+                secondCopy ? StepTimes.Step.NAMES_SECOND : StepTimes.Step.NAMES_FIRST, startedAt, System.nanoTime());
     }
 
     /** A lock of the operating system, released when the process ends in any way. */
@@ -122,7 +126,8 @@
         }
         FileChannel c;
         try {
-            c = FileChannel.open(directory.resolve(LOCK_FILE_NAME), StandardOpenOption.WRITE, StandardOpenOption.CREATE);
+            c = FileChannel.open(
+                    directory.resolve(LOCK_FILE_NAME), StandardOpenOption.WRITE, StandardOpenOption.CREATE);
         } catch (AccessDeniedException e) {
             return () -> {}; // a directory without write permission is opened for reading, and every write refused
         }
@@ -133,10 +138,12 @@
             }
         } catch (OverlappingFileLockException e) {
             c.close();
-            throw new StoreRefusedException(StoreRefusedException.Cause.IN_USE, description() + " is open in this process already", e);
+            throw new StoreRefusedException(
+                    StoreRefusedException.Cause.IN_USE, description() + " is open in this process already", e);
         }
         c.close();
-        throw new StoreRefusedException(StoreRefusedException.Cause.IN_USE, description() + " is in use by another process: end it first");
+        throw new StoreRefusedException(
+                StoreRefusedException.Cause.IN_USE, description() + " is in use by another process: end it first");
     }
 
     @Override
@@ -144,7 +151,8 @@
         return directory.toString();
     }
 
-    private record FileHandle(FileChannel channel, StepTimes times, StepTimes.Step forceStep, StepTimes.Step writeStep) implements Handle {
+    private record FileHandle(FileChannel channel, StepTimes times, StepTimes.Step forceStep, StepTimes.Step writeStep)
+            implements Handle {
         @Override
         public int read(long at, ByteBuffer into) throws IOException {
             return channel.read(into, at);
--- a/durable/src/main/java/tallyweir/durable/Format.java
+++ b/durable/src/main/java/tallyweir/durable/Format.java
@@ -69,7 +69,8 @@
     }
 
     /** Writes the header for a content of the given length. The checksum of a head does not cover the store id. */
-    static void writeFrameHeader(byte[] b, int at, byte kind, int length, long number, long storeId, int segment, long offset) {
+    static void writeFrameHeader(
+            byte[] b, int at, byte kind, int length, long number, long storeId, int segment, long offset) {
         ByteBuffer.wrap(b, at, FRAME_HEADER_BYTES)
                 .putInt(MAGIC)
                 .putInt(kind << 24)
@@ -99,7 +100,8 @@
     }
 
     /** Writes a record at an index and returns the index after it. */
-    static int writeRecord(byte[] b, int at, byte type, int namespace, long stamp, long expiresAt, byte[] key, byte[] value) {
+    static int writeRecord(
+            byte[] b, int at, byte type, int namespace, long stamp, long expiresAt, byte[] key, byte[] value) {
         int length = value == null ? 0 : value.length;
         ByteBuffer out = ByteBuffer.wrap(b);
         out.position(at + 4);
@@ -163,7 +165,8 @@
                     && valueLength() >= 0
                     && keyLength() <= end - index - RECORD_HEADER_BYTES
                     && valueLength() <= end - index - RECORD_HEADER_BYTES - keyLength()
-                    && (!verifyChecksum || ByteBuffer.wrap(buffer).getInt(index) == checksum(buffer, index + 4, length() - 4));
+                    && (!verifyChecksum
+                            || ByteBuffer.wrap(buffer).getInt(index) == checksum(buffer, index + 4, length() - 4));
         }
     }
 }
--- a/durable/src/main/java/tallyweir/durable/History.java
+++ b/durable/src/main/java/tallyweir/durable/History.java
@@ -289,8 +289,9 @@
                     if (v == null) {
                         deviations.add("returned: " + n.name() + "/" + key + " must not exist");
                     } else if (!v.matches(f)) {
-                        deviations.add((writtenValueHashes.contains(Arrays.hashCode(f.value())) ? "lost: " : "returned: ") + n.name()
-                                + "/" + key + " is not as last written");
+                        deviations.add(
+                                (writtenValueHashes.contains(Arrays.hashCode(f.value())) ? "lost: " : "returned: ")
+                                        + n.name() + "/" + key + " is not as last written");
                     }
                 }
                 missing.keySet().forEach(key -> deviations.add("lost: " + n.name() + "/" + key));
--- a/durable/src/main/java/tallyweir/durable/Index.java
+++ b/durable/src/main/java/tallyweir/durable/Index.java
@@ -238,7 +238,8 @@
     }
 
     private static int compare(byte[] leaf, int i, byte[] key) {
-        return Arrays.compareUnsigned(leaf, entryStart(leaf, i) + ENTRY_HEADER_BYTES, entryEnd(leaf, i), key, 0, key.length);
+        return Arrays.compareUnsigned(
+                leaf, entryStart(leaf, i) + ENTRY_HEADER_BYTES, entryEnd(leaf, i), key, 0, key.length);
     }
 
     /** The position of a key's entry, or -1 minus the position at which it would be inserted. */
--- a/durable/src/main/java/tallyweir/durable/Kills.java
+++ b/durable/src/main/java/tallyweir/durable/Kills.java
@@ -56,7 +56,8 @@
         }
     }
 
-    private static void runWriterUntilKilled(Path dir, SplittableRandom random, Set<Defence> disabled, Map<Integer, Long> acknowledged)
+    private static void runWriterUntilKilled(
+            Path dir, SplittableRandom random, Set<Defence> disabled, Map<Integer, Long> acknowledged)
             throws IOException, InterruptedException {
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -97,7 +98,8 @@
         }
     }
 
-    private static void checkStore(Path dir, Set<Defence> disabled, Map<Integer, Long> acknowledged, Drill.Tally tally, String when) {
+    private static void checkStore(
+            Path dir, Set<Defence> disabled, Map<Integer, Long> acknowledged, Drill.Tally tally, String when) {
         try (SideBySide both = new SideBySide();
                 Durable d = open(dir, both, disabled)) {
             tally.countOpening();
@@ -106,11 +108,13 @@
                 long version = f == null ? 0 : ByteBuffer.wrap(f.value()).getLong();
                 if (version < acknowledged.getOrDefault(key, 0L)) {
                     tally.countViolations(
-                            List.of("lost: key " + key + " is at " + version + ", acknowledged was " + acknowledged.get(key)),
+                            List.of("lost: key " + key + " is at " + version + ", acknowledged was "
+                                    + acknowledged.get(key)),
                             when);
                 }
                 if (f != null && !Arrays.equals(f.value(), value(key, version))) {
-                    tally.countViolations(List.of("returned: key " + key + " is not what was written as version " + version), when);
+                    tally.countViolations(
+                            List.of("returned: key " + key + " is not what was written as version " + version), when);
                 }
             }
         } catch (IOException | RuntimeException e) {
--- a/durable/src/main/java/tallyweir/durable/Log.java
+++ b/durable/src/main/java/tallyweir/durable/Log.java
@@ -34,7 +34,14 @@
     private Fence fence;
     private boolean otherProcessWrote;
 
-    Log(Disk first, Disk second, CopyExecutor both, int segmentBytes, int sector, Set<Defence> disabled, StoreCounters figures) {
+    Log(
+            Disk first,
+            Disk second,
+            CopyExecutor both,
+            int segmentBytes,
+            int sector,
+            Set<Defence> disabled,
+            StoreCounters figures) {
         this.disks = new Disk[] {first, second};
         this.both = both;
         this.segmentBytes = segmentBytes;
@@ -110,7 +117,9 @@
 
     /** Whether another process has taken the store over. */
     boolean isFenced() {
-        return isEnabled(Defence.FENCE) && fence != null && (otherProcessWrote || fence.isIncremented() && fence.isSuperseded());
+        return isEnabled(Defence.FENCE)
+                && fence != null
+                && (otherProcessWrote || fence.isIncremented() && fence.isSuperseded());
     }
 
     /** The fencing number of this opening (its turn), 0 if nothing can be written. */
@@ -134,7 +143,8 @@
             otherProcessWrote = true;
             throw figures.countRefusal(r);
         } catch (IOException e) {
-            throw figures.countRefusal(new StoreRefusedException(Cause.NO_ROOM, "the store's turn cannot be written: " + e.getMessage(), e));
+            throw figures.countRefusal(new StoreRefusedException(
+                    Cause.NO_ROOM, "the store's turn cannot be written: " + e.getMessage(), e));
         }
     }
 
@@ -143,7 +153,8 @@
         for (int c = 0; c < copies(); c++) {
             otherProcessWrote |= disks[c].fileNames().stream().anyMatch(n -> Format.segmentNumber(n) > lastSegment)
                     || newest != null
-                            && new FrameBuffer(newest.copies[c]).loadFrame(newest.endOffset, nextFrame, storeId, newest.number, true)
+                            && new FrameBuffer(newest.copies[c])
+                                            .loadFrame(newest.endOffset, nextFrame, storeId, newest.number, true)
                                     >= 0;
         }
         if (otherProcessWrote) {
@@ -154,7 +165,8 @@
     private void checkNotFenced() throws StoreRefusedException {
         if (isFenced()) {
             active = null;
-            throw figures.countRefusal(new StoreRefusedException(Cause.FENCED, "another process has taken the store over"));
+            throw figures.countRefusal(
+                    new StoreRefusedException(Cause.FENCED, "another process has taken the store over"));
         }
     }
 
@@ -204,7 +216,9 @@
         raiseFenceBeforeFirstWrite();
         int number = ++lastSegment;
         List<SegmentHead.OlderSegment> older = new ArrayList<>();
-        segments.values().forEach(s -> older.add(new SegmentHead.OlderSegment(s.number, s.firstFrame, s.createdStamp, s.endFrame, s.endOffset)));
+        segments.values()
+                .forEach(s -> older.add(
+                        new SegmentHead.OlderSegment(s.number, s.firstFrame, s.createdStamp, s.endFrame, s.endOffset)));
         byte[] head = new SegmentHead(storeId, number, nextFrame, lastStamp, opening, names, older).toBytes();
         byte[] b = new byte[(int) Format.align(Format.FRAME_HEADER_BYTES + head.length, sector)];
         System.arraycopy(head, 0, b, Format.FRAME_HEADER_BYTES, head.length);
@@ -219,7 +233,8 @@
                     deleteFile(c, number);
                 }
             }
-            throw figures.countRefusal(new StoreRefusedException(Cause.NO_ROOM, "no new segment can be started: " + e.getMessage(), e));
+            throw figures.countRefusal(
+                    new StoreRefusedException(Cause.NO_ROOM, "no new segment can be started: " + e.getMessage(), e));
         }
         Segment s = new Segment(number, nextFrame, lastStamp, files[0], files[1]);
         s.endFrame = nextFrame;
@@ -305,8 +320,10 @@
             }
             throw figures.countRefusal(
                     e instanceof ForceFailed || !wipePartialFrame(s)
-                            ? new StoreRefusedException(Cause.UNKNOWN, "the disk did not confirm the records: " + e.getMessage(), e)
-                            : new StoreRefusedException(Cause.NO_ROOM, "the records cannot be written: " + e.getMessage(), e));
+                            ? new StoreRefusedException(
+                                    Cause.UNKNOWN, "the disk did not confirm the records: " + e.getMessage(), e)
+                            : new StoreRefusedException(
+                                    Cause.NO_ROOM, "the records cannot be written: " + e.getMessage(), e));
         }
         checkNotFenced();
         lastFrame = new FrameLocation(s.number, s.endOffset, ByteBuffer.wrap(b).getInt(12));
@@ -341,7 +358,9 @@
             try {
                 if (s.copies[c] != null
                         && s.copies[c].readFully(e.offset(), ByteBuffer.wrap(b)) == b.length
-                        && (isEnabled(Defence.CHECKSUM) ? matches(b, e) : new Format.RecordView(b, 0).isIntact(b.length, false))) {
+                        && (isEnabled(Defence.CHECKSUM)
+                                ? matches(b, e)
+                                : new Format.RecordView(b, 0).isIntact(b.length, false))) {
                     if (c > 0) {
                         figures.add(StoreCounters.Counter.SECOND_READS);
                     }
@@ -361,7 +380,13 @@
                 && r.type() == Format.PUT
                 && r.stamp() == e.stamp()
                 && r.namespace() == e.namespace()
-                && Arrays.equals(b, Format.RECORD_HEADER_BYTES, Format.RECORD_HEADER_BYTES + r.keyLength(), e.key(), 2, e.key().length);
+                && Arrays.equals(
+                        b,
+                        Format.RECORD_HEADER_BYTES,
+                        Format.RECORD_HEADER_BYTES + r.keyLength(),
+                        e.key(),
+                        2,
+                        e.key().length);
     }
 
     /** Removes a segment from the log; its files are deleted once no reader has it pinned. */
--- a/durable/src/main/java/tallyweir/durable/Opening.java
+++ b/durable/src/main/java/tallyweir/durable/Opening.java
@@ -203,8 +203,10 @@
      * Finds the segments compacted away since the newest one was created: those the newest has a record of, and those
      * older than the snapshot but missing in it.
      */
-    private void findDropped(Segment newest, Iterable<SegmentHead.OlderSegment> older, IndexSnapshot snapshot) throws IOException {
-        IndexSnapshot.SegmentState covered = snapshot == null ? null : snapshot.segments().get(newest.number);
+    private void findDropped(Segment newest, Iterable<SegmentHead.OlderSegment> older, IndexSnapshot snapshot)
+            throws IOException {
+        IndexSnapshot.SegmentState covered =
+                snapshot == null ? null : snapshot.segments().get(newest.number);
         SegmentReader walk = covered == null
                 ? new SegmentReader(log, newest, 0, newest.firstFrame, Long.MAX_VALUE, true)
                 : new SegmentReader(log, newest, covered.endOffset(), covered.endFrame(), Long.MAX_VALUE, true);
@@ -236,7 +238,8 @@
         }
     }
 
-    private void read(Segment s, SegmentHead.OlderSegment bounds, IndexSnapshot.SegmentState covered, boolean suspect) throws IOException {
+    private void read(Segment s, SegmentHead.OlderSegment bounds, IndexSnapshot.SegmentState covered, boolean suspect)
+            throws IOException {
         long limit = bounds == null ? Long.MAX_VALUE : bounds.endFrame();
         long place = covered == null ? 0 : covered.endOffset();
         long frame = covered == null ? s.firstFrame : covered.endFrame();
@@ -300,7 +303,8 @@
             case Format.PUT -> {
                 s.valueCount++;
                 if (newer) {
-                    index = index.put(new Index.Entry(key, r.stamp(), s.number, (int) place, r.length(), r.expiresAt()));
+                    index = index.put(
+                            new Index.Entry(key, r.stamp(), s.number, (int) place, r.length(), r.expiresAt()));
                 }
             }
             case Format.DELETE -> {
--- a/durable/src/main/java/tallyweir/durable/SegmentReader.java
+++ b/durable/src/main/java/tallyweir/durable/SegmentReader.java
@@ -35,7 +35,9 @@
         this.limitFrame = limitFrame;
         nextOffset = offset;
         nextFrame = frame;
-        buffers = new FrameBuffer[] {new FrameBuffer(segment.copies[0]), new FrameBuffer(log.copies() > 1 ? segment.copies[1] : null)};
+        buffers = new FrameBuffer[] {
+            new FrameBuffer(segment.copies[0]), new FrameBuffer(log.copies() > 1 ? segment.copies[1] : null)
+        };
     }
 
     /** Moves to the next frame before the limit; false at the end. Throws only if neither copy can be read at all. */
@@ -105,7 +107,8 @@
         }
         int length = (int) Format.align(Format.FRAME_HEADER_BYTES + contentLength(), log.sector());
         byte[] frame = new byte[length];
-        System.arraycopy(buffers[sourceCopy].buffer(), frameIndex, frame, 0, Format.FRAME_HEADER_BYTES + contentLength());
+        System.arraycopy(
+                buffers[sourceCopy].buffer(), frameIndex, frame, 0, Format.FRAME_HEADER_BYTES + contentLength());
         try {
             if (segment.copies[copy] == null) {
                 throw new IOException("the file could not be recreated");
@@ -145,7 +148,8 @@
     }
 
     int contentLength() {
-        return Format.contentLength(buffers[sourceCopy].buffer(), frameIndex, buffers[sourceCopy].buffer()[frameIndex + 4]);
+        return Format.contentLength(
+                buffers[sourceCopy].buffer(), frameIndex, buffers[sourceCopy].buffer()[frameIndex + 4]);
     }
 
     byte[] buffer() {
--- a/durable/src/main/java/tallyweir/durable/SimDisk.java
+++ b/durable/src/main/java/tallyweir/durable/SimDisk.java
@@ -325,7 +325,12 @@
                     for (int s : content.dirty) {
                         int from = s * sector;
                         if (from < content.size) {
-                            System.arraycopy(content.current, from, content.durable, from, Math.min(sector, content.size - from));
+                            System.arraycopy(
+                                    content.current,
+                                    from,
+                                    content.durable,
+                                    from,
+                                    Math.min(sector, content.size - from));
                         }
                     }
                     content.durableSize = content.size;
--- a/durable/src/main/java/tallyweir/durable/StoreCounters.java
+++ b/durable/src/main/java/tallyweir/durable/StoreCounters.java
@@ -60,7 +60,8 @@
     }
 
     private final EnumMap<Counter, LongAdder> counters = new EnumMap<>(Counter.class);
-    private final EnumMap<StoreRefusedException.Cause, LongAdder> refusals = new EnumMap<>(StoreRefusedException.Cause.class);
+    private final EnumMap<StoreRefusedException.Cause, LongAdder> refusals =
+            new EnumMap<>(StoreRefusedException.Cause.class);
 
     public StoreCounters() {
         for (Counter of : Counter.values()) {
--- a/durable/src/main/java/tallyweir/durable/Upkeep.java
+++ b/durable/src/main/java/tallyweir/durable/Upkeep.java
@@ -71,7 +71,9 @@
         addRule(() -> sweeping || this.now - lastSweepAt >= this.sweepInterval, Job.SWEEP);
         addRule(() -> bytesSinceSnapshot > Math.max(this.segmentBytes, 2 * snapshotBytes), Job.SNAPSHOT);
         addRule(
-                () -> scrubbing || scrubRequested || this.scrubInterval > 0 && this.now - lastScrubAt >= this.scrubInterval,
+                () -> scrubbing
+                        || scrubRequested
+                        || this.scrubInterval > 0 && this.now - lastScrubAt >= this.scrubInterval,
                 Job.SCRUB);
     }
 
--- a/durable/src/main/java/tallyweir/durable/View.java
+++ b/durable/src/main/java/tallyweir/durable/View.java
@@ -62,7 +62,8 @@
         return found(log, log.segment(e.segment()), e, pinned, figures);
     }
 
-    static StoredRecord found(Log log, Segment s, Index.Entry e, List<Segment> pinned, StoreCounters figures) throws StoreRefusedException {
+    static StoredRecord found(Log log, Segment s, Index.Entry e, List<Segment> pinned, StoreCounters figures)
+            throws StoreRefusedException {
         Segment of = s;
         for (int i = 0; of == null && i < pinned.size(); i++) {
             of = pinned.get(i).number == e.segment() ? pinned.get(i) : null;
--- a/durable/src/test/java/tallyweir/durable/AdminSocketTest.java
+++ b/durable/src/test/java/tallyweir/durable/AdminSocketTest.java
@@ -37,7 +37,16 @@
 
     private FileStore open() throws IOException {
         return new FileStore(
-                dir.resolve("first"), dir.resolve("second"), 64 << 10, 4_096, 0.5, 0, 1 << 20, 0, 256 << 20, NAMESPACES);
+                dir.resolve("first"),
+                dir.resolve("second"),
+                64 << 10,
+                4_096,
+                0.5,
+                0,
+                1 << 20,
+                0,
+                256 << 20,
+                NAMESPACES);
     }
 
     @BeforeEach
--- a/durable/src/test/java/tallyweir/durable/CommitterTest.java
+++ b/durable/src/test/java/tallyweir/durable/CommitterTest.java
@@ -84,7 +84,9 @@
             }
             assertEquals(null, wrong.get());
             assertEquals(WRITERS * WRITES_PER_WRITER, d.figures().get(StoreCounters.Counter.BATCHES));
-            assertTrue(d.figures().get(StoreCounters.Counter.GROUPS) < WRITERS * WRITES_PER_WRITER, "no two batches shared a group");
+            assertTrue(
+                    d.figures().get(StoreCounters.Counter.GROUPS) < WRITERS * WRITES_PER_WRITER,
+                    "no two batches shared a group");
             assertTrue(d.figures().get(StoreCounters.Counter.COMPACTED) > 0, "nothing was compacted during the writes");
         }
     }
--- a/durable/src/test/java/tallyweir/durable/DurableTest.java
+++ b/durable/src/test/java/tallyweir/durable/DurableTest.java
@@ -83,7 +83,8 @@
         try (Durable d = open()) {
             d.commit(new Batch().put("a", new byte[0], new byte[0]).put("a", longest, largest));
             assertEquals(Cause.TOO_LONG, refusal(d, new Batch().put("a", new byte[Format.MAX_KEY_BYTES + 1], b(""))));
-            assertEquals(Cause.TOO_LONG, refusal(d, new Batch().put("a", b("k"), new byte[Format.MAX_VALUE_BYTES + 1])));
+            assertEquals(
+                    Cause.TOO_LONG, refusal(d, new Batch().put("a", b("k"), new byte[Format.MAX_VALUE_BYTES + 1])));
             assertEquals(
                     Cause.TOO_LONG,
                     refusal(d, new Batch().put("a", b("k"), largest).put("a", b("l"), largest)));
@@ -151,7 +152,9 @@
             assertNull(d.get("a", b("k")), "an expired record is found again");
             d.commit(new Batch().put("a", b("n"), b("v")));
             assertEquals(
-                    List.of("l", "m", "n"), keys(d.view().writtenBetween("a", 0, 1L << 45)), "not in the order of writing");
+                    List.of("l", "m", "n"),
+                    keys(d.view().writtenBetween("a", 0, 1L << 45)),
+                    "not in the order of writing");
             assertEquals(List.of("m", "n"), keys(d.view().writtenBetween("a", then + 1, then + 50_000)));
         }
         try (Durable d = open()) {
@@ -256,14 +259,27 @@
     @Test
     void secondOpeningIsRefused(@TempDir Path dir) throws IOException {
         try (Durable d = open()) {
-            assertEquals(Cause.IN_USE, assertThrows(StoreRefusedException.class, this::open).reason());
+            assertEquals(
+                    Cause.IN_USE,
+                    assertThrows(StoreRefusedException.class, this::open).reason());
             d.commit(new Batch().put("a", b("k"), b("v")));
         }
         open().close();
         FileDisk one = new FileDisk(dir.resolve("one"));
         FileDisk other = new FileDisk(dir.resolve("other"));
         try (Durable d = new Durable(
-                one, other, CopyExecutor.SEQUENTIAL, 4_096, 512, 0.5, 0, SPACES, 1, () -> clock, Runnable::run, Set.of())) {
+                one,
+                other,
+                CopyExecutor.SEQUENTIAL,
+                4_096,
+                512,
+                0.5,
+                0,
+                SPACES,
+                1,
+                () -> clock,
+                Runnable::run,
+                Set.of())) {
             assertEquals(
                     Cause.IN_USE,
                     assertThrows(
@@ -388,7 +404,18 @@
         damage(second, Format.segmentFileName(2), 512 * 3 + 30, 40);
         damage(first, Format.segmentFileName(3), 10, 4);
         try (Durable d = new Durable(
-                first, second, CopyExecutor.SEQUENTIAL, 4_096, 512, 0.5, 1_000, SPACES, 1, () -> clock, Runnable::run, Set.of())) {
+                first,
+                second,
+                CopyExecutor.SEQUENTIAL,
+                4_096,
+                512,
+                0.5,
+                1_000,
+                SPACES,
+                1,
+                () -> clock,
+                Runnable::run,
+                Set.of())) {
             clock += 2_000;
             while (d.figures().get(StoreCounters.Counter.SCRUBS) == 0) {
                 assertTrue(d.upkeep(1_024), "the scrub ended early");
@@ -533,7 +560,18 @@
         first = new SimDisk(power, 512, "first");
         second = new SimDisk(power, 512, "second");
         try (Durable d = new Durable(
-                first, second, CopyExecutor.SEQUENTIAL, 4_096, 512, 0.5, 0, SPACES, 99, () -> clock, Runnable::run, Set.of())) {
+                first,
+                second,
+                CopyExecutor.SEQUENTIAL,
+                4_096,
+                512,
+                0.5,
+                0,
+                SPACES,
+                99,
+                () -> clock,
+                Runnable::run,
+                Set.of())) {
             for (int i = 0; i < 300; i++) {
                 d.commit(new Batch().put("a", b("k"), b("foreign")));
             }
--- a/durable/src/test/java/tallyweir/durable/IndexTest.java
+++ b/durable/src/test/java/tallyweir/durable/IndexTest.java
@@ -81,7 +81,8 @@
                 snapshotEntries = all(snapshot);
             }
         }
-        List<String> expectedEntries = expected.values().stream().map(IndexTest::text).toList();
+        List<String> expectedEntries =
+                expected.values().stream().map(IndexTest::text).toList();
         assertEquals(expectedEntries, all(index));
         assertEquals(expected.size(), index.size());
         assertEquals(snapshotEntries, all(snapshot), "an older index has changed");
--- a/durable/src/test/java/tallyweir/durable/UpkeepTest.java
+++ b/durable/src/test/java/tallyweir/durable/UpkeepTest.java
@@ -64,7 +64,8 @@
         Segment a = segment(1, 1_000, 600, 10, 6);
         Segment b = segment(2, 1_000, 450, 10, 5);
         Segment c = segment(3, 1_000, 900, 10, 9);
-        assertNull(upkeep.compactionCandidate(List.of(a, b, c), null, false), "1,050 of 3,000 dead bytes is below half");
+        assertNull(
+                upkeep.compactionCandidate(List.of(a, b, c), null, false), "1,050 of 3,000 dead bytes is below half");
         assertSame(b, upkeep.compactionCandidate(List.of(a, b, c), null, true));
         a.liveBytes = 100;
         assertSame(a, upkeep.compactionCandidate(List.of(a, b, c), null, false));
@@ -90,7 +91,8 @@
         Segment later = segment(3, 1_000, 0, 10, 0);
         assertFalse(Upkeep.mayHideOlderValue(with, List.of(old, with, later)), "a later segment holds no older values");
         with.currentCount = 0;
-        assertFalse(Upkeep.mayHideOlderValue(with, List.of(old, with)), "its own dead values are dropped together with it");
+        assertFalse(
+                Upkeep.mayHideOlderValue(with, List.of(old, with)), "its own dead values are dropped together with it");
     }
 
     /** Otherwise a store with few long-lived and many short-lived keys would fill with tombstones. */
--- a/fleet/src/main/java/tallyweir/fleet/CapPool.java
+++ b/fleet/src/main/java/tallyweir/fleet/CapPool.java
@@ -226,7 +226,8 @@
         List<LendingPart.ShareState> saved = new ArrayList<>();
         shares.forEach(
                 (place, share) -> saved.add(new LendingPart.ShareState(place, share.granted, share.want, share.extra)));
-        return new LendingPart.PoolState(tenant, cap, fairLevel, levelComputedAt, firstExtra, List.copyOf(earlierFloors), saved);
+        return new LendingPart.PoolState(
+                tenant, cap, fairLevel, levelComputedAt, firstExtra, List.copyOf(earlierFloors), saved);
     }
 
     void load(LendingPart.PoolState state) {
--- a/fleet/src/main/java/tallyweir/fleet/ChangeRecord.java
+++ b/fleet/src/main/java/tallyweir/fleet/ChangeRecord.java
@@ -73,7 +73,16 @@
     /** @param more number of snapshot parts with its changes that follow */
     SnapshotPart.Record save(int changeParts) {
         return new SnapshotPart.Record(
-                command, kind, author, reason, forced, requestedAtMs, outcome, revision, Optional.ofNullable(fault), changeParts);
+                command,
+                kind,
+                author,
+                reason,
+                forced,
+                requestedAtMs,
+                outcome,
+                revision,
+                Optional.ofNullable(fault),
+                changeParts);
     }
 
     /** Its revision was rejected as a whole: it waits to become part of another. */
--- a/fleet/src/main/java/tallyweir/fleet/Command.java
+++ b/fleet/src/main/java/tallyweir/fleet/Command.java
@@ -62,7 +62,12 @@
      *     command is rejected
      */
     record Publish(
-            OperatorCommandId command, RevisionId expected, List<Change> changes, String author, String reason, boolean force)
+            OperatorCommandId command,
+            RevisionId expected,
+            List<Change> changes,
+            String author,
+            String reason,
+            boolean force)
             implements Command {}
 
     /**
@@ -72,6 +77,12 @@
             implements Command {}
 
     /** An operator rolls back to an earlier revision: proposes a new one with the same table. */
-    record Rollback(OperatorCommandId command, RevisionId expected, RevisionId target, String author, String reason, boolean force)
+    record Rollback(
+            OperatorCommandId command,
+            RevisionId expected,
+            RevisionId target,
+            String author,
+            String reason,
+            boolean force)
             implements Command {}
 }
--- a/fleet/src/main/java/tallyweir/fleet/Explorer.java
+++ b/fleet/src/main/java/tallyweir/fleet/Explorer.java
@@ -82,7 +82,8 @@
         private boolean hasUnknownTable; // the table in use belongs to no revision
         private RevisionRoot revisionToAct = RevisionRoot.NONE;
         private RevisionRoot revisionToCheck = RevisionRoot.NONE;
-        private final ArrayDeque<Long> openQueries = new ArrayDeque<>(); // start times, each query on its own connection
+        private final ArrayDeque<Long> openQueries =
+                new ArrayDeque<>(); // start times, each query on its own connection
         private final ArrayDeque<ConnectionId> openConnections = new ArrayDeque<>();
         private int lastConnection;
         private int bursts;
@@ -245,7 +246,8 @@
         private final List<String> violations = new ArrayList<>();
         private final TreeSet<String> operators = new TreeSet<>();
         private final List<Long> acknowledgedRevisions = new ArrayList<>();
-        private final TreeSet<String> acceptedOperators = new TreeSet<>(); // operators whose change of an entry was accepted
+        private final TreeSet<String> acceptedOperators =
+                new TreeSet<>(); // operators whose change of an entry was accepted
         private long time;
         private int stoppedServer = -1;
         private boolean hasStopped;
@@ -324,7 +326,8 @@
         }
 
         private Answer change(String operator) {
-            Change change = new Change(ENTRY_BY_OPERATOR.get(operator), Optional.empty(), Optional.of(new Value.Present()));
+            Change change =
+                    new Change(ENTRY_BY_OPERATOR.get(operator), Optional.empty(), Optional.of(new Value.Present()));
             return state.apply(
                     new Command.ChangeEntries(new OperatorCommandId(operator), List.of(change), operator, "", false));
         }
@@ -341,7 +344,9 @@
         /** Whether an operator's change is reported as done although its entry is not in force. */
         private boolean isLost(String operator) {
             return change(operator) instanceof Answer.Done
-                    && state.table(state.inForce()).get(ENTRY_BY_OPERATOR.get(operator)).isEmpty();
+                    && state.table(state.inForce())
+                            .get(ENTRY_BY_OPERATOR.get(operator))
+                            .isEmpty();
         }
 
         @Override
@@ -548,7 +553,8 @@
                         && !record.appliedRevision().equals(state.inForce())
                         && !state.proposed().equals(state.inForce())
                         && servers.stream()
-                                .anyMatch(s -> s.id.equals(record.server()) && s.actualRevision.equals(state.inForce()))) {
+                                .anyMatch(s ->
+                                        s.id.equals(record.server()) && s.actualRevision.equals(state.inForce()))) {
                     return "the fleet does not know which revision a server acts on";
                 }
             }
--- a/fleet/src/main/java/tallyweir/fleet/Fault.java
+++ b/fleet/src/main/java/tallyweir/fleet/Fault.java
@@ -183,7 +183,8 @@
     record NameTaken(String server, String listenAddress) implements Fault {
         @Override
         public String description() {
-            return "a server " + server + " that listens at " + listenAddress + " is in the fleet or may still be running";
+            return "a server " + server + " that listens at " + listenAddress
+                    + " is in the fleet or may still be running";
         }
 
         @Override
--- a/fleet/src/main/java/tallyweir/fleet/Health.java
+++ b/fleet/src/main/java/tallyweir/fleet/Health.java
@@ -80,7 +80,17 @@
 
     SnapshotPart.Counts save() {
         return new SnapshotPart.Counts(
-                endedQueries, badQueries, windowStartedAt, currentWindow[0], currentWindow[1], previousWindow[0], previousWindow[1], sinceChange[0], sinceChange[1], baselineBadShare, inForce);
+                endedQueries,
+                badQueries,
+                windowStartedAt,
+                currentWindow[0],
+                currentWindow[1],
+                previousWindow[0],
+                previousWindow[1],
+                sinceChange[0],
+                sinceChange[1],
+                baselineBadShare,
+                inForce);
     }
 
     void load(SnapshotPart.Counts saved) {
--- a/fleet/src/main/java/tallyweir/fleet/Lending.java
+++ b/fleet/src/main/java/tallyweir/fleet/Lending.java
@@ -97,7 +97,9 @@
         pool.changeCap(change.after(), newFloor, revision);
         pool.forgetFloorsBefore(slots.oldestRevision());
         if (pool.hasEarlierFloors()) {
-            loweredTenantsByRevision.computeIfAbsent(revision, r -> new ArrayList<>()).add(pool.tenant());
+            loweredTenantsByRevision
+                    .computeIfAbsent(revision, r -> new ArrayList<>())
+                    .add(pool.tenant());
         }
         if (!fits(pool)) {
             overcommitted.add(pool.tenant());
@@ -328,7 +330,9 @@
         pool.load(state);
         overcommitted.add(pool.tenant()); // floorsFree() removes it if it fits
         for (LendingPart.EarlierFloor earlier : state.earlierFloors()) {
-            loweredTenantsByRevision.computeIfAbsent(earlier.untilRevision(), r -> new ArrayList<>()).add(pool.tenant());
+            loweredTenantsByRevision
+                    .computeIfAbsent(earlier.untilRevision(), r -> new ArrayList<>())
+                    .add(pool.tenant());
         }
         for (LendingPart.ShareState share : state.shares()) {
             poolsBySlot.computeIfAbsent(share.slot(), p -> new HashMap<>()).put(pool.tenant(), pool);
--- a/fleet/src/main/java/tallyweir/fleet/Member.java
+++ b/fleet/src/main/java/tallyweir/fleet/Member.java
@@ -74,9 +74,12 @@
         random = new SplittableRandom(seed);
         nextRequestAt = now;
         // Order: expiries first, then checking and applying revisions, then requests to the fleet.
-        rules.add(() -> member && now() >= leaseDeadline && !disabledGuards.contains(Guard.LEASE), this::onLeaseExpired);
+        rules.add(
+                () -> member && now() >= leaseDeadline && !disabledGuards.contains(Guard.LEASE), this::onLeaseExpired);
         rules.add(() -> shouldWithdraw() != withdrawn, this::notifyWithdrawal);
-        rules.add(() -> checkedRevision.isBefore(revisionToCheck.id()) && !checkingRevision.equals(revisionToCheck.id()), this::check);
+        rules.add(
+                () -> checkedRevision.isBefore(revisionToCheck.id()) && !checkingRevision.equals(revisionToCheck.id()),
+                this::check);
         rules.add(
                 () -> appliedRevision.isBefore(wantedRevision.id())
                         && applyingRevision.value() == 0
@@ -303,8 +306,10 @@
 
     /** All state that determines later behaviour as text, with times relative to {@code from}; for checks. */
     String describe(long from) {
-        return (incarnation == null ? "-" : incarnation.value()) + "," + awaitingAnswer + "," + (nextRequestAt - from) + "," + reportAnswered
-                + "," + (reportAnswered ? 0 : reportSentAt - from) + "," + (member ? leaseDeadline - from : "-") + "," + failures + ","
+        return (incarnation == null ? "-" : incarnation.value()) + "," + awaitingAnswer + "," + (nextRequestAt - from)
+                + "," + reportAnswered
+                + "," + (reportAnswered ? 0 : reportSentAt - from) + "," + (member ? leaseDeadline - from : "-") + ","
+                + failures + ","
                 + appliedRevision.value()
                 + wantedRevision.id().value() + applyingRevision.value() + failedRevision.value()
                 + revisionToCheck.id().value() + checkingRevision.value()
--- a/fleet/src/main/java/tallyweir/fleet/Revision.java
+++ b/fleet/src/main/java/tallyweir/fleet/Revision.java
@@ -170,7 +170,10 @@
 
     /** The record of the command that changed the entry of a key; the first record if none names it. */
     ChangeRecord recordOf(Key key) {
-        return records.stream().filter(record -> record.changesKey(key)).findFirst().orElse(records.get(0));
+        return records.stream()
+                .filter(record -> record.changesKey(key))
+                .findFirst()
+                .orElse(records.get(0));
     }
 
     /** The author; of several commands that of the first, and how many more there are. */
--- a/fleet/src/main/java/tallyweir/fleet/RevisionControl.java
+++ b/fleet/src/main/java/tallyweir/fleet/RevisionControl.java
@@ -176,7 +176,9 @@
         Revision revision = history.add(base, of, table, records, forced, context.wallMs());
         BitSet slotsToAsk = forced ? new BitSet() : servers.heardSlots();
         proposal.open(
-                revision, context.now() + CHECK_TIMEOUT_LEASES * context.settings().leaseDuration(), slotsToAsk);
+                revision,
+                context.now() + CHECK_TIMEOUT_LEASES * context.settings().leaseDuration(),
+                slotsToAsk);
         return revision;
     }
 
@@ -201,7 +203,12 @@
             return new Answer.Refused(fault.get());
         }
         ChangeRecord record = record(
-                publish.command(), ChangeRecord.Kind.PUBLISH, List.of(), publish.author(), publish.reason(), publish.force());
+                publish.command(),
+                ChangeRecord.Kind.PUBLISH,
+                List.of(),
+                publish.author(),
+                publish.reason(),
+                publish.force());
         Revision baseRevision = history.get(publish.expected());
         return proposed(propose(baseRevision, RevisionId.NONE, base.apply(publish.changes()), List.of(record)));
     }
--- a/fleet/src/main/java/tallyweir/fleet/ServerRecord.java
+++ b/fleet/src/main/java/tallyweir/fleet/ServerRecord.java
@@ -142,7 +142,9 @@
     /** Queries that it began under an outdated revision, over all transitions. */
     public long outdatedQueries() {
         return foldedOutdatedQueries
-                + transitions.stream().mapToLong(RevisionTransition::outdatedQueries).sum();
+                + transitions.stream()
+                        .mapToLong(RevisionTransition::outdatedQueries)
+                        .sum();
     }
 
     SnapshotPart.Server save(boolean isGone) {
@@ -206,9 +208,11 @@
 
     /** All state that determines later behaviour as text, with times relative to {@code from}; for checks. */
     String describe(long from) {
-        return server.value() + incarnation.value() + status + (leaseDeadline - from) + "," + (floorDeadline - from) + silent
+        return server.value() + incarnation.value() + status + (leaseDeadline - from) + "," + (floorDeadline - from)
+                + silent
                 + marked
-                + appliedRevision.value() + appliedRoot.value() + digestMismatch + (deviatingSince == Long.MAX_VALUE ? "-" : deviatingSince - from)
+                + appliedRevision.value() + appliedRoot.value() + digestMismatch
+                + (deviatingSince == Long.MAX_VALUE ? "-" : deviatingSince - from)
                 + flapCount + ","
                 + (mayReturnAt - from);
     }
--- a/fleet/src/main/java/tallyweir/fleet/ServerRegistry.java
+++ b/fleet/src/main/java/tallyweir/fleet/ServerRegistry.java
@@ -174,7 +174,9 @@
     }
 
     private int maxOut() {
-        return context.isEnabled(Guard.MOST_OUT) ? (int) Math.floor(settings().maxShutOutShare() * (live + out)) : Integer.MAX_VALUE;
+        return context.isEnabled(Guard.MOST_OUT)
+                ? (int) Math.floor(settings().maxShutOutShare() * (live + out))
+                : Integer.MAX_VALUE;
     }
 
     private boolean mayShutOutAnother() {
--- a/fleet/src/main/java/tallyweir/fleet/SnapshotPart.java
+++ b/fleet/src/main/java/tallyweir/fleet/SnapshotPart.java
@@ -88,7 +88,11 @@
      * @param accepted how many servers can apply it
      */
     record Proposed(
-            RevisionId revision, long checkDeadline, List<Integer> pendingSlots, Map<ServerId, String> rejections, int accepted)
+            RevisionId revision,
+            long checkDeadline,
+            List<Integer> pendingSlots,
+            Map<ServerId, String> rejections,
+            int accepted)
             implements SnapshotPart {}
 
     /** A part of the state of {@link Lending}. */
--- a/fleet/src/main/java/tallyweir/fleet/SnapshotReader.java
+++ b/fleet/src/main/java/tallyweir/fleet/SnapshotReader.java
@@ -40,7 +40,9 @@
         if (header.fate() == Revision.Fate.TURNED_DOWN) {
             return null;
         }
-        return header.restoredFrom().equals(RevisionId.NONE) ? base.apply(changes) : history.table(header.restoredFrom());
+        return header.restoredFrom().equals(RevisionId.NONE)
+                ? base.apply(changes)
+                : history.table(header.restoredFrom());
     }
 
     /** Reads the records of a group from the parts that follow. */
--- a/fleet/src/main/java/tallyweir/fleet/State.java
+++ b/fleet/src/main/java/tallyweir/fleet/State.java
@@ -149,7 +149,10 @@
         }
         ServerRecord entered = servers.join(join.server(), join.listenAddress(), join.processNumber());
         return new Answer.Joined(
-                entered.incarnation, context.settings().maxServers(), context.settings().floorShare(), nextReportDelay(entered));
+                entered.incarnation,
+                context.settings().maxServers(),
+                context.settings().floorShare(),
+                nextReportDelay(entered));
     }
 
     /** A server's report. It counts only if it names the server's current incarnation. */
@@ -205,7 +208,12 @@
         if (!acting.equals(server.appliedRevision)) {
             long behind = revision == null ? 0 : Math.max(0, context.now() - revision.inForceAt);
             server.add(new RevisionTransition(
-                    report.incarnation(), server.appliedRevision, acting, behind, report.outdatedQueries(), context.wallMs()));
+                    report.incarnation(),
+                    server.appliedRevision,
+                    acting,
+                    behind,
+                    report.outdatedQueries(),
+                    context.wallMs()));
             server.appliedRevision = acting;
             lending.slotApplied(server.slot, acting.value());
         }
@@ -325,7 +333,9 @@
      */
     public Optional<List<Change>> difference(Digest from, RevisionId to, int maxChanges) {
         Table want = history.table(to);
-        return want == null ? Optional.empty() : history.table(from).flatMap(have -> have.differenceTo(want, maxChanges));
+        return want == null
+                ? Optional.empty()
+                : history.table(from).flatMap(have -> have.differenceTo(want, maxChanges));
     }
 
     /** All servers that have a slot, by name. */
--- a/fleet/src/main/java/tallyweir/fleet/Stragglers.java
+++ b/fleet/src/main/java/tallyweir/fleet/Stragglers.java
@@ -11,7 +11,8 @@
  */
 final class Stragglers {
     private final RevisionHistory history;
-    private final TreeMap<RevisionId, BitSet> slotsByRevision = new TreeMap<>(); // without slots that were taken as due already
+    private final TreeMap<RevisionId, BitSet> slotsByRevision =
+            new TreeMap<>(); // without slots that were taken as due already
     private final Map<Integer, RevisionId> revisionBySlot = new HashMap<>();
 
     Stragglers(RevisionHistory history) {
--- a/fleet/src/test/java/tallyweir/fleet/ChangeEntriesModelTest.java
+++ b/fleet/src/test/java/tallyweir/fleet/ChangeEntriesModelTest.java
@@ -107,7 +107,8 @@
         Table base = fleet.state().table(new RevisionId(expected));
         Change[] changes =
                 base == null ? new Change[0] : base.differenceTo(table(caps)).toArray(Change[]::new);
-        assertAnswer(command, model.publish(command, by, expected, caps), fleet.publish(command, by, expected, changes));
+        assertAnswer(
+                command, model.publish(command, by, expected, caps), fleet.publish(command, by, expected, changes));
     }
 
     private static Table table(Map<String, Integer> caps) {
--- a/fleet/src/test/java/tallyweir/fleet/ExplorerTest.java
+++ b/fleet/src/test/java/tallyweir/fleet/ExplorerTest.java
@@ -30,14 +30,20 @@
     @ParameterizedTest
     @EnumSource(value = Guard.class, names = "WHOLE", mode = EnumSource.Mode.EXCLUDE)
     void withoutAGuardAnInvariantIsViolated(Guard guard) {
-        ExhaustiveSearch.SearchResult seen = Explorer.explore(Explorer.scenesByGuard().get(guard), EnumSet.of(guard), MAX_STATES);
+        ExhaustiveSearch.SearchResult seen =
+                Explorer.explore(Explorer.scenesByGuard().get(guard), EnumSet.of(guard), MAX_STATES);
         assertFalse(seen.violations().isEmpty(), "no violation found without " + guard);
-        assertFalse(seen.violations().get(0).startsWith("given up"), seen.violations().get(0));
+        assertFalse(
+                seen.violations().get(0).startsWith("given up"),
+                seen.violations().get(0));
     }
 
     @Test
     void withoutTheConditionOnEntriesTwoOperatorsAreBothAccepted() {
-        ExhaustiveSearch.SearchResult seen = Explorer.explore(Explorer.Scene.CHANGES, EnumSet.of(Guard.EXPECTED), MAX_STATES);
-        assertTrue(seen.violations().get(0).startsWith("two operators"), seen.violations().toString());
+        ExhaustiveSearch.SearchResult seen =
+                Explorer.explore(Explorer.Scene.CHANGES, EnumSet.of(Guard.EXPECTED), MAX_STATES);
+        assertTrue(
+                seen.violations().get(0).startsWith("two operators"),
+                seen.violations().toString());
     }
 }
--- a/fleet/src/test/java/tallyweir/fleet/FaultTest.java
+++ b/fleet/src/test/java/tallyweir/fleet/FaultTest.java
@@ -48,7 +48,8 @@
         for (Class<? extends Fault> kind : Fault.kinds()) {
             Fault fault = sample(kind);
             exits.add(fault.exitCode());
-            assertTrue(fault.description().contains("FACT") || fault.description().contains("7"), fault.description());
+            assertTrue(
+                    fault.description().contains("FACT") || fault.description().contains("7"), fault.description());
             assertTrue(fault.advice().length() > 10, fault.advice());
             assertEquals(fault, fault.toException().fault());
         }
--- a/fleet/src/test/java/tallyweir/fleet/GatePlainTest.java
+++ b/fleet/src/test/java/tallyweir/fleet/GatePlainTest.java
@@ -119,8 +119,12 @@
 
         void compare() {
             for (int t = 0; t < TENANTS; t++) {
-                assertEquals(model.usedConnections(tenant(t)), gate.usedConnections(tenant(t)), "number of connections");
-                assertEquals(model.maxConnections(tenant(t)), gate.maxConnections(tenant(t)), "maximum number of connections");
+                assertEquals(
+                        model.usedConnections(tenant(t)), gate.usedConnections(tenant(t)), "number of connections");
+                assertEquals(
+                        model.maxConnections(tenant(t)),
+                        gate.maxConnections(tenant(t)),
+                        "maximum number of connections");
             }
             assertEquals(model.nextReleaseAt(), gate.nextReleaseAt());
         }
--- a/fleet/src/test/java/tallyweir/fleet/LendingCostTest.java
+++ b/fleet/src/test/java/tallyweir/fleet/LendingCostTest.java
@@ -77,7 +77,8 @@
     @Test
     void slotOperationsVisitOnlyPoolsItHoldsOrNames() {
         assertTrue(visitedBy(() -> lending.report(1, needs(0, FEW_TENANTS), 1)) <= LOOKS_PER_POOL * FEW_TENANTS);
-        assertTrue(visitedBy(() -> lending.report(1, needs(FEW_TENANTS, 2 * FEW_TENANTS), 2)) <= LOOKS_PER_POOL * 2 * FEW_TENANTS);
+        assertTrue(visitedBy(() -> lending.report(1, needs(FEW_TENANTS, 2 * FEW_TENANTS), 2))
+                <= LOOKS_PER_POOL * 2 * FEW_TENANTS);
         assertEquals(FEW_TENANTS, visitedBy(() -> lending.lent(1)));
         assertTrue(visitedBy(() -> lending.hasGrants(1)) <= FEW_TENANTS);
         assertEquals(FEW_TENANTS, visitedBy(() -> lending.reclaim(1)));
--- a/fleet/src/test/java/tallyweir/fleet/LendingModelTest.java
+++ b/fleet/src/test/java/tallyweir/fleet/LendingModelTest.java
@@ -110,7 +110,8 @@
             } else if (random.nextInt(4) == 0) {
                 appliedIndex[i] = caps.size() - 1;
                 lending.slotApplied(i, appliedIndex[i] + 1);
-                floors[i] = Math.min(floors[i], lending.floor(caps.get(appliedIndex[i]).get(T)));
+                floors[i] = Math.min(
+                        floors[i], lending.floor(caps.get(appliedIndex[i]).get(T)));
             } else {
                 int want = random.nextInt(0, 30);
                 has.put(
--- a/fleet/src/test/java/tallyweir/fleet/PlainGate.java
+++ b/fleet/src/test/java/tallyweir/fleet/PlainGate.java
@@ -20,7 +20,8 @@
  */
 public final class PlainGate {
     private static final int HEADROOM_DIVISOR = 4; // headroom asked for above the need: one in so many, plus one
-    private static final int PEAK_WINDOW_REPORTS = 8; // reports after which peaks are reset, so that unused shares return
+    private static final int PEAK_WINDOW_REPORTS =
+            8; // reports after which peaks are reset, so that unused shares return
 
     private record Lingering(long expiresAt, TenantId tenant, ConnectionId connection, long idleSince) {}
 
@@ -155,7 +156,8 @@
         if (state.uses.size() - state.retiring <= target) {
             return;
         }
-        for (Iterator<Map.Entry<ConnectionId, ConnectionUse>> i = state.uses.entrySet().iterator();
+        for (Iterator<Map.Entry<ConnectionId, ConnectionUse>> i =
+                        state.uses.entrySet().iterator();
                 i.hasNext() && state.uses.size() - state.retiring > target; ) {
             Map.Entry<ConnectionId, ConnectionUse> entry = i.next();
             if (entry.getValue().openQueries == 0) {
@@ -186,8 +188,8 @@
         }
         ConnectionUse use = state.uses.get(connection);
         if (state.cap >= 0 && (use == null || use.retiring)) {
-            boolean hasRoom =
-                    state.uses.size() - state.retiring < targetConnections(state) && (use != null || state.uses.size() < maxConnections(state));
+            boolean hasRoom = state.uses.size() - state.retiring < targetConnections(state)
+                    && (use != null || state.uses.size() < maxConnections(state));
             if (!hasRoom) {
                 state.rejected.add(connection);
                 return false;
@@ -196,7 +198,9 @@
         if (use == null) {
             use = new ConnectionUse();
             state.uses.put(connection, use);
-            tenantsByConnection.computeIfAbsent(connection, c -> new ArrayDeque<>(1)).add(tenant);
+            tenantsByConnection
+                    .computeIfAbsent(connection, c -> new ArrayDeque<>(1))
+                    .add(tenant);
             state.peak = Math.max(state.peak, state.uses.size());
         }
         state.retiring -= use.retiring ? 1 : 0;
@@ -255,7 +259,8 @@
             trim(t, state, targetConnections(state));
             int used = state.uses.size();
             int peak = Math.max(state.peak, used) + Math.min(state.rejected.size(), state.cap);
-            state.wanted = peak == 0 ? 0 : Math.max(0, Math.min(state.cap, peak + peak / HEADROOM_DIVISOR + 1) - state.floor);
+            state.wanted =
+                    peak == 0 ? 0 : Math.max(0, Math.min(state.cap, peak + peak / HEADROOM_DIVISOR + 1) - state.floor);
             int open = Math.max(0, used - currentFloor(state));
             state.granted = Math.min(state.granted, Math.max(open, Math.min(state.target, state.wanted)));
             int keep = Math.max(state.granted, open);
--- a/fleet/src/test/java/tallyweir/fleet/PlainLending.java
+++ b/fleet/src/test/java/tallyweir/fleet/PlainLending.java
@@ -98,7 +98,8 @@
                         pool,
                         share,
                         Math.min(
-                                share.excessFloor, Math.max(0, floor(caps.getOrDefault(tenant, UNCAPPED)) - pool.floor)));
+                                share.excessFloor,
+                                Math.max(0, floor(caps.getOrDefault(tenant, UNCAPPED)) - pool.floor)));
             }
         });
     }
@@ -204,7 +205,9 @@
         if (pool.cap == UNCAPPED) {
             return share.granted;
         }
-        return pool.level == Integer.MAX_VALUE ? share.wanted : Math.min(share.wanted, pool.level + (share.extra ? 1 : 0));
+        return pool.level == Integer.MAX_VALUE
+                ? share.wanted
+                : Math.min(share.wanted, pool.level + (share.extra ? 1 : 0));
     }
 
     /**
--- a/fleet/src/test/java/tallyweir/fleet/StateTest.java
+++ b/fleet/src/test/java/tallyweir/fleet/StateTest.java
@@ -94,13 +94,7 @@
     }
 
     private void reportApplied(int i, long applied) {
-        report(
-                i,
-                applied,
-                applied == 0 ? "" : digest(applied),
-                state.proposed().value(),
-                "",
-                Map.of());
+        report(i, applied, applied == 0 ? "" : digest(applied), state.proposed().value(), "", Map.of());
     }
 
     private String digest(long revision) {
@@ -413,7 +407,13 @@
     private void reportInTurn(int turn) {
         at(1_000L + turn * 110);
         int i = 1 + turn % 3;
-        report(i, turn < 10 ? 1 : 2, turn < 10 ? root(10) : root(7), 2, "", Map.of(TENANT, new Need(turn % 3, turn % 7)));
+        report(
+                i,
+                turn < 10 ? 1 : 2,
+                turn < 10 ? root(10) : root(7),
+                2,
+                "",
+                Map.of(TENANT, new Need(turn % 3, turn % 7)));
     }
 
     private static List<SnapshotPart> parts(State of) {
--- a/fleet/src/test/java/tallyweir/fleet/TestFleet.java
+++ b/fleet/src/test/java/tallyweir/fleet/TestFleet.java
@@ -126,13 +126,18 @@
     }
 
     Answer change(String command, String by, Change... changes) {
-        return state.apply(
-                new Command.ChangeEntries(new OperatorCommandId(command), List.of(changes), by, "why " + command, false));
+        return state.apply(new Command.ChangeEntries(
+                new OperatorCommandId(command), List.of(changes), by, "why " + command, false));
     }
 
     Answer publish(String command, String by, long expected, Change... changes) {
         return state.apply(new Command.Publish(
-                new OperatorCommandId(command), new RevisionId(expected), List.of(changes), by, "why " + command, false));
+                new OperatorCommandId(command),
+                new RevisionId(expected),
+                List.of(changes),
+                by,
+                "why " + command,
+                false));
     }
 
     Answer rollback(String command, String by, long expected, long to) {
--- a/fleet/src/test/java/tallyweir/fleet/table/TableTransferTest.java
+++ b/fleet/src/test/java/tallyweir/fleet/table/TableTransferTest.java
@@ -85,7 +85,9 @@
         };
         TableTransfer transfer = new TableTransfer(base, target.root());
         for (int retarget = 0; retarget < 4; retarget++) {
-            for (int chunks = random.nextInt(12); chunks > 0 && transfer.nextPath().isPresent(); chunks--) {
+            for (int chunks = random.nextInt(12);
+                    chunks > 0 && transfer.nextPath().isPresent();
+                    chunks--) {
                 Path path = transfer.nextPath().get();
                 transfer.accept(path, target.chunk(path));
             }
--- a/results/src/main/java/tallyweir/results/DurableResultStore.java
+++ b/results/src/main/java/tallyweir/results/DurableResultStore.java
@@ -13,8 +13,8 @@
 import tallyweir.durable.Batch;
 import tallyweir.durable.Committer;
 import tallyweir.durable.Durable;
-import tallyweir.durable.StoredRecord;
 import tallyweir.durable.Stamp;
+import tallyweir.durable.StoredRecord;
 import tallyweir.durable.View;
 import tallyweir.ids.JobId;
 import tallyweir.ids.SubjectId;
@@ -182,7 +182,9 @@
     }
 
     private void write(Batch batch, Consumer<Boolean> onDone) {
-        committer.submit(batch).whenComplete((ignored, failure) -> callbackExecutor.execute(() -> onDone.accept(failure == null)));
+        committer
+                .submit(batch)
+                .whenComplete((ignored, failure) -> callbackExecutor.execute(() -> onDone.accept(failure == null)));
     }
 
     @Override
@@ -197,14 +199,21 @@
 
     @Override
     public void record(
-            IdempotencyKey key, JobId job, long body, Known known, byte[] result, long expiresAt, Consumer<Boolean> onDone) {
+            IdempotencyKey key,
+            JobId job,
+            long body,
+            Known known,
+            byte[] result,
+            long expiresAt,
+            Consumer<Boolean> onDone) {
         Batch batch = new Batch();
         put(batch, key, job, body, known, result, expiresAt);
         write(batch.delete(INTENTS, storeKey(key)), onDone);
     }
 
     /** Adds an outcome to a batch, encoded as in the store. */
-    public static void put(Batch batch, IdempotencyKey key, JobId job, long body, Known known, byte[] result, long expiresAt) {
+    public static void put(
+            Batch batch, IdempotencyKey key, JobId job, long body, Known known, byte[] result, long expiresAt) {
         batch.put(RESULTS, storeKey(key), encodeOutcome(known, job, body, expiresAt, result), expiresAt);
     }
 
--- a/results/src/main/java/tallyweir/results/Explorer.java
+++ b/results/src/main/java/tallyweir/results/Explorer.java
@@ -26,7 +26,8 @@
      * @param without guards that are switched off
      * @param maxStates after which the search ends with a violation that says so
      */
-    public static ExhaustiveSearch.SearchResult explore(int copies, Set<IdempotencyTracker.Guard> without, long maxStates) {
+    public static ExhaustiveSearch.SearchResult explore(
+            int copies, Set<IdempotencyTracker.Guard> without, long maxStates) {
         return ExhaustiveSearch.explore(() -> new SimulatedEnvironment(copies, without), maxStates);
     }
 
--- a/results/src/main/java/tallyweir/results/IdempotencyTracker.java
+++ b/results/src/main/java/tallyweir/results/IdempotencyTracker.java
@@ -85,7 +85,8 @@
     private final Set<Guard> without;
     private final Map<IdempotencyKey, Entry> entries = new HashMap<>();
     private final Map<RunId, Entry> entriesByRun = new HashMap<>();
-    private final Set<IdempotencyKey> ignoredIntents = new HashSet<>(); // used only when a check has switched off a guard
+    private final Set<IdempotencyKey> ignoredIntents =
+            new HashSet<>(); // used only when a check has switched off a guard
     private final RuleList rules = new RuleList();
     private Entry current; // the entry that the current event is about
 
@@ -98,22 +99,36 @@
         this.maxEntries = maxEntries;
         this.without = without.isEmpty() ? EnumSet.noneOf(Guard.class) : EnumSet.copyOf(without);
         // Order: runs that must not start, runs that may, runs that have ended, callers that wait for an outcome.
-        rules.add(() -> current.stage == Stage.RECORDING_INTENT && current.ioDone && current.ioFailed, this::discardUnstarted);
-        rules.add(() -> (current.stage == Stage.RECORDING_INTENT && current.ioDone || current.stage == Stage.READY) && current.givenUp, this::deleteIntent);
+        rules.add(
+                () -> current.stage == Stage.RECORDING_INTENT && current.ioDone && current.ioFailed,
+                this::discardUnstarted);
+        rules.add(
+                () -> (current.stage == Stage.RECORDING_INTENT && current.ioDone || current.stage == Stage.READY)
+                        && current.givenUp,
+                this::deleteIntent);
         rules.add(() -> current.stage == Stage.STARTED && current.givenUp && !isOn(Guard.PROOF), this::deleteIntent);
         rules.add(
-                () -> current.stage == Stage.RECORDING_INTENT && (current.ioDone || current.startRequested && !isOn(Guard.INTENT)),
+                () -> current.stage == Stage.RECORDING_INTENT
+                        && (current.ioDone || current.startRequested && !isOn(Guard.INTENT)),
                 () -> current.stage = Stage.READY);
         rules.add(() -> current.stage == Stage.READY && current.startRequested, this::start);
         rules.add(() -> current.stage == Stage.STARTED && current.runEnded, this::record);
-        rules.add(() -> current.stage == Stage.RECORDING && !current.waiters.isEmpty() && !isOn(Guard.ORDER), this::answer);
-        rules.add(() -> current.stage == Stage.RECORDING && current.ioDone, () -> current.stage = current.ioFailed ? Stage.NOT_RECORDED : Stage.RECORDED);
-        rules.add(() -> current.stage == Stage.NOT_RECORDED && current.ioDone && !current.waiters.isEmpty(), this::answerUnknown);
+        rules.add(
+                () -> current.stage == Stage.RECORDING && !current.waiters.isEmpty() && !isOn(Guard.ORDER),
+                this::answer);
+        rules.add(
+                () -> current.stage == Stage.RECORDING && current.ioDone,
+                () -> current.stage = current.ioFailed ? Stage.NOT_RECORDED : Stage.RECORDED);
+        rules.add(
+                () -> current.stage == Stage.NOT_RECORDED && current.ioDone && !current.waiters.isEmpty(),
+                this::answerUnknown);
         rules.add(() -> current.stage == Stage.NOT_RECORDED && current.expired && !current.dropped, this::drop);
         rules.add(() -> current.stage == Stage.READING && current.ioDone, () -> current.stage = Stage.RECORDED);
         rules.add(() -> current.stage == Stage.RECORDED && !current.waiters.isEmpty(), this::answer);
         rules.add(() -> current.stage == Stage.DELETING_INTENT && current.ioDone, () -> current.stage = Stage.DELETED);
-        rules.add(() -> (current.stage == Stage.RECORDED || current.stage == Stage.DELETED) && !current.dropped, this::drop);
+        rules.add(
+                () -> (current.stage == Stage.RECORDED || current.stage == Stage.DELETED) && !current.dropped,
+                this::drop);
     }
 
     private boolean isOn(Guard guard) {
@@ -387,7 +402,10 @@
                         .sorted()
                         .collect(Collectors.joining(";"))
                 + "|"
-                + entries.values().stream().map(IdempotencyTracker::describe).sorted().collect(Collectors.joining(";"));
+                + entries.values().stream()
+                        .map(IdempotencyTracker::describe)
+                        .sorted()
+                        .collect(Collectors.joining(";"));
     }
 
     private static String describe(Entry entry) {
--- a/results/src/main/java/tallyweir/results/ResultStore.java
+++ b/results/src/main/java/tallyweir/results/ResultStore.java
@@ -12,7 +12,8 @@
  */
 public interface ResultStore {
     /** The record of one key: an intent if {@code known} is null, otherwise an outcome. */
-    record StoredResult(IdempotencyKey key, JobId job, long body, Known known, byte[] result, long writtenAt, long expiresAt) {}
+    record StoredResult(
+            IdempotencyKey key, JobId job, long body, Known known, byte[] result, long writtenAt, long expiresAt) {}
 
     /** Whether a key has a record; answered from memory. */
     boolean contains(IdempotencyKey key);
@@ -24,7 +25,14 @@
     void recordIntent(IdempotencyKey key, JobId job, long body, long expiresAt, Consumer<Boolean> onDone);
 
     /** Replaces an intent by an outcome; the callback gets whether it is on the disk. */
-    void record(IdempotencyKey key, JobId job, long body, Known known, byte[] result, long expiresAt, Consumer<Boolean> onDone);
+    void record(
+            IdempotencyKey key,
+            JobId job,
+            long body,
+            Known known,
+            byte[] result,
+            long expiresAt,
+            Consumer<Boolean> onDone);
 
     /** Deletes an intent; the callback gets whether it is gone from the disk. */
     void deleteIntent(IdempotencyKey key, Consumer<Boolean> onDone);
--- a/results/src/main/java/tallyweir/results/Settling.java
+++ b/results/src/main/java/tallyweir/results/Settling.java
@@ -68,9 +68,18 @@
      * @throws IOException with the reason if the change is refused
      */
     public static synchronized void settle(
-            Durable store, Committer committer, IdempotencyKey key, As as, byte[] result, String operator, String reason)
+            Durable store,
+            Committer committer,
+            IdempotencyKey key,
+            As as,
+            byte[] result,
+            String operator,
+            String reason)
             throws IOException {
-        if (operator.isBlank() || reason.isBlank() || operator.length() > MAX_TEXT_CHARS || reason.length() > MAX_TEXT_CHARS) {
+        if (operator.isBlank()
+                || reason.isBlank()
+                || operator.length() > MAX_TEXT_CHARS
+                || reason.length() > MAX_TEXT_CHARS) {
             throw new IOException(
                     "an operator and a reason are required, of at most " + MAX_TEXT_CHARS + " characters each");
         }
--- a/results/src/test/java/tallyweir/results/DurableResultStoreTest.java
+++ b/results/src/test/java/tallyweir/results/DurableResultStoreTest.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import tallyweir.durable.CopyExecutor;
 import tallyweir.durable.Committer;
+import tallyweir.durable.CopyExecutor;
 import tallyweir.durable.Durable;
 import tallyweir.durable.Namespace;
 import tallyweir.durable.SimDisk;
@@ -97,7 +97,9 @@
         open(s -> {
             assertEquals(
                     Set.of("j1", "j2"),
-                    Set.copyOf(s.intentsAtStart().stream().map(k -> k.job().value()).toList()));
+                    Set.copyOf(s.intentsAtStart().stream()
+                            .map(k -> k.job().value())
+                            .toList()));
             assertTrue(succeeds(d -> s.record(KEY, new JobId("j1"), 42, Known.UNKNOWN, null, until, d)));
             assertTrue(succeeds(d -> s.deleteIntent(OTHER_KEY, d)));
         });
@@ -125,7 +127,9 @@
             }
             assertTrue(n > 40, "records that fit: " + n);
             assertFalse(s.hasRoom(0));
-            assertTrue(s.contains(DurableResultStore.idempotencyKey("reset", "x0")), "dropped within its window to make room");
+            assertTrue(
+                    s.contains(DurableResultStore.idempotencyKey("reset", "x0")),
+                    "dropped within its window to make room");
         });
         open(s -> {
             clock = until + 700_000; // after the next sweep of expired records, which runs once a minute
--- a/results/src/test/java/tallyweir/results/ExplorerTest.java
+++ b/results/src/test/java/tallyweir/results/ExplorerTest.java
@@ -29,6 +29,8 @@
     void violationIsFoundWithoutAnyOneGuard(IdempotencyTracker.Guard guard) {
         ExhaustiveSearch.SearchResult result = Explorer.explore(3, EnumSet.of(guard), MAX_STATES);
         assertFalse(result.violations().isEmpty(), "no violation without " + guard);
-        assertFalse(result.violations().get(0).startsWith("given up"), result.violations().get(0));
+        assertFalse(
+                result.violations().get(0).startsWith("given up"),
+                result.violations().get(0));
     }
 }
--- a/results/src/test/java/tallyweir/results/SettlingTest.java
+++ b/results/src/test/java/tallyweir/results/SettlingTest.java
@@ -16,12 +16,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import tallyweir.durable.AdminSocket;
-import tallyweir.durable.CopyExecutor;
 import tallyweir.durable.Committer;
+import tallyweir.durable.CopyExecutor;
 import tallyweir.durable.Durable;
-import tallyweir.durable.StoredRecord;
 import tallyweir.durable.Namespace;
 import tallyweir.durable.SimDisk;
+import tallyweir.durable.StoredRecord;
 import tallyweir.durable.View;
 import tallyweir.ids.JobId;
 
@@ -78,15 +78,15 @@
     }
 
     private String refusal(Settling.As as, String operator, String reason) {
-        return assertThrows(
-                        IOException.class, () -> Settling.settle(store, committer, KEY, as, null, operator, reason))
+        return assertThrows(IOException.class, () -> Settling.settle(store, committer, KEY, as, null, operator, reason))
                 .getMessage();
     }
 
     private List<Settling.Change> audit() throws IOException {
         List<Settling.Change> all = new ArrayList<>();
         try (View v = store.view()) {
-            v.range(Settling.AUDIT, new byte[0], null).forEachRemaining((StoredRecord f) -> all.add(Settling.change(f)));
+            v.range(Settling.AUDIT, new byte[0], null)
+                    .forEachRemaining((StoredRecord f) -> all.add(Settling.change(f)));
         }
         return all;
     }
@@ -109,8 +109,7 @@
         Settling.settle(store, committer, KEY, Settling.As.RAN_BADLY, null, "amal", "half done");
         assertEquals(Known.BAD, storedRecord().known());
         store(Known.UNKNOWN, null);
-        Settling.settle(
-                store, committer, KEY, Settling.As.NEVER_RAN, null, "amal", "the kernel's log has no such run");
+        Settling.settle(store, committer, KEY, Settling.As.NEVER_RAN, null, "amal", "the kernel's log has no such run");
         assertNull(storedRecord());
         assertEquals(false, resultStore.contains(KEY));
         assertEquals(2, audit().size());
--- a/stand/src/main/java/tallyweir/stand/PipelinedCaller.java
+++ b/stand/src/main/java/tallyweir/stand/PipelinedCaller.java
@@ -96,7 +96,8 @@
                 TimeUnit.MILLISECONDS.sleep(1 + random.nextInt(2 * profile.meanWriteDelayMs));
             }
             if (!closed) {
-                reader.join(TimeUnit.MILLISECONDS.toMillis(settings.timeoutMs() + (long) profile.maxOpen * profile.maxReadDelayMs));
+                reader.join(TimeUnit.MILLISECONDS.toMillis(
+                        settings.timeoutMs() + (long) profile.maxOpen * profile.maxReadDelayMs));
             }
             socket.close();
             reader.join();
@@ -145,7 +146,10 @@
                 open.remove(read.requestId());
                 log.onAnswered(request.id);
                 String text = request.output.toString(StandardCharsets.UTF_8);
-                logOutcome(request, classifyAnswer(request), StandInSidecar.answer(text).status());
+                logOutcome(
+                        request,
+                        classifyAnswer(request),
+                        StandInSidecar.answer(text).status());
             }
         }
 
@@ -161,7 +165,8 @@
             open.clear();
             // A connection counts as idle if its unanswered requests are all recent enough to have crossed the close.
             boolean wasIdle = unanswered.stream()
-                    .noneMatch(request -> log.exceeds(request.writtenAt, TimeUnit.MILLISECONDS.toNanos(CROSSING_WINDOW_MS)));
+                    .noneMatch(request ->
+                            log.exceeds(request.writtenAt, TimeUnit.MILLISECONDS.toNanos(CROSSING_WINDOW_MS)));
             for (OpenRequest request : unanswered) {
                 logOutcome(request, wasIdle ? RequestOutcome.End.CROSSED : RequestOutcome.End.CONNECTION_ENDED, 0);
             }
--- a/stand/src/main/java/tallyweir/stand/RequestLog.java
+++ b/stand/src/main/java/tallyweir/stand/RequestLog.java
@@ -65,7 +65,8 @@
      */
     public List<RequestOutcome> lost(long killedAt) {
         return allOutcomes().stream()
-                .filter(outcome -> outcome.isLost() || outcome.end() == RequestOutcome.End.CROSSED && outcome.endedAt() >= killedAt)
+                .filter(outcome -> outcome.isLost()
+                        || outcome.end() == RequestOutcome.End.CROSSED && outcome.endedAt() >= killedAt)
                 .toList();
     }
 
--- a/stand/src/main/java/tallyweir/stand/SequentialCaller.java
+++ b/stand/src/main/java/tallyweir/stand/SequentialCaller.java
@@ -120,12 +120,18 @@
             int status = readAnswer(writtenAt);
             log.onAnswered(id);
             long endedAt = System.nanoTime();
-            boolean late = log.exceeds(writtenAt, TimeUnit.MILLISECONDS.toNanos(settings.timeoutMs() + MAX_LATENESS_MS));
+            boolean late =
+                    log.exceeds(writtenAt, TimeUnit.MILLISECONDS.toNanos(settings.timeoutMs() + MAX_LATENESS_MS));
             if (profile.connectionPerRequest) {
                 disconnect();
             }
             return outcome(
-                    id, writtenAt, endedAt, late ? RequestOutcome.End.ANSWERED_LATE : RequestOutcome.End.ANSWERED, status, resent);
+                    id,
+                    writtenAt,
+                    endedAt,
+                    late ? RequestOutcome.End.ANSWERED_LATE : RequestOutcome.End.ANSWERED,
+                    status,
+                    resent);
         } catch (SocketTimeoutException e) {
             disconnect();
             return outcome(id, writtenAt, System.nanoTime(), RequestOutcome.End.UNANSWERED, 0, resent);
@@ -134,11 +140,17 @@
             long endedAt = System.nanoTime();
             boolean crossed = !resent && !log.exceeds(writtenAt, TimeUnit.MILLISECONDS.toNanos(CROSSING_WINDOW_MS));
             return outcome(
-                    id, writtenAt, endedAt, crossed ? RequestOutcome.End.CROSSED : RequestOutcome.End.CONNECTION_ENDED, 0, resent);
+                    id,
+                    writtenAt,
+                    endedAt,
+                    crossed ? RequestOutcome.End.CROSSED : RequestOutcome.End.CONNECTION_ENDED,
+                    0,
+                    resent);
         }
     }
 
-    private RequestOutcome outcome(String id, long writtenAt, long endedAt, RequestOutcome.End end, int status, boolean resent) {
+    private RequestOutcome outcome(
+            String id, long writtenAt, long endedAt, RequestOutcome.End end, int status, boolean resent) {
         return new RequestOutcome(id, profile.name, connectedAt, writtenAt, endedAt, end, status, resent);
     }
 
--- a/stand/src/main/java/tallyweir/stand/StandInKernel.java
+++ b/stand/src/main/java/tallyweir/stand/StandInKernel.java
@@ -59,7 +59,11 @@
 
     /** Creates a kernel whose runs take 1 to 40 ms, and occasionally longer than any caller waits. */
     public StandInKernel(History history, int cores, long seed) throws IOException {
-        this(history, cores, seed, random -> random.nextInt(SLOW_ONE_IN) == 0 ? SLOW_RUN_US : random.nextInt(1, 40) * 1_000);
+        this(
+                history,
+                cores,
+                seed,
+                random -> random.nextInt(SLOW_ONE_IN) == 0 ? SLOW_RUN_US : random.nextInt(1, 40) * 1_000);
     }
 
     /**
@@ -176,7 +180,8 @@
                     send(
                             socket,
                             "{\"type\":\"INFO\",\"ref\":\"" + fields.get("ref") + "\",\"gauges\":["
-                                    + (double) running / coreCount + "," + (running + waitingRuns.size()) + ",0.2,0.1]}");
+                                    + (double) running / coreCount + "," + (running + waitingRuns.size())
+                                    + ",0.2,0.1]}");
                 default -> {}
             }
         }
@@ -203,7 +208,8 @@
             return;
         }
         String key = body.split(" ")[0];
-        String result = key + "#" + ++lastResultNumber + " " + "x".repeat(maxExtraResultBytes == 0 ? 0 : random.nextInt(maxExtraResultBytes));
+        String result = key + "#" + ++lastResultNumber + " "
+                + "x".repeat(maxExtraResultBytes == 0 ? 0 : random.nextInt(maxExtraResultBytes));
         if (history != null) {
             history.add(History.EventType.RUN, key, job, result);
         }
@@ -259,7 +265,8 @@
         Run run = blockedRuns.remove(job);
         if (run != null) {
             scheduler.schedule(
-                    () -> onDurationElapsed(new Run(run.incarnation, run.job, run.result, run.durationUs, run.callsMade + 1)),
+                    () -> onDurationElapsed(
+                            new Run(run.incarnation, run.job, run.result, run.durationUs, run.callsMade + 1)),
                     run.durationUs,
                     TimeUnit.MICROSECONDS);
         }
--- a/tool/src/main/java/tallyweir/tool/DurableBench.java
+++ b/tool/src/main/java/tallyweir/tool/DurableBench.java
@@ -31,13 +31,13 @@
 import tallyweir.durable.Batch;
 import tallyweir.durable.CopyExecutor;
 import tallyweir.durable.Durable;
-import tallyweir.durable.StoreCounters;
 import tallyweir.durable.FileDisk;
 import tallyweir.durable.FileStore;
 import tallyweir.durable.Namespace;
-import tallyweir.durable.StoreRefusedException;
 import tallyweir.durable.SideBySide;
 import tallyweir.durable.StepTimes;
+import tallyweir.durable.StoreCounters;
+import tallyweir.durable.StoreRefusedException;
 
 @Command(
         name = "bench",
@@ -223,7 +223,9 @@
     private static void longest(Map<String, Object> figures, FileStore s) {
         for (StepTimes.Step of : StepTimes.Step.values()) {
             figures.merge(
-                    of.name().toLowerCase(), s.times().maxDuration(of) / 10.0, (a, b) -> Math.max((Double) a, (Double) b));
+                    of.name().toLowerCase(),
+                    s.times().maxDuration(of) / 10.0,
+                    (a, b) -> Math.max((Double) a, (Double) b));
         }
     }
 
--- a/tool/src/main/java/tallyweir/tool/DurableCommand.java
+++ b/tool/src/main/java/tallyweir/tool/DurableCommand.java
@@ -25,9 +25,9 @@
 import tallyweir.durable.AdminSocket;
 import tallyweir.durable.Backup;
 import tallyweir.durable.Durable;
+import tallyweir.durable.Stamp;
 import tallyweir.durable.StoreCounters;
 import tallyweir.durable.StoredRecord;
-import tallyweir.durable.Stamp;
 import tallyweir.durable.View;
 
 @Command(
@@ -383,7 +383,11 @@
                 d.scrubAll(progress(d));
                 Map<String, Object> all = damage(d);
                 print(out(), store.json(), all);
-                return d.figures().get(StoreCounters.Counter.LOST_FRAMES) + d.figures().get(StoreCounters.Counter.UNREPAIRED) > 0 ? 1 : 0;
+                return d.figures().get(StoreCounters.Counter.LOST_FRAMES)
+                                        + d.figures().get(StoreCounters.Counter.UNREPAIRED)
+                                > 0
+                        ? 1
+                        : 0;
             }
         }
     }
--- a/tool/src/main/java/tallyweir/tool/FleetDrill.java
+++ b/tool/src/main/java/tallyweir/tool/FleetDrill.java
@@ -23,8 +23,8 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 import tallyweir.fleet.Guard;
-import tallyweir.stand.History;
 import tallyweir.stand.FaultRelay;
+import tallyweir.stand.History;
 import tallyweir.stand.StandInSidecar;
 
 @Command(
--- a/tool/src/main/java/tallyweir/tool/FleetExploreCommand.java
+++ b/tool/src/main/java/tallyweir/tool/FleetExploreCommand.java
@@ -40,8 +40,11 @@
     }
 
     private int one() {
-        ExhaustiveSearch.SearchResult seen = Explorer.explore(Explorer.scenesByGuard().get(without), EnumSet.of(without), most);
-        String found = seen.violations().isEmpty() ? "nothing wrong" : seen.violations().get(0);
+        ExhaustiveSearch.SearchResult seen =
+                Explorer.explore(Explorer.scenesByGuard().get(without), EnumSet.of(without), most);
+        String found = seen.violations().isEmpty()
+                ? "nothing wrong"
+                : seen.violations().get(0);
         out().println("without " + without + ": " + found);
         return seen.violations().isEmpty() ? 0 : 1;
     }
@@ -50,13 +53,14 @@
         boolean good = true;
         for (Explorer.Scene scene : Explorer.Scene.values()) {
             ExhaustiveSearch.SearchResult seen = Explorer.explore(scene, Set.of(), most);
-            out().println(scene + ": states " + seen.states() + ", steps " + seen.steps() + ", ends " + seen.quiescentStates()
-                    + ", wrong " + seen.violations());
+            out().println(scene + ": states " + seen.states() + ", steps " + seen.steps() + ", ends "
+                    + seen.quiescentStates() + ", wrong " + seen.violations());
             good &= seen.violations().isEmpty();
         }
         for (Map.Entry<Guard, Explorer.Scene> guard : Explorer.scenesByGuard().entrySet()) {
             ExhaustiveSearch.SearchResult seen = Explorer.explore(guard.getValue(), EnumSet.of(guard.getKey()), most);
-            boolean missed = !seen.violations().isEmpty() && !seen.violations().get(0).startsWith("given up");
+            boolean missed =
+                    !seen.violations().isEmpty() && !seen.violations().get(0).startsWith("given up");
             out().println("without " + guard.getKey() + ": "
                     + (missed ? seen.violations().get(0) : "NOT MISSED"));
             good &= missed;
--- a/tool/src/main/java/tallyweir/tool/FleetOptions.java
+++ b/tool/src/main/java/tallyweir/tool/FleetOptions.java
@@ -26,7 +26,8 @@
     RatisFleetClient open() {
         OperatorSettings read = OperatorSettings.read(operators);
         if (!read.inFleet()) {
-            throw new InvalidSettingException("fleet is missing in " + operators + ": it names the fleet and its voters");
+            throw new InvalidSettingException(
+                    "fleet is missing in " + operators + ": it names the fleet and its voters");
         }
         return new RatisFleetClient(read.fleetName(), read.voters(), giveUpMs);
     }
--- a/tool/src/main/java/tallyweir/tool/FleetStage.java
+++ b/tool/src/main/java/tallyweir/tool/FleetStage.java
@@ -10,9 +10,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicInteger;
+import tallyweir.stand.FaultRelay;
 import tallyweir.stand.History;
 import tallyweir.stand.StandInKernel;
-import tallyweir.stand.FaultRelay;
 import tallyweir.stand.StandInSidecar;
 import tallyweir.stand.StandInStore;
 
--- a/tool/src/main/java/tallyweir/tool/ResultsBench.java
+++ b/tool/src/main/java/tallyweir/tool/ResultsBench.java
@@ -27,11 +27,11 @@
 import tallyweir.ids.SubjectId;
 import tallyweir.ids.WorkloadId;
 import tallyweir.results.DurableResultStore;
-import tallyweir.results.Known;
 import tallyweir.results.IdempotencyKey;
+import tallyweir.results.Known;
+import tallyweir.stand.MultiplexedSidecar;
 import tallyweir.stand.StandInKernel;
 import tallyweir.stand.StandInSidecar;
-import tallyweir.stand.MultiplexedSidecar;
 
 @Command(
         name = "bench",
--- a/tool/src/main/java/tallyweir/tool/ResultsCommand.java
+++ b/tool/src/main/java/tallyweir/tool/ResultsCommand.java
@@ -233,7 +233,8 @@
         int settle(Settling.As as, byte[] result) throws IOException {
             store.change(
                     List.of(DurableResultStore.RESULTS, Settling.AUDIT),
-                    (d, c) -> Settling.settle(d, c, DurableResultStore.idempotencyKey(workload, key), as, result, by, why),
+                    (d, c) -> Settling.settle(
+                            d, c, DurableResultStore.idempotencyKey(workload, key), as, result, by, why),
                     adminSocket -> {
                         AdminSocket.sendRequest(
                                 adminSocket,
@@ -407,7 +408,8 @@
             spec.commandLine()
                     .getOut()
                     .println("results explore: states " + seen.states() + ", steps " + seen.steps() + ", ends "
-                            + seen.quiescentStates() + ", wrong " + seen.violations().size());
+                            + seen.quiescentStates() + ", wrong "
+                            + seen.violations().size());
             return seen.violations().isEmpty() ? 0 : 1;
         }
     }
--- a/tool/src/main/java/tallyweir/tool/bench/BareResponder.java
+++ b/tool/src/main/java/tallyweir/tool/bench/BareResponder.java
@@ -10,9 +10,9 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
-import tallyweir.fastcgi.RequestFields;
 import tallyweir.fastcgi.FastCgiReader;
 import tallyweir.fastcgi.Records;
+import tallyweir.fastcgi.RequestFields;
 import tallyweir.ids.RequestId;
 
 /**
--- a/tool/src/main/java/tallyweir/tool/soak/SoakBackend.java
+++ b/tool/src/main/java/tallyweir/tool/soak/SoakBackend.java
@@ -12,14 +12,14 @@
 import java.util.concurrent.TimeUnit;
 import tallyweir.stand.FailingCalls;
 import tallyweir.stand.FailingCalls.Call;
+import tallyweir.stand.FaultRelay;
 import tallyweir.stand.History;
 import tallyweir.stand.LoadSettings;
 import tallyweir.stand.PipelinedCaller;
 import tallyweir.stand.RequestLog;
+import tallyweir.stand.SequentialCaller;
 import tallyweir.stand.SilentClient;
 import tallyweir.stand.StandInKernel;
-import tallyweir.stand.FaultRelay;
-import tallyweir.stand.SequentialCaller;
 import tallyweir.tool.Program;
 
 /** One backend of a soak with its kernel, the relays between them, and its callers. */
--- a/tool/src/main/java/tallyweir/tool/soak/SoakCommand.java
+++ b/tool/src/main/java/tallyweir/tool/soak/SoakCommand.java
@@ -13,8 +13,8 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 import tallyweir.stand.FailingCalls;
-import tallyweir.stand.RequestOutcome;
 import tallyweir.stand.RequestLog;
+import tallyweir.stand.RequestOutcome;
 
 /** Plays signals, failing system calls, broken links and bad clients against whole processes, and judges what callers saw. */
 @Command(
--- a/tool/src/main/java/tallyweir/tool/soak/SoakJudge.java
+++ b/tool/src/main/java/tallyweir/tool/soak/SoakJudge.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import tallyweir.stand.History;
-import tallyweir.stand.RequestOutcome;
 import tallyweir.stand.RequestLog;
+import tallyweir.stand.RequestOutcome;
 
 /** Holds the rules by what callers and the kernel saw; knows nothing of how the program works. */
 final class SoakJudge {
@@ -34,7 +34,8 @@
                 failedCalls,
                 otherFaults,
                 all.stream().filter(this::isLost).toList(),
-                log.countAnsweredTwice() + runs.values().stream().filter(n -> n > 1).count(),
+                log.countAnsweredTwice()
+                        + runs.values().stream().filter(n -> n > 1).count(),
                 all.stream().filter(this::isLate).toList(),
                 all.stream().filter(fate -> ranAfterGrace(fate, runs)).count());
     }
--- a/tool/src/test/java/tallyweir/tool/FleetOperatorsTest.java
+++ b/tool/src/test/java/tallyweir/tool/FleetOperatorsTest.java
@@ -63,7 +63,8 @@
         Answer second = link.request(cap("second", "c", 1, 3));
         assertFalse(first instanceof Answer.Refused, first.toString());
         Fault why = ((Answer.Refused) second).fault();
-        assertTrue(why instanceof Fault.KeyConflict conflict && conflict.author().equals("first"), why.description());
+        assertTrue(
+                why instanceof Fault.KeyConflict conflict && conflict.author().equals("first"), why.description());
         until("the first is in force", () -> new Value.Cap(2).equals(capOf("c")));
         assertEquals(new Answer.Done(new RevisionId(revisionOf("first"))), link.request(cap("first", "c", 1, 2)));
 
