--- a/tool/src/test/java/tallyweir/tool/FleetTest.java
+++ b/tool/src/test/java/tallyweir/tool/FleetTest.java
@@ -217,7 +217,8 @@
     }
 
     private Map<String, String> others(int alone) {
-        Map<String, String> all = new LinkedHashMap<>(OperatorSettings.read(operators).voters());
+        Map<String, String> all =
+                new LinkedHashMap<>(OperatorSettings.read(operators).voters());
         all.remove("v" + alone);
         return all;
     }
--- a/tool/src/test/java/tallyweir/tool/FleetTransferTest.java
+++ b/tool/src/test/java/tallyweir/tool/FleetTransferTest.java
@@ -132,7 +132,8 @@
         for (int i = 0; i < 1_000; i++) {
             Key key = new Key(Kind.CAP, "tenant-0-" + i);
             Change change = new Change(key, Optional.of(new Value.Cap(i + 1)), Optional.of(new Value.Cap(i + 2)));
-            ask(new Command.ChangeEntries(new OperatorCommandId("c" + i), List.of(change), "test", "change " + i, false));
+            ask(new Command.ChangeEntries(
+                    new OperatorCommandId("c" + i), List.of(change), "test", "change " + i, false));
         }
         assertEquals(0, command("change", stage.largeMove(0, 1).toString(), "--why", "moves"));
         long last = link.audit().inForce().value();
--- a/tool/src/test/java/tallyweir/tool/LostAtTheStopTest.java
+++ b/tool/src/test/java/tallyweir/tool/LostAtTheStopTest.java
@@ -22,7 +22,8 @@
             new SequentialCaller.Profile("new connections", true, 1, 0, 5);
     private static final SequentialCaller.Profile KEPT_CONNECTIONS =
             new SequentialCaller.Profile("kept connections", false, 1, 0, 20);
-    private static final SequentialCaller.Profile IN_PIECES = new SequentialCaller.Profile("in pieces", false, 4, 5, 20);
+    private static final SequentialCaller.Profile IN_PIECES =
+            new SequentialCaller.Profile("in pieces", false, 4, 5, 20);
     private static final int RUN_MS = 1_500;
     private static final int LISTENER_CLOSES_MS = StoppingServer.EARLIEST_STOP_MS - 2 * 60 - 500; // after the notice
 
@@ -37,7 +38,8 @@
         TimeUnit.MILLISECONDS.sleep(RUN_MS);
         server.stopAndKill();
         assertEquals(List.of(), server.lost(), server::report);
-        assertTrue(failing == null || server.calls().failureCount(failing) > 0, "a run without a failure shows nothing");
+        assertTrue(
+                failing == null || server.calls().failureCount(failing) > 0, "a run without a failure shows nothing");
     }
 
     /** One failed accept left everybody who connected in the next second unanswered. */
--- a/tool/src/test/java/tallyweir/tool/StoppingServer.java
+++ b/tool/src/test/java/tallyweir/tool/StoppingServer.java
@@ -11,11 +11,11 @@
 import tallyweir.stand.FailingCalls;
 import tallyweir.stand.LoadSettings;
 import tallyweir.stand.PipelinedCaller;
-import tallyweir.stand.RequestOutcome;
 import tallyweir.stand.RequestLog;
+import tallyweir.stand.RequestOutcome;
+import tallyweir.stand.SequentialCaller;
 import tallyweir.stand.SilentClient;
 import tallyweir.stand.StandInKernel;
-import tallyweir.stand.SequentialCaller;
 
 /** One server in a process of its own whose system calls may fail, under callers that go on until it is killed. */
 final class StoppingServer implements AutoCloseable {
--- a/tool/src/test/java/tallyweir/tool/soak/SoakCommandTest.java
+++ b/tool/src/test/java/tallyweir/tool/soak/SoakCommandTest.java
@@ -60,7 +60,8 @@
         assertFalse(new SoakVerdict(9, 9, 0, 0, 5, 1, List.of(), 0, List.of(), 0).holds(), "no drain: it is void");
     }
 
-    private static SoakVerdict verdict(List<RequestOutcome> lost, long twice, List<RequestOutcome> late, long afterGrace) {
+    private static SoakVerdict verdict(
+            List<RequestOutcome> lost, long twice, List<RequestOutcome> late, long afterGrace) {
         return new SoakVerdict(9, 9, 0, 1, 5, 1, lost, twice, late, afterGrace);
     }
 
