--- a/daemon/src/main/java/tallyweir/backend/FleetMembership.java
+++ b/daemon/src/main/java/tallyweir/backend/FleetMembership.java
@@ -325,6 +325,6 @@
         LOG.atWarn()
                 .addKeyValue("why", fault.description())
                 .addKeyValue("advice", fault.advice())
-                .log("the fleet refused a command of this server");
+                .log("the fleet turned this server down");
     }
 }
--- a/daemon/src/main/java/tallyweir/backend/ShadowedChoice.java
+++ b/daemon/src/main/java/tallyweir/backend/ShadowedChoice.java
@@ -308,7 +308,7 @@
             endDivergedQueries();
             countDifferences();
         } catch (RuntimeException | Error e) {
-            LOG.error("the shadow settings failed and are switched off", e);
+            LOG.error("watching has failed and is off", e);
             shadow = null;
             inForceRecorder.recording = false;
         }
--- a/daemon/src/main/java/tallyweir/cli/ConfigReloader.java
+++ b/daemon/src/main/java/tallyweir/cli/ConfigReloader.java
@@ -119,7 +119,7 @@
                     .addKeyValue("kernel", config.kernel)
                     .addKeyValue("store", config.store)
                     .addKeyValue("announce", config.announce)
-                    .log("configuration reloaded");
+                    .log("told to read the configuration again");
         }
     }
 
@@ -129,7 +129,7 @@
         if (consecutiveFaults++ == 0 || !message.equals(lastFault)) {
             LOG.atWarn()
                     .addKeyValue("fault", message)
-                    .log("the configuration was not reloaded, the old one stays in force");
+                    .log("told to read the configuration again, the old one stays in force");
         }
         lastFault = message;
     }
@@ -139,9 +139,7 @@
         try {
             server.compareWith(OperatorSettings.read(environment).shadowSettings(inForce));
         } catch (InvalidSettingException e) {
-            LOG.atWarn()
-                    .addKeyValue("fault", e.getMessage())
-                    .log("the shadow settings were not reloaded, the old ones stay in force");
+            LOG.atWarn().addKeyValue("fault", e.getMessage()).log("what is watched stays as it was");
         }
     }
 }
--- a/daemon/src/main/java/tallyweir/cli/ShutdownHook.java
+++ b/daemon/src/main/java/tallyweir/cli/ShutdownHook.java
@@ -59,12 +59,12 @@
         if (listeningServer == null) {
             return;
         }
-        listeningServer.onListenerClosed(() -> print("listener closed; " + listeningServer.counters()));
+        listeningServer.onListenerClosed(() -> print("listens no more; " + listeningServer.counters()));
         listeningServer.drain();
-        print("shutting down; " + listeningServer.counters());
+        print("told to leave; " + listeningServer.counters());
         long finalCountersAfterMs = Math.max(0, stopAfterMs - FINAL_COUNTERS_MS);
         pause(finalCountersAfterMs);
-        print("final counters; " + listeningServer.counters());
+        print("at the stop; " + listeningServer.counters());
         listeningServer.leaveFleet();
         if (store != null) {
             store.close();
--- a/daemon/src/test/java/tallyweir/BackendTest.java
+++ b/daemon/src/test/java/tallyweir/BackendTest.java
@@ -373,7 +373,7 @@
 
         @Override
         public void stopListening() {
-            log.add("listener closed");
+            log.add("listens no more");
         }
 
         @Override
@@ -891,13 +891,13 @@
         sim.backend.drain();
         sim.backend.drain();
         sim.advance(25_700);
-        assertEquals(0, logged("listener closed"));
+        assertEquals(0, logged("listens no more"));
         sim.advance(200);
-        assertEquals(List.of(1L, 0L), List.of(logged("listener closed"), logged("close ")));
+        assertEquals(List.of(1L, 0L), List.of(logged("listens no more"), logged("close ")));
         sim.backend.listenerClosed();
         assertEquals(
                 List.of(1L, 0L, 1L),
-                List.of(logged("close " + idle), logged("close " + unread), logged("listener closed")));
+                List.of(logged("close " + idle), logged("close " + unread), logged("listens no more")));
         Request late = sim.request(unread, "c", "b", 20_000, null);
         sim.unread.clear();
         sim.advance(400);
--- a/daemon/src/test/java/tallyweir/ProcessTest.java
+++ b/daemon/src/test/java/tallyweir/ProcessTest.java
@@ -257,7 +257,7 @@
                     caller.getOutputStream().write(query(1, "00000000000000aa"));
                     end.await("SCHED");
                     signal("TERM", backend);
-                    awaitLine(log, "shutting down");
+                    awaitLine(log, "told to leave");
                     signal("TERM", backend);
                     assertEquals(503, check(at), "at once after the notice");
                     end.sendNotice("REAP", 1, "00000000000000aa", "bWFkZQ==");
@@ -267,7 +267,7 @@
                             503, answer(caller.getInputStream()).status(), "the connection stays open and is answered");
                     assertEquals(-1, caller.getInputStream().read());
                     assertEquals(-1, idle.getInputStream().read());
-                    awaitLine(log, "final counters");
+                    awaitLine(log, "at the stop");
                     assertThrows(ConnectException.class, () -> dial(at).close());
                     assertTrue(backend.isAlive());
                 }
@@ -293,7 +293,7 @@
                     caller.getOutputStream().write(query(1, "00000000000000aa", "u"));
                     end.await("SCHED");
                     signal("TERM", backend);
-                    awaitLine(log, "listener closed");
+                    awaitLine(log, "listens no more");
                     end.sendNotice("REAP", 1, "00000000000000aa", "bWFkZQ==");
                     assertEquals(200, answer(caller.getInputStream()).status());
                     assertEquals(-1, caller.getInputStream().read(), "then the connection ends");
--- a/daemon/src/test/java/tallyweir/ServerTest.java
+++ b/daemon/src/test/java/tallyweir/ServerTest.java
@@ -413,13 +413,13 @@
                     assertEquals(1, shadowRuns(at), "with one core the second query would have to wait");
                     Files.writeString(operators, watch.formatted("\"x\""));
                     sendHangup(backend);
-                    assertTrue(awaitLine(log, "the shadow settings were not reloaded")
+                    assertTrue(awaitLine(log, "what is watched stays as it was")
                             .contains("watch.settings.FamilyInfo.Cpus"));
-                    awaitLine(log, "configuration reloaded"); // new addresses are applied all the same
+                    awaitLineEnd(log, "told to read the configuration again"); // new addresses are applied all the same
                     assertEquals(1, shadowRuns(at), "the old shadow settings stay");
                     Files.writeString(operators, "{}");
                     sendHangup(backend);
-                    awaitLine(log, "configuration reloaded");
+                    awaitLineEnd(log, "told to read the configuration again");
                     assertEquals(-1, shadowRuns(at), "no shadow settings");
                 }
             } finally {
@@ -479,6 +479,14 @@
         return line;
     }
 
+    /** Tells a message from a longer one that begins with it: the key-value pairs are printed before the message. */
+    private static void awaitLineEnd(BufferedReader log, String end) throws IOException {
+        String line = log.readLine();
+        while (!line.endsWith(end)) {
+            line = log.readLine();
+        }
+    }
+
     static void sendHangup(Process program) throws Exception {
         signal("HUP", program);
     }
--- a/daemon/src/test/java/tallyweir/cli/ShutdownHookTest.java
+++ b/daemon/src/test/java/tallyweir/cli/ShutdownHookTest.java
@@ -56,8 +56,8 @@
         Thread hookThread = new Thread(hook);
         hookThread.setDaemon(true);
         hookThread.start();
-        Awaitility.await().until(() -> output.toString(UTF_8).contains("shutting down; connections_accepted="));
-        Awaitility.await().until(() -> output.toString(UTF_8).contains("final counters; "));
+        Awaitility.await().until(() -> output.toString(UTF_8).contains("told to leave; connections_accepted="));
+        Awaitility.await().until(() -> output.toString(UTF_8).contains("at the stop; "));
         assertTrue(hookThread.isAlive(), "the hook waits for the kill");
         decisionThread.interrupt();
     }
