--- a/daemon/src/main/java/tallyweir/cli/Serve.java
+++ b/daemon/src/main/java/tallyweir/cli/Serve.java
@@ -92,7 +92,7 @@
         // The parent process may ignore the signal (nohup does). That is inherited and the JVM does not change it, so
         // no signal would ever arrive.
         if (Signal.handle(new Signal("HUP"), signal -> reloader.onSignal()) == SignalHandler.SIG_IGN) {
-            LOG.warn("SIGHUP was ignored when the process started; the configuration file is polled instead");
+            LOG.warn("SIGHUP is ignored since the start: the configuration's file is watched instead");
             reloader.pollFile();
         }
         if (store != null) {
--- a/daemon/src/main/java/tallyweir/net/Server.java
+++ b/daemon/src/main/java/tallyweir/net/Server.java
@@ -175,7 +175,7 @@
                         && connectingSince.values().iterator().next() < before
                 || reportConnectingSince > 0 && reportConnectingSince < before;
         if (stuck) {
-            LOG.error("connecting to the peers hangs; the connectors are replaced");
+            LOG.error("the sockets to the peers are stuck and are made anew");
             connector.dispose();
             datagramConnector.dispose();
             openPeerConnectors();
@@ -316,7 +316,7 @@
             IoSession largest = backloggedCallers.stream()
                     .max(Comparator.comparingLong(IoSession::getScheduledWriteBytes))
                     .orElseThrow();
-            LOG.warn("a connection is closed: its unread answers take too much memory");
+            LOG.warn("a connection is closed: answers that are not read take too much memory");
             backend.closedWithUnreadAnswers();
             largest.closeNow();
         }
