--- a/consensus/src/main/java/tallyweir/fleet/ratis/ReadRequest.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/ReadRequest.java
@@ -19,7 +19,7 @@
      *
      * @param from root of the table that the requester has
      * @param to the wanted revision and the root of its table
-     * @param most maximum number of changes to return
+     * @param maxChanges maximum number of changes to return
      */
     record Difference(Digest from, RevisionRoot to, int maxChanges) implements ReadRequest {}
 
--- a/consensus/src/main/java/tallyweir/fleet/ratis/SnapshotFileWriter.java
+++ b/consensus/src/main/java/tallyweir/fleet/ratis/SnapshotFileWriter.java
@@ -14,7 +14,7 @@
 
 /**
  * Writes a snapshot part by part, with at most one encoded part in memory. The file starts with {@link #MAGIC}; each part follows as its
- * length, its CRC-32C checksum and its bytes; the trailer is the length {@link #END} and the number of parts.
+ * length, its CRC-32C checksum and its bytes; the trailer is the length {@link #TRAILER_LENGTH} and the number of parts.
  */
 final class SnapshotFileWriter implements Consumer<SnapshotPart>, Closeable {
     static final String MAGIC = "tallyweir fleet snapshot 1\n";
--- a/daemon/src/main/java/tallyweir/backend/Backend.java
+++ b/daemon/src/main/java/tallyweir/backend/Backend.java
@@ -17,7 +17,7 @@
 
 /**
  * One backend without its sockets: input is passed to these methods, output is sent through {@link Links}. Called by
- * one thread only, with {@link #clock} before each round of input. All times are in tenths of a millisecond. An exception
+ * one thread only, with {@link #updateClock} before each round of input. All times are in tenths of a millisecond. An exception
  * in the handling of one input is logged and counted, not thrown to the caller.
  */
 public final class Backend {
@@ -95,7 +95,7 @@
         }
     }
 
-    /** When {@link #pass} next has something to do, Long.MAX_VALUE for never. */
+    /** When {@link #runDue} next has something to do, Long.MAX_VALUE for never. */
     public long nextDeadline() {
         return deadlines.nextAt();
     }
--- a/daemon/src/main/java/tallyweir/backend/ConnectionLimits.java
+++ b/daemon/src/main/java/tallyweir/backend/ConnectionLimits.java
@@ -3,7 +3,7 @@
 /**
  * Limits on the number of open connections of callers.
  *
- * @param usual above this number, each new connection closes another one without a pending answer
- * @param most at this number, no more are accepted and further callers wait in the listener's queue
+ * @param softLimit above this number, each new connection closes another one without a pending answer
+ * @param max at this number, no more are accepted and further callers wait in the listener's queue
  */
 record ConnectionLimits(int softLimit, int max) {}
--- a/daemon/src/main/java/tallyweir/backend/Connections.java
+++ b/daemon/src/main/java/tallyweir/backend/Connections.java
@@ -134,7 +134,7 @@
     }
 
     /**
-     * Closes the listener before the shutdown. This comes before {@link #leave}, since a caller whose connection is closed
+     * Closes the listener before the shutdown. This comes before {@link #closeAllForShutdown}, since a caller whose connection is closed
      * while the listener is open would reconnect at once.
      */
     void stopListening() {
--- a/daemon/src/main/java/tallyweir/backend/FleetMembership.java
+++ b/daemon/src/main/java/tallyweir/backend/FleetMembership.java
@@ -63,12 +63,12 @@
      *
      * @param fleetName the name of the fleet
      * @param decidingExecutor runs callbacks on the deciding thread
-     * @param name the name of this server
+     * @param serverName the name of this server
      * @param listen the address that this server listens on
      * @param linger how long a connection counts for a tenant after its last query
      * @param minRetryInterval minimum time before an unanswered command is sent again
      * @param withdrawWhenOut whether the server is withdrawn while it is out of the fleet
-     * @param life start of this process by the wall clock, higher than that of the process before it
+     * @param processStartedAt start of this process by the wall clock, higher than that of the process before it
      * @param disabledGuards guards that are off, for checks only
      */
     FleetMembership(
@@ -137,7 +137,7 @@
     // ---- queries
 
     /**
-     * Whether the tenant's cap admits a query, which then counts until {@link #over}. After a refusal this server reports to the
+     * Whether the tenant's cap admits a query, which then counts until {@link #onQueryEnded}. After a refusal this server reports to the
      * fleet soon.
      */
     boolean enter(ConnectionId connection, TenantId tenant) {
--- a/daemon/src/main/java/tallyweir/backend/Links.java
+++ b/daemon/src/main/java/tallyweir/backend/Links.java
@@ -43,7 +43,7 @@
     boolean areCallersWaiting();
 
     /**
-     * Opens a link to a peer. {@link Backend#up} or {@link Backend#down} is called later.
+     * Opens a link to a peer. {@link Backend#linkUp} or {@link Backend#linkDown} is called later.
      *
      * @param at address to connect to, null for the peer's present address
      */
@@ -61,6 +61,6 @@
     /** Sends a datagram to the announce service. */
     void sendReport(byte[] datagram);
 
-    /** Reads the configuration again, in case peers have moved; {@link Backend#moved} is called if so. */
+    /** Reads the configuration again, in case peers have moved; {@link Backend#addressesChanged} is called if so. */
     void recheckConfig();
 }
--- a/daemon/src/main/java/tallyweir/backend/Queries.java
+++ b/daemon/src/main/java/tallyweir/backend/Queries.java
@@ -25,7 +25,7 @@
 
 /**
  * The queries in flight at one backend. Connects the caller connections, the decision logic ({@link Choice}), the
- * kernel and the store. Each query is answered exactly once ({@link #answer}) and released exactly once
+ * kernel and the store. Each query is answered exactly once ({@link #markAnswered}) and released exactly once
  * ({@link #releaseIfDone}). All methods run on the backend's thread; all times are in tenths of a millisecond.
  */
 final class Queries implements Outgoing {
--- a/daemon/src/main/java/tallyweir/backend/RevisionPreparer.java
+++ b/daemon/src/main/java/tallyweir/backend/RevisionPreparer.java
@@ -28,7 +28,7 @@
 
     /**
      * @param decidingExecutor runs the callbacks on the deciding thread
-     * @param server the name of this server
+     * @param serverName the name of this server
      * @param workloads the workloads of this server
      */
     RevisionPreparer(FleetClient client, Executor decidingExecutor, String serverName, Set<WorkloadId> workloads) {
--- a/daemon/src/main/java/tallyweir/backend/RoutesBuilder.java
+++ b/daemon/src/main/java/tallyweir/backend/RoutesBuilder.java
@@ -32,7 +32,7 @@
     private final Map<WorkloadId, Integer> unknownCounts = new HashMap<>();
     private int storeCount;
 
-    /** @param before the routes to start from, for the same server */
+    /** @param previous the routes to start from, for the same server */
     RoutesBuilder(Routes previous) {
         this.previous = previous;
         ownWorkloads = previous.ownWorkloads();
--- a/daemon/src/main/java/tallyweir/backend/ServerEntries.java
+++ b/daemon/src/main/java/tallyweir/backend/ServerEntries.java
@@ -15,7 +15,7 @@
  * @param table the table of the revision
  * @param kernel address of the server's kernel, null for the one in its configuration
  * @param announce address of the announce service, null for the one in its configuration
- * @param standsBack whether the server is withdrawn: it defers new queries and is no longer announced
+ * @param withdrawn whether the server is withdrawn: it defers new queries and is no longer announced
  */
 record ServerEntries(Table table, InetSocketAddress kernel, InetSocketAddress announce, boolean withdrawn) {
     /** The entries without any revision. */
--- a/daemon/src/main/java/tallyweir/backend/ShadowedChoice.java
+++ b/daemon/src/main/java/tallyweir/backend/ShadowedChoice.java
@@ -126,7 +126,7 @@
      *
      * @param newSettings of the new shadow; null for no shadow
      * @param seed only needed to construct it; its draws are those of the settings in force
-     * @param since the time at which it counts as started, by the clock of the decisions
+     * @param startedAt the time at which it counts as started, by the clock of the decisions
      * @param cold whether the server counts as just started and not warmed up
      */
     void setShadow(Settings newSettings, long seed, long startedAt, boolean cold) {
--- a/daemon/src/main/java/tallyweir/config/ChangeFile.java
+++ b/daemon/src/main/java/tallyweir/config/ChangeFile.java
@@ -18,7 +18,7 @@
  * A file that describes the difference to the current revision: the entries to put, in the same sections as in a
  * {@link RevisionFile}, and the names of the entries to remove.
  *
- * @param wanted the new value of each entry, empty for an entry that is removed
+ * @param newValues the new value of each entry, empty for an entry that is removed
  */
 public record ChangeFile(Map<Key, Optional<Value>> newValues) {
     private static final String PUT = "put";
--- a/daemon/src/main/java/tallyweir/config/Settings.java
+++ b/daemon/src/main/java/tallyweir/config/Settings.java
@@ -156,9 +156,9 @@
     /**
      * Configures and starts the decisions. Features for which the protocol of the server or wire host has no message are off.
      *
-     * @param startsCold whether the server starts cold and allows less concurrency at first
+     * @param cold whether the server starts cold and allows less concurrency at first
      * @param canSuspend whether a run can be suspended and continued
-     * @param poorer whether a query can get a degraded answer
+     * @param canDegrade whether a query can get a degraded answer
      * @param canAdvertise whether load can be advertised to callers
      */
     public void start(Choice choice, boolean cold, boolean canSuspend, boolean canDegrade, boolean canAdvertise) {
--- a/daemon/src/main/java/tallyweir/fastcgi/FastCgiReader.java
+++ b/daemon/src/main/java/tallyweir/fastcgi/FastCgiReader.java
@@ -21,7 +21,7 @@
     /** The maximum number of consecutive bytes that are skipped, so that an endless body does not keep its connection open. */
     static final int MAX_SKIPPED_BYTES = 64 << 20;
 
-    /** Receives the events of the parser. It may call {@link FastCgiReader#done} from within. */
+    /** Receives the events of the parser. It may call {@link FastCgiReader#release} from within. */
     public interface Sink {
         /**
          * A request begins.
--- a/daemon/src/main/java/tallyweir/net/GatedAcceptor.java
+++ b/daemon/src/main/java/tallyweir/net/GatedAcceptor.java
@@ -34,7 +34,7 @@
     private volatile SelectionKey suspendedKey; // the listener's key while accepting is suspended, else null
 
     /**
-     * @param most the maximum of open connections
+     * @param maxOpen the maximum of open connections
      * @param onFull called by the accepting thread each time that accepting is suspended or keeps failing
      */
     GatedAcceptor(IoProcessor<NioSession> processor, int maxOpen, Runnable onFull, SocketFailures failures) {
--- a/daemon/src/main/java/tallyweir/net/Server.java
+++ b/daemon/src/main/java/tallyweir/net/Server.java
@@ -112,7 +112,7 @@
         /**
          * Returns null for a server that retains no results.
          *
-         * @param deciding runs tasks on the decision thread
+         * @param decisionThread runs tasks on the decision thread
          */
         ResultStore create(Executor decisionThread) throws IOException;
     }
@@ -636,7 +636,7 @@
     /**
      * Sets what reads the peers' addresses again when a peer cannot be reached. To be called before {@link #run}.
      *
-     * @param how called by the decision thread; must not block
+     * @param refresh called by the decision thread; must not block
      */
     public void lookAgain(Runnable refresh) {
         addressRefresh = refresh;
@@ -674,10 +674,10 @@
      * Makes this server a member of a fleet. To be called before {@link #run}, by the decision thread.
      *
      * @param fleet the fleet's name
-     * @param linger how long a connection counts for a tenant after its last query
-     * @param again the minimum wait before an unanswered request to the fleet is repeated
-     * @param backWhole whether the server withdraws completely while it is out of the fleet
-     * @param without guards that are disabled, for drills only
+     * @param lingerDuration how long a connection counts for a tenant after its last query
+     * @param minRetryInterval the minimum wait before an unanswered request to the fleet is repeated
+     * @param withdrawnWhenOut whether the server withdraws completely while it is out of the fleet
+     * @param disabledGuards guards that are disabled, for drills only
      */
     public void joinFleet(
             FleetClient client,
--- a/durable/src/main/java/tallyweir/durable/Committer.java
+++ b/durable/src/main/java/tallyweir/durable/Committer.java
@@ -41,7 +41,7 @@
 
     /**
      * @param maxPendingBytes maximum bytes of pending batches; a batch beyond that is refused at once
-     * @param forceEvery minimum time between two groups in nanoseconds; 0 for no limit but the disk's speed
+     * @param minGroupIntervalNanos minimum time between two groups in nanoseconds; 0 for no limit but the disk's speed
      * @param upkeepBytesPerSecond maximum bytes per second that upkeep reads and writes
      */
     public Committer(Durable store, long maxPendingBytes, long minGroupIntervalNanos, long upkeepBytesPerSecond) {
--- a/durable/src/main/java/tallyweir/durable/Durable.java
+++ b/durable/src/main/java/tallyweir/durable/Durable.java
@@ -59,8 +59,8 @@
      * @param opened namespaces that may be written; other existing ones can only be read
      * @param seed for the random id of a new store
      * @param clock tenths of a millisecond since 1970; may step back
-     * @param aside runs long tasks outside the writing thread, such as writing an index snapshot
-     * @param without disabled defences, for drills only
+     * @param background runs long tasks outside the writing thread, such as writing an index snapshot
+     * @param disabled disabled defences, for drills only
      * @throws StoreRefusedException with cause IN_USE or NEWER_FORMAT
      * @throws IOException if something needed can be read in neither copy
      */
@@ -626,7 +626,7 @@
     /**
      * Requests a scrub to start as soon as no more urgent job is due, regardless of its interval.
      *
-     * @return the value of {@link StoreCounters.Of#SCRUBS} once a complete pass started after this call has finished
+     * @return the value of {@link StoreCounters.Counter#SCRUBS} once a complete pass started after this call has finished
      */
     public synchronized long requestScrub() {
         return figures.get(StoreCounters.Counter.SCRUBS) + (upkeep.requestScrub() ? 2 : 1);
--- a/durable/src/main/java/tallyweir/durable/FileStore.java
+++ b/durable/src/main/java/tallyweir/durable/FileStore.java
@@ -81,7 +81,7 @@
      * Starts to answer operators' commands about the store.
      *
      * @param socket a path in the store's own directory
-     * @param more further commands by name, besides those about the store itself
+     * @param additionalCommands further commands by name, besides those about the store itself
      */
     public void openAdminSocket(Path socket, Map<String, AdminSocket.Command> additionalCommands) throws IOException {
         Map<String, AdminSocket.Command> all = AdminCommands.of(store, times);
--- a/durable/src/main/java/tallyweir/durable/FrameBuffer.java
+++ b/durable/src/main/java/tallyweir/durable/FrameBuffer.java
@@ -55,7 +55,7 @@
      * The index in the buffer of an intact frame that was written at this offset of the segment, or -1 if there is none.
      *
      * @param number the frame's number, or a negative number to accept any
-     * @param checked whether to verify the checksum; false in drills only
+     * @param verifyChecksum whether to verify the checksum; false in drills only
      */
     int loadFrame(long offset, long number, long storeId, int segment, boolean verifyChecksum) {
         byte kind = offset == 0 ? Format.HEAD_FRAME : Format.DATA_FRAME;
--- a/durable/src/main/java/tallyweir/durable/Group.java
+++ b/durable/src/main/java/tallyweir/durable/Group.java
@@ -28,7 +28,7 @@
     // State changes deferred until the disk is writing; null if each change is applied at once.
     private List<Runnable> deferredChanges;
 
-    /** @param to segment for the frame, null if nothing will be written */
+    /** @param target segment for the frame, null if nothing will be written */
     Group(State from, Segment target, Namespace[] namespaces, long room) {
         this.target = target;
         this.namespaces = namespaces;
@@ -73,7 +73,7 @@
         }
     }
 
-    /** Sets the savepoint for {@link #back}. */
+    /** Sets the savepoint for {@link #rollBack}. */
     void setSavepoint() {
         savepoint = new Group(this);
     }
--- a/durable/src/main/java/tallyweir/durable/Index.java
+++ b/durable/src/main/java/tallyweir/durable/Index.java
@@ -167,7 +167,7 @@
         return fromLeaves(leaves);
     }
 
-    /** Receives the fields of each entry other than its key and offset; see {@link #each}. */
+    /** Receives the fields of each entry other than its key and offset; see {@link #forEach}. */
     interface EntryVisitor {
         void visit(int namespace, long stamp, int segment, int length, long expiresAt);
     }
--- a/durable/src/main/java/tallyweir/durable/IndexSnapshot.java
+++ b/durable/src/main/java/tallyweir/durable/IndexSnapshot.java
@@ -110,7 +110,7 @@
 
     /**
      * Reads the newest snapshot that is valid by itself, null if there is none; whether it matches the log is checked by
-     * {@link #fits}.
+     * {@link #matchesLog}.
      *
      * @param verify whether to check checksum and store id; false in drills only
      */
--- a/durable/src/main/java/tallyweir/durable/SegmentHead.java
+++ b/durable/src/main/java/tallyweir/durable/SegmentHead.java
@@ -18,8 +18,8 @@
  * @param segment the number of this segment
  * @param firstFrame the number of the first frame after the head
  * @param lastStamp the last stamp given before the head
- * @param opening how often the store had been opened for writing, this opening included
- * @param names the names of the namespaces, indexed by their numbers
+ * @param openingNumber how often the store had been opened for writing, this opening included
+ * @param namespaceNames the names of the namespaces, indexed by their numbers
  * @param olderSegments the older segments that are part of the store
  */
 record SegmentHead(
--- a/durable/src/main/java/tallyweir/durable/SegmentReader.java
+++ b/durable/src/main/java/tallyweir/durable/SegmentReader.java
@@ -23,10 +23,10 @@
     private int frameIndex;
 
     /**
-     * @param place the offset at which a frame begins, 0 for the head
+     * @param offset the offset at which a frame begins, 0 for the head
      * @param frame the number of the frame there (for the head, the number of the first frame after it)
-     * @param limit the number of the first frame that is not read
-     * @param comparesCopies whether the second copy is read and checked even if the frame is intact in the first
+     * @param limitFrame the number of the first frame that is not read
+     * @param compares whether the second copy is read and checked even if the frame is intact in the first
      */
     SegmentReader(Log log, Segment segment, long offset, long frame, long limitFrame, boolean compares) {
         this.comparesCopies = compares;
--- a/durable/src/main/java/tallyweir/durable/State.java
+++ b/durable/src/main/java/tallyweir/durable/State.java
@@ -5,8 +5,8 @@
  *
  * @param index location of each key's record
  * @param byAge entries keyed by namespace, stamp and key, for namespaces that drop their oldest records
- * @param used bytes of current records per namespace
- * @param keys number of current records per namespace
+ * @param usedBytes bytes of current records per namespace
+ * @param keyCounts number of current records per namespace
  * @param lastStamp highest stamp assigned
  */
 record State(Index index, Index byAge, long[] usedBytes, long[] keyCounts, long lastStamp) {
--- a/durable/src/main/java/tallyweir/durable/StepTimes.java
+++ b/durable/src/main/java/tallyweir/durable/StepTimes.java
@@ -46,8 +46,8 @@
     /**
      * Records a completed step.
      *
-     * @param began the start of the step, nanoseconds of {@link System#nanoTime}
-     * @param now its end, by the same clock
+     * @param startedAt the start of the step, nanoseconds of {@link System#nanoTime}
+     * @param endedAt its end, by the same clock
      */
     synchronized void record(Step step, long startedAt, long endedAt) {
         int i = step.ordinal();
--- a/durable/src/main/java/tallyweir/durable/Upkeep.java
+++ b/durable/src/main/java/tallyweir/durable/Upkeep.java
@@ -84,7 +84,7 @@
     /**
      * Returns the next job.
      *
-     * @param hasRetired whether files of retired segments can be deleted
+     * @param retired whether files of retired segments can be deleted
      * @param damage whether reads have found damage
      * @param compacting whether a segment is being compacted
      */
@@ -169,8 +169,8 @@
      * Records a finished compaction. If it wrote about as many bytes as it freed, only heads and unfilled sectors are
      * dead, and the next compaction waits until one segment's worth of bytes has been written.
      *
-     * @param segment bytes of the compacted segment
-     * @param wrote bytes written to replace it
+     * @param compactedBytes bytes of the compacted segment
+     * @param writtenBytes bytes written to replace it
      */
     void onCompacted(long compactedBytes, long writtenBytes) {
         compactionPauseBytes = compactedBytes - writtenBytes < MIN_COMPACTION_GAIN * compactedBytes ? segmentBytes : 0;
--- a/fleet/src/main/java/tallyweir/fleet/Answer.java
+++ b/fleet/src/main/java/tallyweir/fleet/Answer.java
@@ -8,26 +8,26 @@
     /**
      * The server has been given a slot. It counts as live only once it has reported that it acts on the revision in force.
      *
-     * @param as the incarnation that the server's reports must name
-     * @param places number of slots of the fleet, each of which has a floor
+     * @param incarnation the incarnation that the server's reports must name
+     * @param slots number of slots of the fleet, each of which has a floor
      * @param floorShare the share of a cap that is divided among the slots as floors
-     * @param next time until the next report, at most, by the server's clock
+     * @param maxReportDelay time until the next report, at most, by the server's clock
      */
     record Joined(Incarnation incarnation, int slots, double floorShare, long maxReportDelay) implements Answer {}
 
     /**
      * A report was accepted.
      *
-     * @param number the number of the report
-     * @param lease how long the server may use the connections lent to it, by its own clock and counted from when it sent this
+     * @param reportNumber the number of the report
+     * @param leaseDuration how long the server may use the connections lent to it, by its own clock and counted from when it sent this
      *     report; 0 while it is not a member
      * @param floorLeaseDuration how long it may use its floors, counted likewise
      * @param floorsFree whether floors that are higher than before may be used, because nothing is lent against them any more
      * @param inForce the revision in force
-     * @param age how long that revision has been in force
-     * @param toCheck the proposed revision, NONE if there is none
-     * @param shares what the server is lent by tenant; tenants without a share are left out
-     * @param next time until the next report, at most, by the server's clock
+     * @param inForceDuration how long that revision has been in force
+     * @param proposed the proposed revision, NONE if there is none
+     * @param grants what the server is lent by tenant; tenants without a share are left out
+     * @param maxReportDelay time until the next report, at most, by the server's clock
      */
     record ReportAccepted(
             long reportNumber,
--- a/fleet/src/main/java/tallyweir/fleet/ChangeRecord.java
+++ b/fleet/src/main/java/tallyweir/fleet/ChangeRecord.java
@@ -70,7 +70,7 @@
         fault = saved.fault().orElse(null);
     }
 
-    /** @param more number of snapshot parts with its changes that follow */
+    /** @param changeParts number of snapshot parts with its changes that follow */
     SnapshotPart.Record save(int changeParts) {
         return new SnapshotPart.Record(
                 command,
--- a/fleet/src/main/java/tallyweir/fleet/Command.java
+++ b/fleet/src/main/java/tallyweir/fleet/Command.java
@@ -6,7 +6,7 @@
 import tallyweir.ids.TenantId;
 
 /**
- * An entry of the replicated log. Each is applied to the {@link State} of every voter and produces one {@link QueryResponder}.
+ * An entry of the replicated log. Each is applied to the {@link State} of every voter and produces one {@link Answer}.
  */
 public sealed interface Command {
     /** Advances the clock and does nothing else. */
@@ -19,7 +19,7 @@
      * A server asks for a slot.
      *
      * @param listenAddress the address that the server listens at
-     * @param life number of the server's process, higher for each later process
+     * @param processNumber number of the server's process, higher for each later process
      */
     record Join(String fleet, ServerId server, String listenAddress, long processNumber) implements Command {}
 
@@ -27,15 +27,15 @@
      * A server reports which revision it acts on and what it needs. A report counts only if it names the server's current
      * incarnation.
      *
-     * @param as the incarnation that the server believes to have
-     * @param number sequence number of the server's reports; a report that repeats a number changes nothing
-     * @param acting the revision that the server acts on
-     * @param inForce digest of the table in use there, computed from its entries
+     * @param incarnation the incarnation that the server believes to have
+     * @param reportNumber sequence number of the server's reports; a report that repeats a number changes nothing
+     * @param actingRevision the revision that the server acts on
+     * @param tableDigest digest of the table in use there, computed from its entries
      * @param outdatedQueries queries that began under the previous revision after this one came into force, as far as the server knows
-     * @param checked the revision that the server validated last, NONE if it has validated none
-     * @param cannot why it cannot act on that revision, empty if it can
-     * @param ended number of queries that have ended since the server's process started
-     * @param bad number of those that were late or errored
+     * @param checkedRevision the revision that the server validated last, NONE if it has validated none
+     * @param rejectReason why it cannot act on that revision, empty if it can
+     * @param endedQueries number of queries that have ended since the server's process started
+     * @param badQueries number of those that were late or errored
      * @param needs the server's need of connections by tenant, beyond its floors
      */
     record Report(
--- a/fleet/src/main/java/tallyweir/fleet/Explorer.java
+++ b/fleet/src/main/java/tallyweir/fleet/Explorer.java
@@ -61,7 +61,7 @@
      * Explores a scene.
      *
      * @param without guards that are switched off
-     * @param most maximum number of states, after which the exploration gives up and reports so
+     * @param maxStates maximum number of states, after which the exploration gives up and reports so
      */
     public static ExhaustiveSearch.SearchResult explore(Scene scene, Set<Guard> without, long maxStates) {
         return ExhaustiveSearch.explore(() -> new Fleet(scene, without), maxStates);
--- a/fleet/src/main/java/tallyweir/fleet/FleetClient.java
+++ b/fleet/src/main/java/tallyweir/fleet/FleetClient.java
@@ -12,9 +12,9 @@
     /**
      * Sends a command to the voters.
      *
-     * @param deciding executor that runs exactly one of the two callbacks, unless the client is closed first
-     * @param to receives the answer
-     * @param failed runs if no answer came: the command may have been applied or not
+     * @param executor executor that runs exactly one of the two callbacks, unless the client is closed first
+     * @param onAnswer receives the answer
+     * @param onFailure runs if no answer came: the command may have been applied or not
      */
     void send(Command command, Executor executor, Consumer<Answer> onAnswer, Runnable onFailure);
 
@@ -24,11 +24,11 @@
      * already fetched; a call for a newer root continues with the chunks that both tables share. One fetch runs at a time;
      * another call is queued behind it.
      *
-     * @param have a table that the server has; EMPTY for none
+     * @param base a table that the server has; EMPTY for none
      * @param wanted the revision and the root of its table
-     * @param deciding executor that runs exactly one of the two callbacks, unless the client is closed first
-     * @param to receives the table
-     * @param failed receives the reason: {@link Fault.DigestMismatch}, {@link Fault.UnknownRoot}, or {@link Fault.NoLeader} if no
+     * @param executor executor that runs exactly one of the two callbacks, unless the client is closed first
+     * @param onTable receives the table
+     * @param onFailure receives the reason: {@link Fault.DigestMismatch}, {@link Fault.UnknownRoot}, or {@link Fault.NoLeader} if no
      *     voter answered; retrying is up to the caller, and the client delays retries as long as the voters fail
      */
     void fetch(Table base, RevisionRoot wanted, Executor executor, Consumer<Table> onTable, Consumer<Fault> onFailure);
--- a/fleet/src/main/java/tallyweir/fleet/FleetClients.java
+++ b/fleet/src/main/java/tallyweir/fleet/FleetClients.java
@@ -16,7 +16,7 @@
      * @param self the server's name
      * @param dir directory of the server's log if it is a voter
      * @param settings used to create the fleet; a running fleet takes them over if their version is higher
-     * @param without guards that are off, for tests only; without {@link Guard#ROOT}, partial tables are passed on unchecked as
+     * @param disabledGuards guards that are off, for tests only; without {@link Guard#ROOT}, partial tables are passed on unchecked as
      *     they arrive
      */
     FleetClient open(
--- a/fleet/src/main/java/tallyweir/fleet/FleetSettings.java
+++ b/fleet/src/main/java/tallyweir/fleet/FleetSettings.java
@@ -4,11 +4,11 @@
  * The settings of a fleet. Times are tenths of a millisecond.
  *
  * @param version settings are adopted only if their version is higher than that of the current ones
- * @param lease how long after a report a server may use the connections lent to it
+ * @param leaseDuration how long after a report a server may use the connections lent to it
  * @param maxOpenDuration how long after the lease the queries that it accepted may still be open, by its own clock: the longest hard limit
  *     plus the linger time
  * @param floorLeaseDuration how long after a report a server may use its floors
- * @param behindMost maximum time that a server may be behind the revision in force before it is shut out
+ * @param maxBehindDuration maximum time that a server may be behind the revision in force before it is shut out
  * @param maxClockDrift maximum ratio by which a clock may run fast or slow
  * @param maxShutOutShare maximum share of servers that may be shut out at once
  * @param maxRejectingShare maximum share of servers that cannot act on a revision for it to come into force nevertheless
--- a/fleet/src/main/java/tallyweir/fleet/Health.java
+++ b/fleet/src/main/java/tallyweir/fleet/Health.java
@@ -23,9 +23,9 @@
     /**
      * Takes the totals of a report. While the revision in force is on probation they count as after the change.
      *
-     * @param ended queries that ended since the process started
-     * @param bad those of them that were late or errored
-     * @param length of a window of the time before a change, in the unit of {@code now}
+     * @param endedQueries queries that ended since the process started
+     * @param badQueries those of them that were late or errored
+     * @param windowDuration of a window of the time before a change, in the unit of {@code now}
      */
     void report(long endedQueries, long badQueries, boolean onProbation, long now, long windowDuration) {
         long[] counts = onProbation ? sinceChange : currentWindow;
@@ -56,7 +56,7 @@
         sinceChange[1] = 0;
     }
 
-    /** Whether this is the latest revision passed to {@link #under}. */
+    /** Whether this is the latest revision passed to {@link #onRevisionInForce}. */
     boolean isInForce(RevisionId revision) {
         return inForce.equals(revision);
     }
@@ -71,7 +71,7 @@
      * times the square root of the expected number.
      *
      * @param maxRatio multiple of the baseline that is still allowed
-     * @param least share of bad queries that is allowed in any case
+     * @param minBadShare share of bad queries that is allowed in any case
      */
     boolean isWorse(double maxRatio, double minBadShare) {
         double expectedBad = sinceChange[0] * Math.max(minBadShare, maxRatio * baselineBadShare);
--- a/fleet/src/main/java/tallyweir/fleet/Lending.java
+++ b/fleet/src/main/java/tallyweir/fleet/Lending.java
@@ -47,7 +47,7 @@
 
     /**
      * @param floorsLent whether floors are lent too, which is wrong and only for checks
-     * @param caps always the caps of the revision in force; may change only right before {@link #caps(long, List)}
+     * @param caps always the caps of the revision in force; may change only right before {@link #applyCaps(long, List)}
      */
     Lending(boolean floorsLent, Caps caps) {
         this.floorsLent = floorsLent;
--- a/fleet/src/main/java/tallyweir/fleet/LendingPart.java
+++ b/fleet/src/main/java/tallyweir/fleet/LendingPart.java
@@ -16,7 +16,7 @@
      *
      * @param level max-min level: the share up to which the demand of every slot is met, as last computed
      * @param levelComputedAt when the level was computed, Long.MIN_VALUE if it is to be computed anew
-     * @param turn index, among the slots with demand, of the one that is next to get a unit that does not divide evenly
+     * @param extraTurn index, among the slots with demand, of the one that is next to get a unit that does not divide evenly
      * @param earlierFloors oldest first
      */
     record PoolState(
@@ -32,7 +32,7 @@
     /**
      * A floor that slots may still use from an earlier revision.
      *
-     * @param until the first revision in which the floor was lower
+     * @param untilRevision the first revision in which the floor was lower
      */
     record EarlierFloor(long untilRevision, int floor) {}
 
--- a/fleet/src/main/java/tallyweir/fleet/Member.java
+++ b/fleet/src/main/java/tallyweir/fleet/Member.java
@@ -48,10 +48,10 @@
 
     /**
      * @param gate the counts of tenants' connections; this class sets how many the server may accept
-     * @param again minimum delay before an unanswered request is sent again
-     * @param backWhole whether a server without a lease withdraws completely, or continues without its grants
+     * @param minRetryDelay minimum delay before an unanswered request is sent again
+     * @param withdrawWithoutLease whether a server without a lease withdraws completely, or continues without its grants
      * @param seed of the random part of delays
-     * @param without guards that are switched off, for checks only
+     * @param disabledGuards guards that are switched off, for checks only
      */
     public Member(
             MemberActions actions,
@@ -248,7 +248,7 @@
     /**
      * This server has applied a revision.
      *
-     * @param inForce the root of the table that is really in use here
+     * @param appliedRoot the root of the table that is really in use here
      * @param outdatedQueries queries that began under an earlier revision after this one came into force
      */
     public void applied(RevisionId revision, Digest appliedRoot, long outdatedQueries) {
@@ -271,7 +271,7 @@
     /**
      * This server has checked whether it could apply a revision.
      *
-     * @param why the reason why it could not, empty if it could
+     * @param failure the reason why it could not, empty if it could
      */
     public void checked(RevisionId revision, String failure) {
         checkedRevision = revision;
--- a/fleet/src/main/java/tallyweir/fleet/MemberActions.java
+++ b/fleet/src/main/java/tallyweir/fleet/MemberActions.java
@@ -12,16 +12,16 @@
     /** Counts of the queries that have ended here so far. */
     QueryCounts endedQueries();
 
-    /** Asks the fleet for a slot; followed by {@link Member#hear} or {@link Member#failed}. */
+    /** Asks the fleet for a slot; followed by {@link Member#onAnswer} or {@link Member#requestFailed}. */
     void join(ServerId server, String listen);
 
-    /** Reports to the fleet; followed by {@link Member#hear} or {@link Member#failed}. */
+    /** Reports to the fleet; followed by {@link Member#onAnswer} or {@link Member#requestFailed}. */
     void report(Command.Report report);
 
     /** Checks whether this server could apply a revision; followed by {@link Member#checked}. */
     void check(RevisionRoot revision);
 
-    /** Applies a revision here; followed by {@link Member#acting(RevisionId, Digest, long)} or {@link Member#cannotAct}. */
+    /** Applies a revision here; followed by {@link Member#applied(RevisionId, Digest, long)} or {@link Member#applyFailed}. */
     void apply(RevisionRoot revision);
 
     /** Sets whether this server turns new queries away and is taken off the announce service's list. */
--- a/fleet/src/main/java/tallyweir/fleet/Proposal.java
+++ b/fleet/src/main/java/tallyweir/fleet/Proposal.java
@@ -18,8 +18,8 @@
     /**
      * Opens a proposal for servers to check.
      *
-     * @param until when servers that have not answered count as unable
-     * @param ask slots of the servers that are to answer
+     * @param checkDeadline when servers that have not answered count as unable
+     * @param slotsToAsk slots of the servers that are to answer
      */
     void open(Revision proposed, long checkDeadline, BitSet slotsToAsk) {
         revision = proposed;
@@ -60,7 +60,7 @@
     /**
      * Records that a server has checked a revision.
      *
-     * @param why the reason why it cannot apply it, empty if it can
+     * @param reason the reason why it cannot apply it, empty if it can
      */
     void recordCheck(int slot, ServerId server, RevisionId checkedId, String reason) {
         if (!checkedId.equals(id()) || !pending.get(slot)) {
--- a/fleet/src/main/java/tallyweir/fleet/ServerRegistry.java
+++ b/fleet/src/main/java/tallyweir/fleet/ServerRegistry.java
@@ -245,7 +245,7 @@
      * Adds free slots when the settings allow more.
      *
      * @param before the earlier number of slots
-     * @param most the number of slots from now on
+     * @param after the number of slots from now on
      */
     void addSlots(int before, int after) {
         for (int slot = before; slot < after; slot++) {
@@ -256,7 +256,7 @@
     /**
      * A server joins, in the slot that it has or else in a free one.
      *
-     * @param life generation of the process, higher than that of any earlier one at this address. A join whose generation
+     * @param processGeneration generation of the process, higher than that of any earlier one at this address. A join whose generation
      *     is no higher releases nothing, so that a delayed message takes nothing from a process that has joined since.
      */
     ServerRecord join(ServerId name, String listen, long processGeneration) {
--- a/fleet/src/main/java/tallyweir/fleet/SnapshotPart.java
+++ b/fleet/src/main/java/tallyweir/fleet/SnapshotPart.java
@@ -22,7 +22,7 @@
     /**
      * A revision.
      *
-     * @param size number of entries in its table
+     * @param entryCount number of entries in its table
      * @param changedEntryCount number of entries that differ from the table of its base
      * @param recordCount how many {@link Record}s follow
      */
@@ -62,7 +62,7 @@
     /**
      * An operator's command, part of the preceding revision or group.
      *
-     * @param more how many {@link Changes} parts follow
+     * @param changesParts how many {@link Changes} parts follow
      */
     record Record(
             OperatorCommandId command,
@@ -84,7 +84,7 @@
      * The open proposal and the servers' answers to it.
      *
      * @param revision NONE if no proposal is open
-     * @param pending slots of the servers that have not answered
+     * @param pendingSlots slots of the servers that have not answered
      * @param accepted how many servers can apply it
      */
     record Proposed(
--- a/fleet/src/main/java/tallyweir/fleet/State.java
+++ b/fleet/src/main/java/tallyweir/fleet/State.java
@@ -45,7 +45,7 @@
         this(Set.of());
     }
 
-    /** @param without guards that are switched off, for checks only */
+    /** @param disabledGuards guards that are switched off, for checks only */
     public State(Set<Guard> disabledGuards) {
         context = new FleetContext(disabledGuards);
         lending = new Lending(!context.isEnabled(Guard.FLOOR), this::cap);
@@ -64,8 +64,8 @@
     /**
      * Sets the clocks to the timestamp of the next command.
      *
-     * @param at the fleet's clock, tenths of a millisecond
-     * @param wall the leader's wall clock, ms since 1970
+     * @param now the fleet's clock, tenths of a millisecond
+     * @param wallMs the leader's wall clock, ms since 1970
      */
     public void clock(long now, long wallMs) {
         context.advanceClock(now, wallMs);
@@ -329,7 +329,7 @@
      * The changes that turn a table into that of a revision.
      *
      * @param from the root of the table
-     * @param most maximum number of changes; the result is empty if there are more, or if either table is unknown
+     * @param maxChanges maximum number of changes; the result is empty if there are more, or if either table is unknown
      */
     public Optional<List<Change>> difference(Digest from, RevisionId to, int maxChanges) {
         Table want = history.table(to);
--- a/fleet/src/main/java/tallyweir/fleet/table/HashedChange.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/HashedChange.java
@@ -4,7 +4,7 @@
  * An addition, replacement or removal of an entry in a tree.
  *
  * @param entry the new entry, or only its key for a removal
- * @param puts whether the entry is added or replaced, not removed
+ * @param isPut whether the entry is added or replaced, not removed
  */
 record HashedChange(HashedEntry entry, boolean isPut) implements Comparable<HashedChange> {
     static HashedChange of(Change change, KeyHashing hashing) {
--- a/fleet/src/main/java/tallyweir/fleet/table/Node.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/Node.java
@@ -4,7 +4,7 @@
 
 /**
  * A subtree of a table: all entries whose key hashes begin with the same digits. Immutable. Its shape depends on its entries only:
- * up to {@link Leaf#ENTRIES_MOST} entries form a leaf, more form a branch on the next digit. Therefore subtrees with equal entries
+ * up to {@link Leaf#MAX_ENTRIES} entries form a leaf, more form a branch on the next digit. Therefore subtrees with equal entries
  * have equal digests.
  */
 abstract sealed class Node permits Leaf, Branch {
--- a/fleet/src/main/java/tallyweir/fleet/table/Table.java
+++ b/fleet/src/main/java/tallyweir/fleet/table/Table.java
@@ -84,7 +84,7 @@
     }
 
     /**
-     * Returns the chunk of a path for {@link TableTransfer#take}: the encoded entries of that subtree if they are few, otherwise
+     * Returns the chunk of a path for {@link TableTransfer#accept}: the encoded entries of that subtree if they are few, otherwise
      * the digests and entry counts of its children.
      */
     public byte[] chunk(Path path) {
--- a/fleet/src/test/java/tallyweir/fleet/PlainGate.java
+++ b/fleet/src/test/java/tallyweir/fleet/PlainGate.java
@@ -79,7 +79,7 @@
         }
     }
 
-    /** When {@link #clock} next has a connection to release, MAX_VALUE if there is none. */
+    /** When {@link #advanceClock} next has a connection to release, MAX_VALUE if there is none. */
     public long nextReleaseAt() {
         return lingering.isEmpty() ? Long.MAX_VALUE : lingering.peek().expiresAt;
     }
@@ -111,7 +111,7 @@
     /**
      * Takes what the fleet has lent beyond the floors.
      *
-     * @param shares by tenant; tenants left out are lent nothing
+     * @param grants by tenant; tenants left out are lent nothing
      * @param leaseUntil when the shares expire
      * @param floorUntil when the floors expire
      * @param floorsFree whether the floors of the caps in force here may be used, even if they are higher than before
--- a/stand/src/main/java/tallyweir/stand/FaultRelay.java
+++ b/stand/src/main/java/tallyweir/stand/FaultRelay.java
@@ -51,7 +51,7 @@
         thread.start();
     }
 
-    /** Resets all open connections, and every new one at once, until {@link #mend()}. */
+    /** Resets all open connections, and every new one at once, until {@link #endFaults()}. */
     public void resetAll() {
         resetting = true;
         openSockets.forEach(FaultRelay::reset);
--- a/stand/src/main/java/tallyweir/stand/History.java
+++ b/stand/src/main/java/tallyweir/stand/History.java
@@ -26,7 +26,7 @@
     /**
      * One event.
      *
-     * @param mark the idempotency key
+     * @param key the idempotency key
      * @param job the id of the query, unique to each request, so it differs between retries of one key
      * @param text the result for a run or a handled answer; {@code at once} or {@code late} for an error
      */
--- a/stand/src/main/java/tallyweir/stand/MultiplexedSidecar.java
+++ b/stand/src/main/java/tallyweir/stand/MultiplexedSidecar.java
@@ -37,7 +37,7 @@
     /**
      * Sends a request.
      *
-     * @param then called once with the answer on this connection's reader thread, or with status 0 on the thread that finds the
+     * @param onAnswer called once with the answer on this connection's reader thread, or with status 0 on the thread that finds the
      *     connection broken
      */
     public void send(Map<String, String> parameters, String body, Consumer<StandInSidecar.Answer> onAnswer) {
--- a/stand/src/main/java/tallyweir/stand/PipelinedCaller.java
+++ b/stand/src/main/java/tallyweir/stand/PipelinedCaller.java
@@ -22,7 +22,7 @@
     /**
      * The behaviour of a caller.
      *
-     * @param open the maximum number of concurrent requests
+     * @param maxOpen the maximum number of concurrent requests
      * @param meanWriteDelayMs the mean delay between two requests
      * @param maxReadDelayMs the maximum delay before an answer is read
      */
--- a/stand/src/main/java/tallyweir/stand/RequestOutcome.java
+++ b/stand/src/main/java/tallyweir/stand/RequestOutcome.java
@@ -6,8 +6,8 @@
  * @param id its Request-Id
  * @param caller the name of the caller's profile
  * @param connectedAt when its connection was established
- * @param written when its last byte was written
- * @param ended when the caller observed its end
+ * @param writtenAt when its last byte was written
+ * @param endedAt when the caller observed its end
  * @param end how it ended
  * @param status the status of its answer, 0 without one
  * @param resent whether it is the single retry of a request that crossed the close of its connection
--- a/stand/src/main/java/tallyweir/stand/SequentialCaller.java
+++ b/stand/src/main/java/tallyweir/stand/SequentialCaller.java
@@ -18,7 +18,7 @@
      * The behaviour of a caller.
      *
      * @param connectionPerRequest whether each request is sent on a connection of its own
-     * @param pieces the number of chunks in which a request is written
+     * @param chunks the number of chunks in which a request is written
      * @param chunkDelayMs the delay between two chunks
      * @param meanThinkMs the mean delay between two requests
      */
--- a/stand/src/main/java/tallyweir/stand/StandInKernel.java
+++ b/stand/src/main/java/tallyweir/stand/StandInKernel.java
@@ -70,7 +70,7 @@
      * Starts listening on a free port of loopback.
      *
      * @param history where runs are recorded, or null
-     * @param scheduler the number of concurrent runs
+     * @param cores the number of concurrent runs
      * @param runDurationUs draws the duration of a run, in microseconds
      */
     public StandInKernel(History history, int cores, long seed, ToIntFunction<SplittableRandom> runDurationUs)
