--- a/results/src/main/java/tallyweir/results/Settling.java
+++ b/results/src/main/java/tallyweir/results/Settling.java
@@ -46,7 +46,9 @@
                     (k, as) -> k.known() == null,
                     "its run is still open: the process that has the store open settles it, at the"
                             + " latest one maximum hard limit after its start"),
-            new Rule((k, as) -> as != As.FORGOTTEN && k.known() != Known.UNKNOWN, "its outcome is already known"));
+            new Rule(
+                    (k, as) -> as != As.FORGOTTEN && k.known() != Known.UNKNOWN,
+                    "its outcome is known, there is nothing to settle"));
 
     private Settling() {}
 
